--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -24,15 +24,15 @@
   Span at, ended, until;
   long id, first;
   std::string umpire, end;
-  int product, tenant;
+  int request_class, tenant;
   bool right, poison;
 };
 
-struct Arrival {
+struct AttemptArrival {
   Span at;
   std::string node, umpire, what;
-  int build, product;
-  long id, submission, attempt;  // attempt: the client's try
+  int build, request_class;
+  long id, attempt, client_request_id;  // client_request_id: the client's try
   Span work;
 };
 
@@ -63,7 +63,7 @@
 
 struct Record {
   std::vector<Try> tries{};
-  std::vector<Arrival> arrivals{};
+  std::vector<AttemptArrival> arrivals{};
   std::map<std::string, std::vector<Start>> starts{};
   std::vector<std::pair<Span, std::string>> falls{};
   std::map<std::string, std::vector<Told>> told{};
@@ -129,7 +129,7 @@
     one.id = static_cast<long>(json::number(line, "id"));
     one.first = static_cast<long>(json::number(line, "first"));
     one.umpire = json::text(line, "umpire");
-    one.product = json::whole(line, "product", 0, static_cast<int>(report.meta.products.size()) - 1);
+    one.request_class = json::whole(line, "product", 0, static_cast<int>(report.meta.request_classes.size()) - 1);
     one.tenant = json::whole(line, "tenant");
     one.end = json::text(line, "end");
     one.right = json::truth(line, "right");
@@ -160,17 +160,17 @@
     } else if (what == "fell") {
       record.falls.emplace_back(at, node);
     } else {
-      Arrival one;
+      AttemptArrival one;
       one.at = at;
       one.node = node;
       one.what = what;
       one.build = json::whole(line, "build");
-      one.product = json::whole(line, "product", -1);
+      one.request_class = json::whole(line, "product", -1);
       one.id = static_cast<long>(json::number(line, "id"));
-      const std::string txn = json::text(line, "txn");
-      one.umpire = txn.substr(0, txn.find('.'));
-      one.submission = whole_of(json::text(line, "submission"), 0);
-      one.attempt = whole_of(json::text(line, "try"), -1);
+      const std::string request_name = json::text(line, "txn");
+      one.umpire = request_name.substr(0, request_name.find('.'));
+      one.attempt = whole_of(json::text(line, "submission"), 0);
+      one.client_request_id = whole_of(json::text(line, "try"), -1);
       one.work = Span(whole_of(json::text(line, "work"), 0));
       record.arrivals.push_back(std::move(one));
     }
@@ -250,13 +250,13 @@
   }
 
   std::string who(const Try& one) const {
-    return "try " + std::to_string(one.id) + " (" + report.meta.products[one.product].name + ", " +
+    return "try " + std::to_string(one.id) + " (" + report.meta.request_classes[one.request_class].name + ", " +
            one.umpire + ", sent at " + at_s(one.at) + ")";
   }
 
   void rule1_and_2() {
-    std::unordered_map<long, std::vector<const Arrival*>> sent;
-    for (const Arrival& arrival : record.arrivals) sent[arrival.attempt].push_back(&arrival);
+    std::unordered_map<long, std::vector<const AttemptArrival*>> sent;
+    for (const AttemptArrival& arrival : record.arrivals) sent[arrival.client_request_id].push_back(&arrival);
     std::unordered_map<long, const Try*> by_id;
     for (const Try& one : record.tries) {
       if (!by_id.emplace(one.id, &one).second) broken(1, who(one) + " had two final answers");
@@ -270,18 +270,18 @@
       broken(1, umpire + " sent " + std::to_string(count) + " answers that no client waited for");
     // A mark is there against a second effect: none may have two while it holds.
     std::map<std::string, Span> effect_at;
-    std::unordered_map<long, const Arrival*> by_work;
-    for (const Arrival& arrival : record.arrivals) by_work[arrival.id] = &arrival;
+    std::unordered_map<long, const AttemptArrival*> by_work;
+    for (const AttemptArrival& arrival : record.arrivals) by_work[arrival.id] = &arrival;
     std::map<long, Span> once;
     for (auto& [id, at] : record.effects) {
       auto arrival = by_work.find(id);
       if (arrival == by_work.end()) continue;
-      auto of = by_id.find(arrival->second->attempt);
+      auto of = by_id.find(arrival->second->client_request_id);
       if (of == by_id.end()) continue;
-      const auto& product = report.meta.products[of->second->product];
+      const auto& request_class = report.meta.request_classes[of->second->request_class];
       ++report.rules[1].checked;
       // The marks of a referenced product are the client's key, one for all its tries.
-      const long what = product.effect == Effect::referenced ? of->second->first : of->second->id;
+      const long what = request_class.idempotency == Idempotency::idempotent_with_key ? of->second->first : of->second->id;
       auto [before, fresh] = once.emplace(what, at);
       if (!fresh)
         broken(2,
@@ -307,38 +307,38 @@
                     std::to_string((one.ended - one.at).count() / 1000) + " ms");
   }
 
-  void after_the_end(const Try& one, const std::vector<const Arrival*>& sent) {
+  void after_the_end(const Try& one, const std::vector<const AttemptArrival*>& sent) {
     if (one.end == "unreached" || one.end == "broken" || one.end == "timed-out" || one.end == "left") return;
-    for (const Arrival* arrival : sent)
+    for (const AttemptArrival* arrival : sent)
       if (arrival->at > one.ended + unsure)
         return broken(1, who(one) + " was " + one.end + " at " + at_s(one.ended) + " and still sent to " +
                              arrival->node + " at " + at_s(arrival->at));
   }
 
-  void repeats(const Try& one, const std::vector<const Arrival*>& sent) {
-    const auto& product = report.meta.products[one.product];
+  void repeats(const Try& one, const std::vector<const AttemptArrival*>& sent) {
+    const auto& request_class = report.meta.request_classes[one.request_class];
     ++report.rules[1].checked;
     if (one.end == "not-taken")
       return broken(2, who(one) + " was not taken, yet sent to " + sent.front()->node);
-    if (product.effect == Effect::inquiry) return;
-    const Arrival* ran = nullptr;
-    for (const Arrival* arrival : sent) {
+    if (request_class.idempotency == Idempotency::idempotent) return;
+    const AttemptArrival* ran = nullptr;
+    for (const AttemptArrival* arrival : sent) {
       if (ran) {
-        if (product.effect == Effect::once_only)
+        if (request_class.idempotency == Idempotency::non_idempotent)
           return broken(2, who(one) + " may have run at " + ran->node + " at " + at_s(ran->at) +
                                " and was sent again, to " + arrival->node + " at " + at_s(arrival->at));
-        if (arrival->at > ran->at + product.memory)
+        if (arrival->at > ran->at + request_class.dedup_window)
           return broken(2, who(one) + " was sent again to " + arrival->node + " " +
                                std::to_string((arrival->at - ran->at).count() / 1000) +
                                " ms after it may have run; repeats are remembered for " +
-                               std::to_string(product.memory.count() / 1000) + " ms");
-        if (!same_group(product.group, *ran, *arrival))
+                               std::to_string(request_class.dedup_window.count() / 1000) + " ms");
+        if (!same_group(request_class.dedup_scope, *ran, *arrival))
           return broken(
               2, who(one) + " was sent again to " + arrival->node + ", outside the group of " + ran->node);
       }
       if (arrival->what != "refused" && !ran) ran = arrival;
     }
-    if (ran && one.end == "declined" && (product.effect == Effect::once_only || product.group != Group::all))
+    if (ran && one.end == "declined" && (request_class.idempotency == Idempotency::non_idempotent || request_class.dedup_scope != DedupScope::all))
       broken(2, who(one) + " was declined though it may have run at " + ran->node);
   }
 
@@ -351,11 +351,11 @@
     return last;
   }
 
-  bool same_group(Group group, const Arrival& a, const Arrival& b) const {
-    if (group == Group::all) return true;
+  bool same_group(DedupScope dedup_scope, const AttemptArrival& a, const AttemptArrival& b) const {
+    if (dedup_scope == DedupScope::all) return true;
     const Start *x = start_of(a.node, a.at), *y = start_of(b.node, b.at);
     if (!x || !y) return true;
-    return group == Group::zone ? x->zone == y->zone : x->cell == y->cell;
+    return dedup_scope == DedupScope::zone ? x->zone == y->zone : x->cell == y->cell;
   }
 
   // What an umpire knew of nodes, moved on in time.
@@ -396,7 +396,7 @@
 
   void rule3() {
     std::map<std::string, Known> umpires;
-    for (const Arrival& arrival : record.arrivals) {
+    for (const AttemptArrival& arrival : record.arrivals) {
       Known& known = umpires[arrival.umpire];
       move_on(known, arrival.umpire, arrival.at);
       auto at = known.nodes.find(arrival.node);
@@ -414,7 +414,7 @@
       const Start* start = start_of(node, at);
       std::map<std::string, Known> umpires;
       Span all{}, knowing{};
-      for (const Arrival& arrival : record.arrivals) {
+      for (const AttemptArrival& arrival : record.arrivals) {
         if (arrival.at > at) break;
         if (arrival.node != node || arrival.at <= at - report.meta.fall_window) continue;
         Known& known = umpires[arrival.umpire];
@@ -449,21 +449,21 @@
   void rule5() {
     Rule& rule = report.rules[4];
     const record::Meta& meta = report.meta;
-    const int products = static_cast<int>(meta.products.size());
+    const int request_classes = static_cast<int>(meta.request_classes.size());
     std::map<std::string, std::vector<std::vector<Span>>> taken;
     for (const Try& one : record.tries) {
       if (one.end == "unreached" || one.end == "not-taken") continue;
       auto& of = taken[one.umpire];
-      of.resize(products + 1);
-      of[one.product].push_back(one.at);
-      of[products].push_back(one.at);
+      of.resize(request_classes + 1);
+      of[one.request_class].push_back(one.at);
+      of[request_classes].push_back(one.at);
     }
     for (auto& [umpire, lists] : taken)
       for (auto& list : lists) std::sort(list.begin(), list.end());
-    std::map<std::string, std::vector<const Arrival*>> by_umpire;
-    for (const Arrival& arrival : record.arrivals) by_umpire[arrival.umpire].push_back(&arrival);
+    std::map<std::string, std::vector<const AttemptArrival*>> by_umpire;
+    for (const AttemptArrival& arrival : record.arrivals) by_umpire[arrival.umpire].push_back(&arrival);
     std::set<int> builds;
-    for (const Arrival& arrival : record.arrivals) builds.insert(arrival.build);
+    for (const AttemptArrival& arrival : record.arrivals) builds.insert(arrival.build);
     for (auto& [umpire, arrivals] : by_umpire) {
       const auto told = record.told.find(umpire);
       std::size_t next = 0;
@@ -472,8 +472,8 @@
       std::map<int, Binding> bindings;
       std::map<std::pair<int, int>, std::vector<Span>> sent;  // by build and product
       auto& lists = taken[umpire];
-      lists.resize(products + 1);
-      for (const Arrival* arrival : arrivals) {
+      lists.resize(request_classes + 1);
+      for (const AttemptArrival* arrival : arrivals) {
         const Span began = life_began(umpire, arrival->at);
         if (began != life) {
           life = began;
@@ -508,18 +508,18 @@
         const double cap = grace ? std::max(binding.cap, binding.before) : binding.cap;
         if (cap == no_cap) continue;
         ++rule.checked;
-        const int product = meta.by_product ? std::max(0, arrival->product) : products;
-        auto& list = sent[{arrival->build, product}];
+        const int request_class = meta.by_request_class ? std::max(0, arrival->request_class) : request_classes;
+        auto& list = sent[{arrival->build, request_class}];
         list.push_back(arrival->at);
-        if (!grace && arrival->product >= 0 && binding.stage < meta.safe_only_stages &&
-            meta.products[arrival->product].effect != Effect::inquiry)
+        if (!grace && arrival->request_class >= 0 && binding.stage < meta.safe_only_stages &&
+            meta.request_classes[arrival->request_class].idempotency != Idempotency::idempotent)
           broken(5, umpire + " sent a txn with an effect to build " + std::to_string(arrival->build) +
                         " at " + at_s(arrival->at) + ", in wave " + std::to_string(binding.stage));
         Span from = arrival->at - meta.window + unsure;
         if (binding.fell >= Span{} && !grace) from = std::max(from, binding.fell + meta.drain_grace);
         const auto first = std::upper_bound(list.begin(), list.end(), from);
         const double count = static_cast<double>(list.end() - first);
-        const auto& took = lists[product];
+        const auto& took = lists[request_class];
         const double of = static_cast<double>(
             std::upper_bound(took.begin(), took.end(), arrival->at + unsure) -
             std::lower_bound(took.begin(), took.end(), arrival->at - meta.window - unsure));
@@ -536,21 +536,21 @@
   }
 
   void figures() {
-    report.products.resize(report.meta.products.size());
-    report.submissions = static_cast<long>(record.arrivals.size());
+    report.request_classes.resize(report.meta.request_classes.size());
+    report.attempts = static_cast<long>(record.arrivals.size());
     std::unordered_map<long, const Try*> firsts, good;
     for (const Try& one : record.tries) {
       ++report.tries;
-      if (one.end == "settled") ++report.settled;
-      else if (one.end == "declined") ++report.declined;
-      else if (one.end == "voided") ++report.voided;
-      else if (one.end == "not-taken") ++report.not_taken;
+      if (one.end == "settled") ++report.succeeded;
+      else if (one.end == "declined") ++report.rejected;
+      else if (one.end == "voided") ++report.failed;
+      else if (one.end == "not-taken") ++report.rejected_before_routing;
       else if (one.end == "unreached") ++report.unreached;
       else if (one.end == "left") ++report.left;
       else ++report.lost;
       if (one.end == "settled" && !one.right) ++report.wrong;
       if (one.end == "settled")
-        report.products[one.product].latencies_ms.push_back((one.ended - one.at).count() / 1e3);
+        report.request_classes[one.request_class].latencies_ms.push_back((one.ended - one.at).count() / 1e3);
       if (one.poison) continue;
       auto [at, fresh] = firsts.emplace(one.first, &one);
       if (!fresh && one.at < at->second->at) at->second = &one;
@@ -560,14 +560,14 @@
       }
     }
     for (auto& [first, one] : firsts) {
-      const auto& product = report.meta.products[one->product];
+      const auto& request_class = report.meta.request_classes[one->request_class];
       ++report.asked;
-      ++report.products[one->product].asked;
-      report.revenue_asked += product.revenue;
+      ++report.request_classes[one->request_class].asked;
+      report.weight_offered += request_class.priority_weight;
       auto at = good.find(first);
-      if (at == good.end() || at->second->ended > one->at + product.sla) continue;
-      ++report.products[one->product].settled_in_time;
-      report.revenue_in_time += product.revenue;
+      if (at == good.end() || at->second->ended > one->at + request_class.latency_objective) continue;
+      ++report.request_classes[one->request_class].succeeded_in_time;
+      report.weight_in_time += request_class.priority_weight;
     }
   }
 };
@@ -625,21 +625,21 @@
       line, sizeof line,
       "asked %ld, tries %ld: settled %ld (wrong %ld), declined %ld, voided %ld, not taken %ld, unreached "
       "%ld, lost with an umpire %ld, left %ld\n",
-      report.asked, report.tries, report.settled, report.wrong, report.declined, report.voided,
-      report.not_taken, report.unreached, report.lost, report.left);
+      report.asked, report.tries, report.succeeded, report.wrong, report.rejected, report.failed,
+      report.rejected_before_routing, report.unreached, report.lost, report.left);
   text += line;
   std::snprintf(
       line, sizeof line,
       "revenue in time %.1f%%; submissions %ld; votes %ld; most exposed %.2f of the cap; cold nodes "
       "pushed to %.2f of their limit\n",
-      report.revenue_asked > 0 ? 100 * report.revenue_in_time / report.revenue_asked : 0.0,
-      report.submissions, report.votes, report.most_exposed, report.most_pushed);
+      report.weight_offered > 0 ? 100 * report.weight_in_time / report.weight_offered : 0.0,
+      report.attempts, report.votes, report.most_exposed, report.most_pushed);
   text += line;
-  for (std::size_t p = 0; p < report.products.size(); ++p) {
-    ProductFigures& figures = report.products[p];
+  for (std::size_t p = 0; p < report.request_classes.size(); ++p) {
+    ClassStatistics& figures = report.request_classes[p];
     std::snprintf(line, sizeof line, "%-16s asked %ld, settled in time %.1f%%, p50 %.1f ms, p99 %.1f ms\n",
-                  report.meta.products[p].name.c_str(), figures.asked,
-                  figures.asked > 0 ? 100.0 * static_cast<double>(figures.settled_in_time) /
+                  report.meta.request_classes[p].name.c_str(), figures.asked,
+                  figures.asked > 0 ? 100.0 * static_cast<double>(figures.succeeded_in_time) /
                                           static_cast<double>(figures.asked)
                                     : 0.0,
                   part(figures.latencies_ms, 0.5), part(figures.latencies_ms, 0.99));
--- a/src/audit/audit.h
+++ b/src/audit/audit.h
@@ -17,8 +17,8 @@
   bool kept() const { return broken == 0; }
 };
 
-struct ProductFigures {
-  long asked = 0, settled_in_time = 0;
+struct ClassStatistics {
+  long asked = 0, succeeded_in_time = 0;
   std::vector<double> latencies_ms{};  // of settled tries
 };
 
@@ -31,11 +31,11 @@
 struct Report {
   std::array<Rule, 5> rules{};
   Rule steps{.name = "steps in order"};  // of releases: beside the five rules
-  long asked = 0, tries = 0, settled = 0, declined = 0, voided = 0, not_taken = 0, unreached = 0, lost = 0,
+  long asked = 0, tries = 0, succeeded = 0, rejected = 0, failed = 0, rejected_before_routing = 0, unreached = 0, lost = 0,
        left = 0;
-  long wrong = 0, submissions = 0, votes = 0;
-  double revenue_asked = 0, revenue_in_time = 0, most_exposed = 0, most_pushed = 0;
-  std::vector<ProductFigures> products{};
+  long wrong = 0, attempts = 0, votes = 0;
+  double weight_offered = 0, weight_in_time = 0, most_exposed = 0, most_pushed = 0;
+  std::vector<ClassStatistics> request_classes{};
   std::vector<Release> releases{};
   std::vector<std::string> notes{};
   record::Meta meta{};
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -9,12 +9,12 @@
 Outcome outcome_of(const Json& fields) {
   static const std::pair<const char*, Outcome> words[] = {{"Ok", Outcome::ok},
                                                           {"Failed", Outcome::error},
-                                                          {"QueueFull", Outcome::full},
+                                                          {"QueueFull", Outcome::rejected},
                                                           {"TimedOut", Outcome::timeout},
-                                                          {"ConnectError", Outcome::no_connection},
+                                                          {"ConnectError", Outcome::connect_failure},
                                                           {"ResetByPeer", Outcome::reset},
                                                           {"Canceled", Outcome::cancelled},
-                                                          {"Ignored", Outcome::moot}};
+                                                          {"Ignored", Outcome::obsolete}};
   std::string given = text(fields, "outcome");
   for (auto& [name, value] : words)
     if (given == name) return value;
@@ -60,12 +60,12 @@
   return node;
 }
 
-void drop_if_done(Instance& instance, int txn) {
-  if (txn < 0 || instance.umpire->knows(txn)) return;
-  auto at = instance.txn_names.find(txn);
-  if (at == instance.txn_names.end()) return;
-  instance.txns.erase(at->second);
-  instance.txn_names.erase(at);
+void drop_if_done(Instance& instance, int request_id) {
+  if (request_id < 0 || instance.umpire->knows(request_id)) return;
+  auto at = instance.request_names.find(request_id);
+  if (at == instance.request_names.end()) return;
+  instance.requests.erase(at->second);
+  instance.request_names.erase(at);
 }
 
 }  // namespace
@@ -152,20 +152,20 @@
   } else if (name == "demand") {
     demand(instance, fields);
   } else if (name == "flowing") {
-    int txn = find(instance.txns, text(fields, "call"));
-    if (txn >= 0) umpire.stream_began(txn);
+    int request_id = find(instance.requests, text(fields, "call"));
+    if (request_id >= 0) umpire.stream_began(request_id);
   } else if (name == "reply") {
-    int txn = find(instance.txns, text(fields, "call"));
-    int submission = whole(fields, "seq_no");
+    int request_id = find(instance.requests, text(fields, "call"));
+    int attempt = whole(fields, "seq_no");
     Outcome outcome = outcome_of(fields);
-    bool settled = truth(fields, "settled");
+    bool succeeded = truth(fields, "settled");
     Load load = load_of(fields);
-    if (txn >= 0) umpire.submission_ended(txn, submission, outcome, settled, load, now_);
-    drop_if_done(instance, txn);
+    if (request_id >= 0) umpire.attempt_ended(request_id, attempt, outcome, succeeded, load, now_);
+    drop_if_done(instance, request_id);
   } else if (name == "expired") {
-    int txn = find(instance.txns, text(fields, "call"));
-    if (txn >= 0) umpire.txn_left(txn);
-    drop_if_done(instance, txn);
+    int request_id = find(instance.requests, text(fields, "call"));
+    if (request_id >= 0) umpire.client_disconnected(request_id);
+    drop_if_done(instance, request_id);
   } else if (name == "wakeup") {
     number(fields, "key_back");
   } else if (name == "probe_result") {
@@ -178,7 +178,7 @@
   } else if (name == "metrics") {
     // The module does not use tallies (docs/design.md says why); they are read for their form only.
     whole(fields, "ver");
-    whole(fields, "qos", 0, instance.products - 1);
+    whole(fields, "qos", 0, instance.request_classes - 1);
     for (const char* field : {"samples", "bad"}) whole(fields, field);
     number_or(fields, "wait_time_ms", 0);
     number(fields, "since_ms");
@@ -195,11 +195,11 @@
   if (!salt.IsUint64()) mistyped("salt", "a whole number");
   const params::Params told = params::decode(inner(fields, "params"));
   auto instance = std::make_unique<Instance>();
-  instance->products = static_cast<int>(told.products.size());
+  instance->request_classes = static_cast<int>(told.request_classes.size());
   instance->tenants = static_cast<int>(told.tenants.size());
   std::uint64_t seed = salt.GetUint64();
   instance->umpire = std::make_unique<Umpire>(static_cast<unsigned>(seed ^ (seed >> 32)), told.nodes,
-                                              told.exposure, told.gate, told.txns);
+                                              told.exposure, told.gate, told.requests);
   instances_[who] = std::move(instance);
   known(who, true);
 }
@@ -221,21 +221,21 @@
 }
 
 void Wire::demand(Instance& instance, const Json& fields) {
-  Arrival txn{};
+  RequestInfo request{};
   std::string name = text(fields, "call");
-  txn.product = whole(fields, "qos", 0, instance.products - 1);
+  request.request_class = whole(fields, "qos", 0, instance.request_classes - 1);
   double tenant = number_or(fields, "org", 0);
   if (tenant < 0 || (tenant > 0 && tenant >= instance.tenants)) mistyped("org", "a known tenant");
-  txn.tenant = static_cast<int>(tenant);
-  txn.expiry = time_of(fields, "not_after_ms");
-  txn.hint_ms = number_or(fields, "work_hint_ms", 0);
+  request.tenant = static_cast<int>(tenant);
+  request.deadline = time_of(fields, "not_after_ms");
+  request.cost_hint_ms = number_or(fields, "work_hint_ms", 0);
   auto key = fields.FindMember("subject");
-  if (key != fields.MemberEnd() && !key->value.IsNull()) txn.key = text(fields, "subject");
-  txn.repeat = truth(fields, "retry");
-  txn.txn = instance.next_txn++;
-  instance.txns[name] = txn.txn;
-  instance.txn_names[txn.txn] = name;
-  instance.umpire->txn_arrived(txn, now_);
+  if (key != fields.MemberEnd() && !key->value.IsNull()) request.key = text(fields, "subject");
+  request.is_retry = truth(fields, "retry");
+  request.request_id = instance.next_request_id++;
+  instance.requests[name] = request.request_id;
+  instance.request_names[request.request_id] = name;
+  instance.umpire->request_arrived(request, now_);
 }
 
 void Wire::promotion(Instance& instance, const Json& fields) {
@@ -253,7 +253,7 @@
   rel.phase = static_cast<RelPhase>(whole(fields, "where_at", 0, 3));
   rel.cap = number(fields, "limit_share");
   rel.since = time_of(fields, "since_ms");
-  if (outcome == Outcome::ok || outcome == Outcome::moot) instance.umpire->release_news(rel, now_);
+  if (outcome == Outcome::ok || outcome == Outcome::obsolete) instance.umpire->release_news(rel, now_);
 }
 
 void Wire::answer(const std::string& who, Instance& instance) {
@@ -281,17 +281,17 @@
   writer.Key(names[static_cast<int>(decision.action)]);
   writer.StartObject();
   field("umpire", who);
-  if (decision.txn >= 0) field("call", instance.txn_names.at(decision.txn));
+  if (decision.request_id >= 0) field("call", instance.request_names.at(decision.request_id));
   if (decision.node >= 0) field("box", instance.node_names.at(decision.node));
   switch (decision.action) {
-    case Action::submit:
+    case Action::forward:
       length("cap_ms");
       break;
-    case Action::decline:
+    case Action::reject:
       length("pause_ms");
       break;
     case Action::cancel:
-      count("seq_no", decision.submission);
+      count("seq_no", decision.attempt);
       break;
     case Action::subscribe:
       writer.Key("enable");
@@ -315,7 +315,7 @@
   writer.EndObject();
   writer.EndObject();
   out_.Put('\n');
-  if (decision.txn >= 0) drop_if_done(instance, decision.txn);
+  if (decision.request_id >= 0) drop_if_done(instance, decision.request_id);
 }
 
 }  // namespace robinhoist::benchlink
--- a/src/benchlink/wire.h
+++ b/src/benchlink/wire.h
@@ -19,9 +19,9 @@
 struct Instance {
   std::unique_ptr<Umpire> umpire;
   std::vector<std::string> node_names;
-  std::unordered_map<std::string, int> nodes, txns;
-  std::unordered_map<int, std::string> txn_names;
-  int next_txn = 0, products = 0, tenants = 0;
+  std::unordered_map<std::string, int> nodes, requests;
+  std::unordered_map<int, std::string> request_names;
+  int next_request_id = 0, request_classes = 0, tenants = 0;
   bool touched = false;
 };
 
--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -55,7 +55,7 @@
   const auto shown = [](const lab::Found& found) {
     std::string troubles;
     for (const day::Trouble& one : found.troubles) troubles += std::string(" ") + day::word(one.kind);
-    std::printf("  after %d runs: revenue %.1f%%%s,%s\n", found.runs, found.revenue,
+    std::printf("  after %d runs: revenue %.1f%%%s,%s\n", found.runs, found.priority_weight,
                 found.broken.empty() ? "" : (", " + found.broken).c_str(), troubles.c_str());
     std::fflush(stdout);
   };
@@ -67,7 +67,7 @@
     std::filesystem::create_directories(folder);
   char comment[200];
   std::snprintf(comment, sizeof comment, "Found by `robinhoist lab hunt` on %s, seed %ld: revenue %.1f%%%s.",
-                words.file.c_str(), settings.seed, found.revenue,
+                words.file.c_str(), settings.seed, found.priority_weight,
                 found.broken.empty() ? "" : ", a rule broken");
   std::ofstream(out) << lab::day_text(text.str(), found.troubles, comment);
   std::printf("saved as %s: play it with --seed %ld\n", out.c_str(), settings.seed);
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -76,8 +76,8 @@
       "tries %ld: settled %ld (wrong %ld), declined %ld, voided %ld, unreached %ld, broken %ld; revenue "
       "%.1f%%; "
       "p50 %.1f ms, p99 %.1f ms\n",
-      summary.tries, summary.settled, summary.wrong, summary.declined, summary.voided, summary.unreached,
-      summary.broken, summary.revenue_most > 0 ? 100 * summary.revenue / summary.revenue_most : 0, part(0.5),
+      summary.tries, summary.succeeded, summary.wrong, summary.rejected, summary.failed, summary.unreached,
+      summary.broken, summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 0, part(0.5),
       part(0.99));
   std::printf(
       "%.1f s of one core: %.2f million events a second, %ld decisions, %.1f simulated seconds a second\n",
@@ -148,16 +148,16 @@
   database->add_option("--listen", listen, "Its address")->capture_default_str();
   database->add_option("--file", out, "An SQLite file; memory without");
   database->add_option("--setup", setup, "Statements to begin with");
-  int steps = 0, release = 0, txn = 0, lab = 0;
+  int steps = 0, release = 0, request_name = 0, lab = 0;
   try {
     rh::cli::add_steps(app, steps);
     rh::cli::add_release(app, release);
-    rh::cli::add_txn(app, txn);
+    rh::cli::add_trace(app, request_name);
     rh::cli::add_lab(app, lab);
     CLI11_PARSE(app, argc, argv);
     if (*app.get_subcommand("steps")) return steps;
     if (*app.get_subcommand("release")) return release;
-    if (*app.get_subcommand("txn")) return txn;
+    if (*app.get_subcommand("txn")) return request_name;
     if (*app.get_subcommand("lab")) return lab;
     if (*database) return rh::standin::run_database(listen, out, setup);
     if (*platform) return rh::platform::run(config);
--- a/src/cli/txn.cpp
+++ b/src/cli/txn.cpp
@@ -63,17 +63,17 @@
 
 }  // namespace
 
-void add_txn(CLI::App& app, int& status) {
+void add_trace(CLI::App& app, int& status) {
   auto words = std::make_shared<Words>();
-  CLI::App* txn = app.add_subcommand("txn", "One txn's way: client, decisions, submissions, answer");
-  txn->add_option("ID", words->id, "The trace's id (Robinhoist-Trace), or the umpire's name for the txn")
+  CLI::App* request_name = app.add_subcommand("txn", "One txn's way: client, decisions, submissions, answer");
+  request_name->add_option("ID", words->id, "The trace's id (Robinhoist-Trace), or the umpire's name for the txn")
       ->required();
-  txn->add_option("--umpire", words->umpires, "Admin addresses of umpires, any number")
+  request_name->add_option("--umpire", words->umpires, "Admin addresses of umpires, any number")
       ->capture_default_str();
-  txn->add_option("-o,--output", words->output, "table or json")
+  request_name->add_option("-o,--output", words->output, "table or json")
       ->check(CLI::IsMember({"table", "json"}))
       ->capture_default_str();
-  txn->callback([words, &status] { status = tell(*words); });
+  request_name->callback([words, &status] { status = tell(*words); });
 }
 
 }  // namespace robinhoist::cli
--- a/src/cli/txn.h
+++ b/src/cli/txn.h
@@ -8,6 +8,6 @@
 namespace robinhoist::cli {
 
 // Exit status: 0 told, 1 no umpire knows it, 2 bad input or no umpire answers.
-void add_txn(CLI::App& app, int& status);
+void add_trace(CLI::App& app, int& status);
 
 }  // namespace robinhoist::cli
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -253,7 +253,7 @@
       {"GET", "/v1/umpires", Role::read, &C::umpires},
       {"POST", "/v1/umpires/{name}/heartbeat", Role::umpire, &C::heartbeat},
       {"DELETE", "/v1/umpires/{name}", Role::umpire, &C::umpire_leaves},
-      {"POST", "/v1/patients", Role::umpire, &C::patients},
+      {"POST", "/v1/patients", Role::umpire, &C::client_outcomes},
       {"POST", "/v1/plans", Role::operate, &C::take_plan},
       {"GET", "/v1/steps", Role::read, &C::steps_status},
       {"POST", "/v1/steps/verify", Role::read, &C::steps_verify},
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -99,7 +99,7 @@
   void umpires(const Asked& asked);
   void heartbeat(const Asked& asked);
   void umpire_leaves(const Asked& asked);
-  void patients(const Asked& asked);
+  void client_outcomes(const Asked& asked);
   bool in_trouble(const http::ExchangePtr& exchange);
   // Steps and machines.
   void take_plan(const Asked& asked);
--- a/src/controller/releases.cpp
+++ b/src/controller/releases.cpp
@@ -222,9 +222,9 @@
     drafts.push_back(catalog_.found(build, fresh_id(), wall_ms()));
   for (auto& [name, release] : catalog_.all()) {
     const std::string& phase = release.status.phase;
-    const bool settled = (phase == "withdrawn" || phase == "released") && release.build != build &&
+    const bool succeeded = (phase == "withdrawn" || phase == "released") && release.build != build &&
                          release.status.machines == 0 && release.deleting_ms == 0;
-    if (settled) continue;
+    if (succeeded) continue;
     if (auto draft = catalog_.observe(name, status_of(release, now), wall_ms())) {
       urgent |= catalog_.urgent(*draft);
       drafts.push_back(std::move(*draft));
@@ -534,13 +534,13 @@
       // A vote says as much as a heartbeat that the umpire is there.
       superseded = members_.heard(umpire, session, now) == membership::Heard::superseded;
       look_at_members();
-      outcome = superseded ? Outcome::moot : core_->vote(umpire, build, stage, verdict, now);
+      outcome = superseded ? Outcome::obsolete : core_->vote(umpire, build, stage, verdict, now);
     }
     if (voted_) voted_(umpire, build, stage, verdict, outcome);
     if (in_trouble(asked.exchange)) return;
     if (superseded) asked.exchange->answer(problem(409, "superseded", "another process votes by that name"));
-    else if (outcome == Outcome::full) asked.exchange->answer(retry_later(1s, "too many votes"));
-    else if (outcome == Outcome::moot)
+    else if (outcome == Outcome::rejected) asked.exchange->answer(retry_later(1s, "too many votes"));
+    else if (outcome == Outcome::obsolete)
       asked.exchange->answer(
           problem(409, "moot", "the release is not in that wave, or such a vote has no meaning"));
     else asked.exchange->answer(http::json_answer(200, "{\"result\":\"ok\"}"));
@@ -629,11 +629,11 @@
   asked.exchange->answer(http::json_answer(200, out.close_list().close().text()));
 }
 
-void Controller::patients(const Asked& asked) {
+void Controller::client_outcomes(const Asked& asked) {
   guarded(asked.exchange, [&] {
     const auto body = releases::strict(asked.exchange->request.body);
-    const int txns = json::whole(body, "txns"), poorly = json::whole(body, "poorly");
-    if (runner_ && settings_.throttle) runner_->patients(txns, poorly);
+    const int requests = json::whole(body, "txns"), unsuccessful = json::whole(body, "poorly");
+    if (runner_ && settings_.throttle) runner_->client_outcomes(requests, unsuccessful);
     asked.exchange->answer(http::json_answer(200, "{}"));
   });
 }
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -74,8 +74,8 @@
 }
 
 void Clients::send(const load::Try& one) {
-  const auto& product = day_.deployment.products[one.product];
-  const deployment::Match& match = product.matches.front();
+  const auto& request_class = day_.deployment.request_classes[one.request_class];
+  const deployment::Match& match = request_class.matches.front();
   http::Request request;
   request.method = match.method;
   request.target = match.prefix ? match.path + "?n=" + std::to_string(one.id) : match.path;
@@ -111,12 +111,12 @@
   if (how == http::Ended::timed_out) end = load::End::timed_out;
   if (how == http::Ended::cancelled) end = load::End::left;
   if (how == http::Ended::answered)
-    end = said == "settled"    ? load::End::settled
-          : said == "declined" ? load::End::declined
-          : said == "voided"   ? load::End::voided
-                               : load::End::not_taken;
+    end = said == "settled"    ? load::End::succeeded
+          : said == "declined" ? load::End::rejected
+          : said == "voided"   ? load::End::failed
+                               : load::End::rejected_before_routing;
   bool right = true;
-  if (end == load::End::settled && response.body.find("\"right\":false") != std::string::npos) right = false;
+  if (end == load::End::succeeded && response.body.find("\"right\":false") != std::string::npos) right = false;
   const std::string node(response.headers.get("Robinhoist-Node"));
   auto pause = settings::number_of(std::string(response.headers.get("Robinhoist-Retry-After-Ms")));
   const std::string umpire = "umpire-" + std::to_string(one.umpire);
@@ -128,7 +128,7 @@
        .id = one.id,
        .first = one.first,
        .number = one.number,
-       .product = one.product,
+       .request_class = one.request_class,
        .tenant = one.tenant,
        .umpire = umpire,
        .key = one.key,
@@ -139,7 +139,7 @@
        .node = node,
        .build = settings::number_of(std::string(response.headers.get("Robinhoist-Build"))).value_or(-1),
        .right = right});
-  if (end == load::End::settled) {
+  if (end == load::End::succeeded) {
     const double chance = std::uniform_real_distribution<double>(0, 1)(chance_);
     if (chance < (right ? day_.false_reports : day_.deployment.flag_share))
       loop_.in(day_.reports_least + seconds(std::uniform_real_distribution<double>(0, 1)(chance_) *
--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -120,35 +120,35 @@
                                      {"bursty", load::Shape::bursty}},
                                     load::Shape::steady);
   to.swing = form.number("swing", 0, 0.95, 0.0);
-  to.products.resize(day.deployment.products.size());
-  std::vector<bool> given(to.products.size(), false);
+  to.request_classes.resize(day.deployment.request_classes.size());
+  std::vector<bool> given(to.request_classes.size(), false);
   double sum = 0;
   for (Form& one : form.each("product", 1)) {
-    const int p = day.deployment.product(one.own_word(0, "a product"));
+    const int p = day.deployment.request_class(one.own_word(0, "a product"));
     if (p < 0 || given[p]) {
       one.problem(p < 0 ? "is none of the deployment's products" : "given twice");
       continue;
     }
     given[p] = true;
-    load::Product& product = to.products[p];
-    sum += product.share = one.number("share", 0, 1);
-    product.work = one.span("work", 1us, 1h);
-    product.spread = one.word<load::Spread>(
+    load::RequestClass& request_class = to.request_classes[p];
+    sum += request_class.share = one.number("share", 0, 1);
+    request_class.work = one.span("work", 1us, 1h);
+    request_class.spread = one.word<load::Spread>(
         "spread", {{"exponential", load::Spread::exponential}, {"lognormal", load::Spread::lognormal}},
         load::Spread::exponential);
-    product.cv = one.number("cv", 0.01, 20, 1.0);
+    request_class.cv = one.number("cv", 0.01, 20, 1.0);
     one.finish();
   }
-  for (std::size_t p = 0; p < to.products.size(); ++p) {
-    const Product& of = day.deployment.products[p].product;
-    if (!given[p]) form.problem("product " + day.deployment.products[p].name + " is missing");
-    to.products[p].expiry = of.expiry;
-    to.products[p].memory = of.memory;
-    to.products[p].keyed = of.effect == Effect::referenced;
-    to.products[p].repeats = of.effect == Effect::inquiry ? load::Repeats::always
-                             : of.effect == Effect::referenced && of.group == Group::all
+  for (std::size_t p = 0; p < to.request_classes.size(); ++p) {
+    const RequestClass& of = day.deployment.request_classes[p].request_class;
+    if (!given[p]) form.problem("product " + day.deployment.request_classes[p].name + " is missing");
+    to.request_classes[p].deadline = of.deadline;
+    to.request_classes[p].dedup_window = of.dedup_window;
+    to.request_classes[p].keyed = of.idempotency == Idempotency::idempotent_with_key;
+    to.request_classes[p].repeats = of.idempotency == Idempotency::idempotent ? load::Repeats::always
+                             : of.idempotency == Idempotency::idempotent_with_key && of.dedup_scope == DedupScope::all
                                  ? load::Repeats::within_memory
-                                 : load::Repeats::only_declined;
+                                 : load::Repeats::only_rejected;
   }
   if (sum < 0.999 || sum > 1.001)
     form.problem("the products' shares must add up to 1, not " + std::to_string(sum));
--- a/src/day/record_meta.cpp
+++ b/src/day/record_meta.cpp
@@ -5,10 +5,10 @@
 record::Meta meta_of(const Day& day, long seed) {
   record::Meta meta;
   const auto& d = day.deployment;
-  for (auto& product : d.products)
-    meta.products.push_back({product.name, product.product.sla, product.product.expiry,
-                             product.product.memory, product.product.effect, product.product.group,
-                             product.product.revenue});
+  for (auto& request_class : d.request_classes)
+    meta.request_classes.push_back({request_class.name, request_class.request_class.latency_objective, request_class.request_class.deadline,
+                             request_class.request_class.dedup_window, request_class.request_class.idempotency, request_class.request_class.dedup_scope,
+                             request_class.request_class.priority_weight});
   for (auto& tenant : d.tenants) meta.tenants.push_back(tenant.name);
   meta.caps = d.rollout.caps;
   meta.length = day.length;
@@ -20,7 +20,7 @@
   meta.free = d.free;
   meta.fall_multiple = d.fall_multiple;
   meta.cold_from = d.cold_from;
-  meta.by_product = d.by_product;
+  meta.by_request_class = d.by_request_class;
   meta.safe_only_stages = d.safe_only_stages;
   meta.umpires = d.umpires;
   meta.nodes = day.places;
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -26,9 +26,9 @@
              record::Writer& nodes, record::Writer& told, const std::string& folder, record::Writer* database)
     : loop_(loop), day_(day), log_(log), told_(told), chance_(salt), folder_(folder) {
   standin::Shared shared;
-  for (auto& product : day.deployment.products)
-    shared.memory = std::max(shared.memory, product.product.memory);
-  for (auto& product : day.load.products) shared.work.push_back(product.work);
+  for (auto& request_class : day.deployment.request_classes)
+    shared.memory = std::max(shared.memory, request_class.request_class.dedup_window);
+  for (auto& request_class : day.load.request_classes) shared.work.push_back(request_class.work);
   shared.cancelled = day.cancelled;
   nodes_ = std::make_unique<standin::Nodes>(loop, day.deployment, shared, salt + 1, &nodes);
   nodes_->way = [this](const std::string& umpire, const std::string& zone) {
--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -9,25 +9,25 @@
 using namespace std::chrono_literals;
 using settings::Form;
 
-NamedProduct read_product(Form form) {
-  NamedProduct named;
+NamedRequestClass read_request_class(Form form) {
+  NamedRequestClass named;
   named.name = form.own_word(0, "a name");
-  Product& product = named.product;
-  product.sla = form.span("sla", 1ms, 10min);
-  product.expiry = form.span("expiry", 1ms, 10min);
-  product.revenue = form.number("revenue", 0, 1e6, 1.0);
-  product.late_share = form.number("late-share", 0, 1, 0.0);
-  product.effect = form.word<Effect>(
+  RequestClass& request_class = named.request_class;
+  request_class.latency_objective = form.span("sla", 1ms, 10min);
+  request_class.deadline = form.span("expiry", 1ms, 10min);
+  request_class.priority_weight = form.number("revenue", 0, 1e6, 1.0);
+  request_class.late_weight_share = form.number("late-share", 0, 1, 0.0);
+  request_class.idempotency = form.word<Idempotency>(
       "effect",
-      {{"inquiry", Effect::inquiry}, {"referenced", Effect::referenced}, {"once-only", Effect::once_only}});
-  product.group = form.word<Group>(
-      "group", {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}}, Group::all);
-  product.memory = form.span("memory", 0ms, 24h, 0ms);
-  product.stream = false;
-  if (product.expiry < product.sla) form.problem("expiry", "is shorter than the SLA time");
-  if (product.effect == Effect::referenced && product.memory == Span{})
+      {{"inquiry", Idempotency::idempotent}, {"referenced", Idempotency::idempotent_with_key}, {"once-only", Idempotency::non_idempotent}});
+  request_class.dedup_scope = form.word<DedupScope>(
+      "group", {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}}, DedupScope::all);
+  request_class.dedup_window = form.span("memory", 0ms, 24h, 0ms);
+  request_class.stream = false;
+  if (request_class.deadline < request_class.latency_objective) form.problem("expiry", "is shorter than the SLA time");
+  if (request_class.idempotency == Idempotency::idempotent_with_key && request_class.dedup_window == Span{})
     form.problem("memory is missing: a referenced product needs the time for which nodes drop its repeats");
-  if (product.effect != Effect::referenced && form.has("memory"))
+  if (request_class.idempotency != Idempotency::idempotent_with_key && form.has("memory"))
     form.problem("memory", "has a meaning for a referenced product only");
   for (Form& match : form.each("match", 1)) {
     Match one{match.own_word(0, "a method"), match.own_word(1, "a path"), false};
@@ -52,11 +52,11 @@
   to.fall_window = form.span("fall-window", 1ms, 10min);
   to.window = form.span("exposure-window", 1ms, 10min);
   to.free = form.number("exposure-free", 0, 1000);
-  to.by_product = form.word<bool>("exposure-counts", {{"all", false}, {"each-product", true}}, false);
+  to.by_request_class = form.word<bool>("exposure-counts", {{"all", false}, {"each-product", true}}, false);
   to.one_way = form.truth("one-way", false);
   to.safe_only_stages = form.whole("safe-only-waves", 0, 100, 0);
-  to.max_submissions = form.whole("max-submissions", 1, 100, 5);
-  to.second_copies = form.truth("second-copies", true);
+  to.max_attempts = form.whole("max-submissions", 1, 100, 5);
+  to.hedging = form.truth("second-copies", true);
   to.advice = form.truth("advice", true);
   to.max_pause = form.span("max-pause", 0ms, 10min, 2s);
   form.finish();
@@ -102,9 +102,9 @@
 Deployment read(Form form) {
   Deployment to;
   std::set<std::string> names;
-  for (Form& product : form.each("product", 1)) {
-    to.products.push_back(read_product(product));
-    if (!names.insert(to.products.back().name).second) product.problem("a second product of that name");
+  for (Form& request_class : form.each("product", 1)) {
+    to.request_classes.push_back(read_request_class(request_class));
+    if (!names.insert(to.request_classes.back().name).second) request_class.problem("a second product of that name");
   }
   names.clear();
   for (Form& tenant : form.each("tenant")) {
@@ -124,7 +124,7 @@
   }
   to.umpires = form.whole("umpires", 1, 100000);
   to.sized = form.truth("sized-nodes", false);
-  to.over_share_revenue = form.number("over-share-revenue", 0, 1, 1.0);
+  to.over_quota_weight = form.number("over-share-revenue", 0, 1, 1.0);
   to.reports = form.word<Reports>("load-reports", {{"none", Reports::none}, {"answers", Reports::answers}},
                                   Reports::answers);
   read_rules(form.sub("rules"), to);
@@ -133,18 +133,18 @@
   return to;
 }
 
-int Deployment::product_of(std::string_view method, std::string_view path) const {
-  for (std::size_t p = 0; p < products.size(); ++p)
-    for (const Match& match : products[p].matches)
+int Deployment::match_request_class(std::string_view method, std::string_view path) const {
+  for (std::size_t p = 0; p < request_classes.size(); ++p)
+    for (const Match& match : request_classes[p].matches)
       if (match.method == method &&
           (match.prefix ? path.substr(0, match.path.size()) == match.path : path == match.path))
         return static_cast<int>(p);
   return -1;
 }
 
-int Deployment::product(const std::string& name) const {
-  for (std::size_t p = 0; p < products.size(); ++p)
-    if (products[p].name == name) return static_cast<int>(p);
+int Deployment::request_class(const std::string& name) const {
+  for (std::size_t p = 0; p < request_classes.size(); ++p)
+    if (request_classes[p].name == name) return static_cast<int>(p);
   return -1;
 }
 
@@ -176,7 +176,7 @@
 }
 
 ExposureSettings exposure_settings(const Deployment& d) {
-  return {d.window, d.free, d.by_product, d.one_way, d.rollout.in_place, d.safe_only_stages, d.rollout.caps};
+  return {d.window, d.free, d.by_request_class, d.one_way, d.rollout.in_place, d.safe_only_stages, d.rollout.caps};
 }
 
 GateSettings gate_settings(const Deployment& d) {
@@ -196,19 +196,19 @@
           votes(d.rollout.to_revert)};
 }
 
-TxnSettings txn_settings(const Deployment& d, Span tick) {
-  TxnSettings to{};
-  for (auto& product : d.products) to.products.push_back(product.product);
+RequestSettings request_settings(const Deployment& d, Span tick) {
+  RequestSettings to{};
+  for (auto& request_class : d.request_classes) to.request_classes.push_back(request_class.request_class);
   for (auto& tenant : d.tenants) to.tenants.push_back(tenant.tenant);
-  to.max_submissions = d.max_submissions;
+  to.max_attempts = d.max_attempts;
   to.umpires = d.umpires;
-  to.second_copies = d.second_copies;
+  to.hedging = d.hedging;
   to.cancelling = true;
   to.advice = d.advice;
   to.max_pause = d.max_pause;
   to.slack = Span{};
   to.tick = tick;
-  to.over_share_revenue = d.over_share_revenue;
+  to.over_quota_weight = d.over_quota_weight;
   return to;
 }
 
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -16,9 +16,9 @@
   bool prefix;
 };
 
-struct NamedProduct {
+struct NamedRequestClass {
   std::string name{};
-  Product product{};
+  RequestClass request_class{};
   std::vector<Match> matches{};
 };
 
@@ -28,26 +28,26 @@
 };
 
 struct Deployment {
-  std::vector<NamedProduct> products{};
+  std::vector<NamedRequestClass> request_classes{};
   std::vector<NamedTenant> tenants{};
   std::vector<std::string> zones{};
   int umpires = 1;
   // Figures of the rules.
   Span drain_grace{}, cold_for{}, fall_window{}, window{};
   double cold_from = 0, fall_multiple = 0, free = 0;
-  bool by_product = false, one_way = false;
+  bool by_request_class = false, one_way = false;
   int safe_only_stages = 0;
   // What is allowed.
-  int max_submissions = 0;
-  bool second_copies = false, sized = false, advice = false;
+  int max_attempts = 0;
+  bool hedging = false, sized = false, advice = false;
   Span max_pause{}, vote_timeout{};
-  double flag_share = 0, over_share_revenue = 0;
+  double flag_share = 0, over_quota_weight = 0;
   Reports reports = Reports::none;
   rollout::Settings rollout{};
 
   // -1: no product takes it.
-  int product_of(std::string_view method, std::string_view path) const;
-  int product(const std::string& name) const;
+  int match_request_class(std::string_view method, std::string_view path) const;
+  int request_class(const std::string& name) const;
   int tenant(std::string_view name) const;  // -1: unknown
   int zone(std::string_view name) const;    // -1: unknown
 };
@@ -59,6 +59,6 @@
 NodeSettings node_settings(const Deployment& deployment, int zone, int number);
 ExposureSettings exposure_settings(const Deployment& deployment);
 GateSettings gate_settings(const Deployment& deployment);
-TxnSettings txn_settings(const Deployment& deployment, Span tick);
+RequestSettings request_settings(const Deployment& deployment, Span tick);
 
 }  // namespace robinhoist::deployment
--- a/src/emulator/fleet.cpp
+++ b/src/emulator/fleet.cpp
@@ -49,12 +49,12 @@
 
 void Fleet::note(const Box& box, const char* what, const Sent& sent, std::int64_t id) {
   if (!record_) return;
-  const std::string txn = "umpire-" + std::to_string(sent.umpire) + "." + std::to_string(sent.txn),
-                    submission = std::to_string(sent.submission), try_id = std::to_string(sent.try_id),
+  const std::string request_id = "umpire-" + std::to_string(sent.umpire) + "." + std::to_string(sent.request_id),
+                    attempt = std::to_string(sent.attempt), try_id = std::to_string(sent.try_id),
                     work = std::to_string(sent.work.count());
   record::node_met(
       *record_, engine_.now(), what,
-      {box.spec.name, box.spec.build.number, id, sent.product, txn, submission, try_id, sent.key, work});
+      {box.spec.name, box.spec.build.number, id, sent.request_class, request_id, attempt, try_id, sent.key, work});
 }
 
 void Fleet::arrive(int index, const Sent& sent) {
@@ -77,10 +77,10 @@
     note(box, "poison", sent, id);
     return answered(sent.id, {.is = Answer::Is::failed});
   }
-  machine::Work work{.id = id, .product = sent.product, .work = sent.work, .key = {}, .effect = false};
-  const Effect effect = deployment_.products[sent.product].product.effect;
-  work.effect = effect != Effect::inquiry;
-  if (effect == Effect::referenced) work.key = sent.key;
+  machine::Work work{.id = id, .request_class = sent.request_class, .work = sent.work, .key = {}, .effect = false};
+  const Idempotency idempotency = deployment_.request_classes[sent.request_class].request_class.idempotency;
+  work.effect = idempotency != Idempotency::idempotent;
+  if (idempotency == Idempotency::idempotent_with_key) work.key = sent.key;
   const bool was_fallen = box.machine.fallen();
   const machine::Entry entry = box.machine.arrive(work, engine_.now());
   if (!was_fallen && box.machine.fallen()) note(box, "fell", sent, id);
@@ -95,14 +95,14 @@
     return answered(sent.id, {.is = Answer::Is::full});
   }
   note(box, "taken", sent, id);
-  box.open[id] = {sent.id, sent.product, there.by + (sent.first ? box.handshake : Span{})};
+  box.open[id] = {sent.id, sent.request_class, there.by + (sent.first ? box.handshake : Span{})};
   box.work_of[sent.id] = id;
   plan(index);
 }
 
-void Fleet::gone(int index, std::uint64_t submission) {
+void Fleet::gone(int index, std::uint64_t attempt) {
   Box& box = *boxes_[index];
-  auto at = box.work_of.find(submission);
+  auto at = box.work_of.find(attempt);
   if (!box.runs || at == box.work_of.end()) return;
   const std::int64_t id = at->second;
   box.work_of.erase(at);
--- a/src/emulator/fleet.h
+++ b/src/emulator/fleet.h
@@ -18,8 +18,8 @@
 // One submission on its way. Ids are indices; names are made for the record alone.
 struct Sent {
   std::uint64_t id = 0;  // of the umpires' book of submissions
-  int umpire = 0, product = 0, submission = 0;
-  long txn = 0;
+  int umpire = 0, request_class = 0, attempt = 0;
+  long request_id = 0;
   std::int64_t try_id = 0;
   Span work{};
   std::string key{};
@@ -43,7 +43,7 @@
 
 class Fleet {
  public:
-  using Answered = std::function<void(std::uint64_t submission, const Answer& answer)>;
+  using Answered = std::function<void(std::uint64_t attempt, const Answer& answer)>;
   Fleet(Engine& engine, const deployment::Deployment& deployment, Span memory, machine::Cancelled cancelled,
         unsigned salt, record::Writer* record);
 
@@ -85,7 +85,7 @@
  private:
   struct Open {
     std::uint64_t id;
-    int product;
+    int request_class;
     Span by;
   };
   struct Box {
--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -11,22 +11,22 @@
 class Module : public Policy {
  public:
   Module(unsigned salt, const NodeSettings& nodes, const ExposureSettings& exposure, const GateSettings& gate,
-         const TxnSettings& txns)
-      : umpire_(salt, nodes, exposure, gate, txns) {}
+         const RequestSettings& requests)
+      : umpire_(salt, nodes, exposure, gate, requests) {}
   void list_news(ListNews kind, const std::vector<NodeNews>& entries, Span now) override {
     umpire_.list_news(kind, entries, now);
   }
-  void txn_arrived(const Arrival& txn, Span now) override { umpire_.txn_arrived(txn, now); }
-  void submission_ended(int txn, int submission, Outcome outcome, bool settled, const Load& load,
+  void request_arrived(const RequestInfo& request, Span now) override { umpire_.request_arrived(request, now); }
+  void attempt_ended(int request, int attempt, Outcome outcome, bool succeeded, const Load& load,
                         Span now) override {
-    umpire_.submission_ended(txn, submission, outcome, settled, load, now);
+    umpire_.attempt_ended(request, attempt, outcome, succeeded, load, now);
   }
-  void txn_left(int txn) override { umpire_.txn_left(txn); }
+  void client_disconnected(int request) override { umpire_.client_disconnected(request); }
   void release_news(const RelNews& rel, Span now) override { umpire_.release_news(rel, now); }
   void vote_answered(Outcome outcome, Span now) override { umpire_.vote_answered(outcome, now); }
   void answer_flagged(int node) override { umpire_.answer_flagged(node); }
   std::optional<Decision> next(Span now) override { return umpire_.next(now); }
-  bool knows(int txn) const override { return umpire_.knows(txn); }
+  bool knows(int request) const override { return umpire_.knows(request); }
 
  private:
   Umpire umpire_;
@@ -47,23 +47,23 @@
       else nodes_.erase(one.node);
     }
   }
-  void txn_arrived(const Arrival& txn, Span) override {
-    txns_[txn.txn] = {.asked = txn};
-    ready_.push_back(txn.txn);
+  void request_arrived(const RequestInfo& request, Span) override {
+    requests_[request.request_id] = {.asked = request};
+    ready_.push_back(request.request_id);
   }
-  void submission_ended(int txn, int, Outcome outcome, bool settled, const Load&, Span now) override {
-    auto at = txns_.find(txn);
-    if (at == txns_.end()) return;
+  void attempt_ended(int request, int, Outcome outcome, bool succeeded, const Load&, Span now) override {
+    auto at = requests_.find(request);
+    if (at == requests_.end()) return;
     --out_[at->second.node];
     if (rel_ && at->second.build == rel_->build && rel_->phase == RelPhase::trial)
       trial_.emplace_back(now, outcome != Outcome::ok);
-    if (settled || at->second.left) txns_.erase(at);
-    else ended_.push_back(txn);
+    if (succeeded || at->second.left) requests_.erase(at);
+    else ended_.push_back(request);
   }
-  void txn_left(int txn) override {
-    auto at = txns_.find(txn);
-    if (at == txns_.end()) return;
-    if (at->second.node < 0) txns_.erase(at);
+  void client_disconnected(int request) override {
+    auto at = requests_.find(request);
+    if (at == requests_.end()) return;
+    if (at->second.node < 0) requests_.erase(at);
     else at->second.left = true;
   }
   void release_news(const RelNews& rel, Span) override {
@@ -75,36 +75,36 @@
   }
   void vote_answered(Outcome outcome, Span) override { voted_ = voted_ && outcome == Outcome::ok; }
   void answer_flagged(int) override {}
-  bool knows(int txn) const override { return txns_.count(txn) > 0; }
+  bool knows(int request) const override { return requests_.count(request) > 0; }
 
   std::optional<Decision> next(Span now) override {
     while (!ready_.empty()) {
       const int id = ready_.front();
       ready_.pop_front();
-      auto at = txns_.find(id);
-      if (at == txns_.end()) continue;
+      auto at = requests_.find(id);
+      if (at == requests_.end()) continue;
       const int node = choose();
       if (node < 0) {
-        txns_.erase(at);
-        return Decision{.action = Action::give_up, .txn = id};
+        requests_.erase(at);
+        return Decision{.action = Action::fail, .request_id = id};
       }
       at->second.node = node;
       at->second.build = nodes_.at(node);
       ++out_[node];
-      return Decision{.action = Action::submit, .txn = id, .node = node};
+      return Decision{.action = Action::forward, .request_id = id, .node = node};
     }
     if (!ended_.empty()) {
       const int id = ended_.front();
       ended_.pop_front();
-      txns_.erase(id);
-      return Decision{.action = Action::give_up, .txn = id};
+      requests_.erase(id);
+      return Decision{.action = Action::fail, .request_id = id};
     }
     return vote(now);
   }
 
  private:
   struct Held {
-    Arrival asked{};
+    RequestInfo asked{};
     int node = -1, build = -1;
     bool left = false;
   };
@@ -148,7 +148,7 @@
   Chance chance_;
   std::map<int, int> nodes_{};  // build, by node
   std::map<int, int> out_{};
-  std::unordered_map<int, Held> txns_{};
+  std::unordered_map<int, Held> requests_{};
   std::deque<int> ready_{}, ended_{};
   std::deque<std::pair<Span, bool>> trial_{};
   std::optional<RelNews> rel_{};
@@ -176,8 +176,8 @@
 
 std::unique_ptr<Policy> make_policy(const PolicySpec& spec, unsigned salt, const NodeSettings& nodes,
                                     const ExposureSettings& exposure, const GateSettings& gate,
-                                    const TxnSettings& txns) {
-  if (spec.route == Route::module) return std::make_unique<Module>(salt, nodes, exposure, gate, txns);
+                                    const RequestSettings& requests) {
+  if (spec.route == Route::module) return std::make_unique<Module>(salt, nodes, exposure, gate, requests);
   return std::make_unique<Baseline>(spec, salt);
 }
 
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -12,15 +12,15 @@
  public:
   virtual ~Policy() = default;
   virtual void list_news(ListNews kind, const std::vector<NodeNews>& entries, Span now) = 0;
-  virtual void txn_arrived(const Arrival& txn, Span now) = 0;
-  virtual void submission_ended(int txn, int submission, Outcome outcome, bool settled, const Load& load,
+  virtual void request_arrived(const RequestInfo& request, Span now) = 0;
+  virtual void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded, const Load& load,
                                 Span now) = 0;
-  virtual void txn_left(int txn) = 0;
+  virtual void client_disconnected(int request_id) = 0;
   virtual void release_news(const RelNews& rel, Span now) = 0;
   virtual void vote_answered(Outcome outcome, Span now) = 0;
   virtual void answer_flagged(int node) = 0;
   virtual std::optional<Decision> next(Span now) = 0;
-  virtual bool knows(int txn) const = 0;
+  virtual bool knows(int request_id) const = 0;
 };
 
 enum class Route { module, random, round_robin, least_requests };
@@ -37,6 +37,6 @@
 
 std::unique_ptr<Policy> make_policy(const PolicySpec& spec, unsigned salt, const NodeSettings& nodes,
                                     const ExposureSettings& exposure, const GateSettings& gate,
-                                    const TxnSettings& txns);
+                                    const RequestSettings& requests);
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -68,8 +68,8 @@
   // Clients.
   void pull_load();
   void send(const load::Try& one);
-  void answer(std::int64_t id, const Settled& how);
-  void ended(load::Try one, load::End end, const Settled& how);
+  void answer(std::int64_t id, const FinalAnswer& how);
+  void ended(load::Try one, load::End end, const FinalAnswer& how);
   // Umpires and troubles.
   void start_umpire(int u);
   void kill_umpire(int u);
@@ -146,7 +146,7 @@
           engine_, day.deployment,
           [&] {
             Span most{};
-            for (auto& product : day.deployment.products) most = std::max(most, product.product.memory);
+            for (auto& request_class : day.deployment.request_classes) most = std::max(most, request_class.request_class.dedup_window);
             return most;
           }(),
           day.cancelled, static_cast<unsigned>(seed * 2 + 2), nodes_.get()),
@@ -160,7 +160,7 @@
       if (!umpire.up() || umpire.life() != life) return;
       const Outcome outcome = answer.is == Answer::Is::well     ? Outcome::ok
                               : answer.is == Answer::Is::failed ? Outcome::error
-                              : answer.is == Answer::Is::full   ? Outcome::full
+                              : answer.is == Answer::Is::full   ? Outcome::rejected
                                                                 : Outcome::reset;
       umpire.ended(id, outcome, answer);
     });
@@ -188,7 +188,7 @@
     settings.salt = static_cast<unsigned>(1 + (seed * 7919 + u) % 2000000000);
     settings.policy = policy;
     UmpireHost::Ways ways;
-    ways.answer = [this](std::int64_t id, const Settled& how) {
+    ways.answer = [this](std::int64_t id, const FinalAnswer& how) {
       engine_.in(network_.way(), [this, id, how] { answer(id, how); });
     };
     ways.vote = [this](int from, int build, int stage, Verdict verdict) {
@@ -423,7 +423,7 @@
       if (umpires_[u]->life() == life) umpires_[u]->vote_answered(outcome);
     });
   };
-  if (!core_) return back(2 * network_.way(), Outcome::no_connection);
+  if (!core_) return back(2 * network_.way(), Outcome::connect_failure);
   engine_.in(network_.way(), [this, u, build, stage, verdict, back] {
     if (!core_) return back(network_.way(), Outcome::reset);
     const bool counts = !errors_ && (!silent_ || draw() < counted_);
@@ -470,7 +470,7 @@
   ++summary_.tries;
   if (one.number == 0) {
     ++summary_.asked;
-    summary_.revenue_most += day_.deployment.products[one.product].product.revenue;
+    summary_.max_weight += day_.deployment.request_classes[one.request_class].request_class.priority_weight;
   }
   Open& open = open_[one.id];
   open.one = one;
@@ -511,33 +511,33 @@
   });
 }
 
-void Run::answer(std::int64_t id, const Settled& how) {
+void Run::answer(std::int64_t id, const FinalAnswer& how) {
   auto at = open_.find(id);
   if (at == open_.end()) return;
   ended(at->second.one, how.end, how);
 }
 
 // By value: what it came from goes with it.
-void Run::ended(load::Try one, load::End end, const Settled& how) {
+void Run::ended(load::Try one, load::End end, const FinalAnswer& how) {
   auto at = open_.find(one.id);
   if (at == open_.end()) return;
   engine_.cancel(at->second.gives_up);
   engine_.cancel(at->second.leaves);
   open_.erase(at);
-  const auto& product = day_.deployment.products[one.product].product;
+  const auto& request_class = day_.deployment.request_classes[one.request_class].request_class;
   const Span took = engine_.now() - from_ - one.at;
   switch (end) {
-    case load::End::settled:
-      ++summary_.settled;
+    case load::End::succeeded:
+      ++summary_.succeeded;
       summary_.wrong += !how.right;
       summary_.took_ms.push_back(static_cast<double>(took.count()) / 1e3);
-      if (how.right) summary_.revenue += product.revenue * (took <= product.sla ? 1 : product.late_share);
+      if (how.right) summary_.priority_weight += request_class.priority_weight * (took <= request_class.latency_objective ? 1 : request_class.late_weight_share);
       break;
-    case load::End::declined:
-      ++summary_.declined;
+    case load::End::rejected:
+      ++summary_.rejected;
       break;
-    case load::End::voided:
-      ++summary_.voided;
+    case load::End::failed:
+      ++summary_.failed;
       break;
     case load::End::unreached:
       ++summary_.unreached;
@@ -551,7 +551,7 @@
     case load::End::timed_out:
       ++summary_.timed_out;
       break;
-    case load::End::not_taken:
+    case load::End::rejected_before_routing:
       break;
   }
   if (clients_)
@@ -561,7 +561,7 @@
                               .id = one.id,
                               .first = one.first,
                               .number = one.number,
-                              .product = one.product,
+                              .request_class = one.request_class,
                               .tenant = one.tenant,
                               .umpire = name_of(one.umpire),
                               .key = one.key,
@@ -572,7 +572,7 @@
                               .node = how.box < 0 ? std::string_view() : fleet_.spec(how.box).name,
                               .build = how.box < 0 ? -1.0 : fleet_.spec(how.box).build.number,
                               .right = how.right});
-  if (end == load::End::settled && draw() < (how.right ? day_.false_reports : day_.deployment.flag_share))
+  if (end == load::End::succeeded && draw() < (how.right ? day_.false_reports : day_.deployment.flag_share))
     engine_.in(drawn(day_.reports_least, day_.reports_most),
                [this, u = one.umpire, box = how.box] { umpires_[u]->found_wrong(box); });
   load_.ended(one.id, end, how.stay_away, day_now());
@@ -753,7 +753,7 @@
   engine_.run(end);
   while (!load_.over() && engine_.now() < end + over_most && engine_.step(end + over_most)) {}
   for (std::size_t u = 0; u < umpires_.size(); ++u) {
-    summary_.submissions += umpires_[u]->submissions();
+    summary_.attempts += umpires_[u]->attempts();
     summary_.decisions += umpires_[u]->decisions();
     if (umpires_[u]->up()) life(static_cast<int>(u), "stopped");
   }
--- a/src/emulator/run.h
+++ b/src/emulator/run.h
@@ -15,9 +15,9 @@
 
 // What is counted on the way, without a record.
 struct Summary {
-  long asked = 0, tries = 0, settled = 0, wrong = 0, declined = 0, voided = 0, unreached = 0, broken = 0,
-       left = 0, timed_out = 0, submissions = 0, votes = 0;
-  double revenue = 0, revenue_most = 0;  // in time and right, of all that was asked
+  long asked = 0, tries = 0, succeeded = 0, wrong = 0, rejected = 0, failed = 0, unreached = 0, broken = 0,
+       left = 0, timed_out = 0, attempts = 0, votes = 0;
+  double priority_weight = 0, max_weight = 0;  // in time and right, of all that was asked
   std::vector<double> took_ms{};         // of settled tries, all
   struct Verdict {
     Span at;
--- a/src/emulator/umpire.cpp
+++ b/src/emulator/umpire.cpp
@@ -22,19 +22,19 @@
 UmpireHost::UmpireHost(Engine& engine, const deployment::Deployment& deployment,
                        const UmpireSettings& settings, Fleet& fleet, Network& network, Ways ways)
     : engine_(engine), deployment_(deployment), settings_(settings), fleet_(fleet), network_(network),
-      ways_(std::move(ways)), next_submission_(static_cast<std::uint64_t>(settings.number) << 40) {}
+      ways_(std::move(ways)), next_attempt_id_(static_cast<std::uint64_t>(settings.number) << 40) {}
 
 void UmpireHost::start() {
   ++life_;
   born_ = engine_.now();
-  last_txn_ = 0;
+  last_request_id_ = 0;
   heard_release_ = false;
   peers_.clear();
   peer_index_.clear();
   umpire_ = make_policy(settings_.policy, settings_.salt,
                         deployment::node_settings(deployment_, settings_.zone, settings_.number),
                         deployment::exposure_settings(deployment_), deployment::gate_settings(deployment_),
-                        deployment::txn_settings(deployment_, tick));
+                        deployment::request_settings(deployment_, tick));
   std::vector<list::Entry> saved;
   for (auto& [name, entry] : listed_) saved.push_back(entry);
   if (!saved.empty()) list(saved, true, true);
@@ -44,48 +44,48 @@
 void UmpireHost::kill() {
   if (!up()) return;
   engine_.cancel(wake_);
-  for (auto& [id, held] : txns_)
-    for (Out& out : held.outs) {
+  for (auto& [id, in_flight] : requests_)
+    for (InFlightAttempt& out : in_flight.attempts) {
       engine_.cancel(out.timer);
       if (!out.ended) fleet_.gone(out.box, out.id);
     }
   for (Peer& peer : peers_)
     if (peer.box >= 0) fleet_.connections(peer.box) -= peer.idle + peer.busy;
-  txns_.clear();
-  txn_of_.clear();
-  submission_.clear();
+  requests_.clear();
+  request_of_.clear();
+  attempt_of_.clear();
   umpire_.reset();
 }
 
 void UmpireHost::take(const load::Try& one, Span until) {
-  const auto& product = deployment_.products[one.product].product;
-  Arrival txn{};
-  txn.product = one.product;
-  txn.tenant = deployment_.tenants.empty() ? 0 : one.tenant;
-  txn.key = one.key;
-  const Span remaining = std::min(std::max(Span(1), until - one.at), product.expiry);
-  txn.expiry = local() + remaining - settings_.reserve;
-  txn.txn = last_txn_ = last_txn_ + 1;
-  Held held;
-  held.one = one;
-  held.expiry = txn.expiry;
-  held.until = until;
-  txns_.emplace(txn.txn, std::move(held));
-  txn_of_[one.id] = txn.txn;
-  umpire_->txn_arrived(txn, local());
+  const auto& request_class = deployment_.request_classes[one.request_class].request_class;
+  RequestInfo request{};
+  request.request_class = one.request_class;
+  request.tenant = deployment_.tenants.empty() ? 0 : one.tenant;
+  request.key = one.key;
+  const Span remaining = std::min(std::max(Span(1), until - one.at), request_class.deadline);
+  request.deadline = local() + remaining - settings_.reserve;
+  request.request_id = last_request_id_ = last_request_id_ + 1;
+  InFlightRequest in_flight;
+  in_flight.one = one;
+  in_flight.deadline = request.deadline;
+  in_flight.until = until;
+  requests_.emplace(request.request_id, std::move(in_flight));
+  request_of_[one.id] = request.request_id;
+  umpire_->request_arrived(request, local());
   pull();
 }
 
 void UmpireHost::left(std::int64_t try_id) {
-  auto at = txn_of_.find(try_id);
-  if (at == txn_of_.end()) return;
-  const int txn = at->second;
-  Held& held = txns_.at(txn);
-  if (held.answered) return;
-  held.answered = true;
-  txn_of_.erase(at);
-  umpire_->txn_left(txn);
-  forget(txn);
+  auto at = request_of_.find(try_id);
+  if (at == request_of_.end()) return;
+  const int request_id = at->second;
+  InFlightRequest& in_flight = requests_.at(request_id);
+  if (in_flight.answered) return;
+  in_flight.answered = true;
+  request_of_.erase(at);
+  umpire_->client_disconnected(request_id);
+  forget(request_id);
   // The router pulls with its next input or wake-up; so does this.
 }
 
@@ -176,29 +176,29 @@
 
 void UmpireHost::carry_out(const Decision& decision) {
   switch (decision.action) {
-    case Action::submit:
-      submit(decision);
+    case Action::forward:
+      forward(decision);
       break;
-    case Action::decline: {
-      Held& held = txns_.at(decision.txn);
-      finish(held, {.end = load::End::declined,
+    case Action::reject: {
+      InFlightRequest& in_flight = requests_.at(decision.request_id);
+      finish(in_flight, {.end = load::End::rejected,
                     .status = 503,
-                    .why = held.outs.empty() ? "no-room" : rollout::word(held.last),
+                    .why = in_flight.attempts.empty() ? "no-room" : rollout::word(in_flight.last),
                     .stay_away = decision.span});
-      forget(decision.txn);
+      forget(decision.request_id);
       break;
     }
-    case Action::give_up: {
-      Held& held = txns_.at(decision.txn);
-      const bool late = held.outs.empty() || held.last == Outcome::timeout;
-      finish(held, {.end = load::End::voided,
+    case Action::fail: {
+      InFlightRequest& in_flight = requests_.at(decision.request_id);
+      const bool late = in_flight.attempts.empty() || in_flight.last == Outcome::timeout;
+      finish(in_flight, {.end = load::End::failed,
                     .status = late ? 504 : 502,
-                    .why = held.outs.empty() ? "expired" : rollout::word(held.last)});
-      forget(decision.txn);
+                    .why = in_flight.attempts.empty() ? "expired" : rollout::word(in_flight.last)});
+      forget(decision.request_id);
       break;
     }
     case Action::cancel: {
-      Out& out = txns_.at(decision.txn).outs.at(decision.submission);
+      InFlightAttempt& out = requests_.at(decision.request_id).attempts.at(decision.attempt);
       if (out.ended) break;
       out.cancelled = true;
       engine_.cancel(out.timer);
@@ -234,15 +234,15 @@
   }
 }
 
-void UmpireHost::submit(const Decision& decision) {
-  Held& held = txns_.at(decision.txn);
-  const std::size_t index = held.outs.size();
+void UmpireHost::forward(const Decision& decision) {
+  InFlightRequest& in_flight = requests_.at(decision.request_id);
+  const std::size_t index = in_flight.attempts.size();
   Peer& peer = peers_[decision.node];
-  ++submissions_;
-  const std::uint64_t id = ++next_submission_;
-  held.outs.push_back({id, peer.box, decision.node});
-  submission_[id] = {decision.txn, index};
-  Span within = std::max(Span(1), held.expiry - local());
+  ++attempt_count_;
+  const std::uint64_t id = ++next_attempt_id_;
+  in_flight.attempts.push_back({id, peer.box, decision.node});
+  attempt_of_[id] = {decision.request_id, index};
+  Span within = std::max(Span(1), in_flight.deadline - local());
   if (decision.span > Span{}) within = std::min(within, decision.span);
   const auto fails = [&](Span after, Outcome outcome) {
     engine_.in(after, [this, id, outcome, life = life_] {
@@ -251,57 +251,57 @@
   };
   Sent sent{.id = id,
             .umpire = settings_.number,
-            .product = held.one.product,
-            .submission = static_cast<int>(index),
-            .txn = decision.txn,
-            .try_id = held.one.id,
-            .work = held.one.work,
-            .key = held.one.key,
-            .poison = held.one.poison};
+            .request_class = in_flight.one.request_class,
+            .attempt = static_cast<int>(index),
+            .request_id = decision.request_id,
+            .try_id = in_flight.one.id,
+            .work = in_flight.one.work,
+            .key = in_flight.one.key,
+            .poison = in_flight.one.poison};
   const Span there = network_.way();
   if (peer.idle > 0) {
     --peer.idle;
     ++peer.busy;
   } else {
     if (peer.busy >= settings_.connections_a_box) {
-      held.outs[index].peer = -1;
-      return fails(Span{}, Outcome::no_connection);
+      in_flight.attempts[index].peer = -1;
+      return fails(Span{}, Outcome::connect_failure);
     }
     // A new one: refused where nobody listens, closed at once where there are too many.
     if (!fleet_.runs(peer.box)) {
-      held.outs[index].peer = -1;
-      return fails(2 * there, Outcome::no_connection);
+      in_flight.attempts[index].peer = -1;
+      return fails(2 * there, Outcome::connect_failure);
     }
     const int most = fleet_.most_connections(peer.box);
     if (most > 0 && fleet_.connections(peer.box) >= most) {
-      held.outs[index].peer = -1;
+      in_flight.attempts[index].peer = -1;
       return fails(2 * there, Outcome::reset);
     }
     ++peer.busy;
     ++fleet_.connections(peer.box);
     sent.first = true;
   }
-  held.outs[index].timer = engine_.in(within, [this, id] {
-    auto at = submission_.find(id);
-    if (at == submission_.end()) return;
-    const int box = txns_.at(at->second.first).outs[at->second.second].box;
+  in_flight.attempts[index].timer = engine_.in(within, [this, id] {
+    auto at = attempt_of_.find(id);
+    if (at == attempt_of_.end()) return;
+    const int box = requests_.at(at->second.first).attempts[at->second.second].box;
     engine_.in(network_.way(), [this, box, id] { fleet_.gone(box, id); });
     ended(id, Outcome::timeout, {});
   });
   // A connection takes a way there and back before the request goes.
   engine_.in(sent.first ? 3 * there : there, [this, box = peer.box, id, life = life_, first = sent.first] {
     if (life != life_ || !up()) return;
-    auto at = submission_.find(id);
-    if (at == submission_.end()) return;
-    const auto [txn, place] = at->second;
-    const Held& of = txns_.at(txn);
-    if (of.outs[place].ended || of.outs[place].cancelled) return;
+    auto at = attempt_of_.find(id);
+    if (at == attempt_of_.end()) return;
+    const auto [request_id, place] = at->second;
+    const InFlightRequest& of = requests_.at(request_id);
+    if (of.attempts[place].ended || of.attempts[place].cancelled) return;
     if (!fleet_.runs(box)) return ended(id, Outcome::reset, {});
     fleet_.arrive(box, {.id = id,
                         .umpire = settings_.number,
-                        .product = of.one.product,
-                        .submission = static_cast<int>(place),
-                        .txn = txn,
+                        .request_class = of.one.request_class,
+                        .attempt = static_cast<int>(place),
+                        .request_id = request_id,
                         .try_id = of.one.id,
                         .work = of.one.work,
                         .key = of.one.key,
@@ -311,24 +311,24 @@
 }
 
 void UmpireHost::ended(std::uint64_t id, Outcome outcome, const Answer& answer) {
-  auto at = submission_.find(id);
-  if (at == submission_.end()) return;
-  const auto [txn, index] = at->second;
-  submission_ended(txn, index, outcome, answer);
+  auto at = attempt_of_.find(id);
+  if (at == attempt_of_.end()) return;
+  const auto [request_id, index] = at->second;
+  attempt_ended(request_id, index, outcome, answer);
 }
 
-void UmpireHost::submission_ended(int txn, std::size_t index, Outcome outcome, const Answer& answer) {
-  Held& held = txns_.at(txn);
-  Out& out = held.outs[index];
+void UmpireHost::attempt_ended(int request_id, std::size_t index, Outcome outcome, const Answer& answer) {
+  InFlightRequest& in_flight = requests_.at(request_id);
+  InFlightAttempt& out = in_flight.attempts[index];
   if (out.ended) return;
   out.ended = true;
   engine_.cancel(out.timer);
-  submission_.erase(out.id);
+  attempt_of_.erase(out.id);
   if (out.peer >= 0) {
     Peer& peer = peers_[out.peer];
     --peer.busy;
     // Kept open after an answer; gone with anything else.
-    const bool keeps = outcome == Outcome::ok || outcome == Outcome::error || outcome == Outcome::full;
+    const bool keeps = outcome == Outcome::ok || outcome == Outcome::error || outcome == Outcome::rejected;
     const int most = fleet_.most_connections(peer.box);
     if (fleet_.runs(peer.box)) {
       if (keeps && peer.phase != NodePhase::out && (most == 0 || fleet_.connections(peer.box) <= most))
@@ -336,19 +336,19 @@
       else --fleet_.connections(peer.box);
     }
   }
-  held.last = outcome;
+  in_flight.last = outcome;
   Load load;
   if (answer.held >= 0) {
     load.busy = answer.busy;
     load.held = answer.held;
   }
-  const bool answers = outcome == Outcome::ok && !held.answered;
-  umpire_->submission_ended(txn, static_cast<int>(index), outcome, held.answered || answers, load, local());
+  const bool answers = outcome == Outcome::ok && !in_flight.answered;
+  umpire_->attempt_ended(request_id, static_cast<int>(index), outcome, in_flight.answered || answers, load, local());
   if (answers)
     finish(
-        held,
-        {.end = load::End::settled, .status = 200, .why = "answered", .box = out.box, .right = answer.right});
-  forget(txn);
+        in_flight,
+        {.end = load::End::succeeded, .status = 200, .why = "answered", .box = out.box, .right = answer.right});
+  forget(request_id);
   pull();
 }
 
@@ -357,8 +357,8 @@
   for (Peer& peer : peers_)
     if (peer.box == box) peer.idle = 0;
   std::vector<std::uint64_t> broken;
-  for (auto& [id, where] : submission_)
-    if (txns_.at(where.first).outs[where.second].box == box) broken.push_back(id);
+  for (auto& [id, where] : attempt_of_)
+    if (requests_.at(where.first).attempts[where.second].box == box) broken.push_back(id);
   std::sort(broken.begin(), broken.end());
   for (std::uint64_t id : broken)
     engine_.in(network_.way(), [this, id, life = life_] {
@@ -366,16 +366,16 @@
     });
 }
 
-void UmpireHost::finish(Held& held, Settled how) {
-  if (held.answered) return;
-  held.answered = true;
-  txn_of_.erase(held.one.id);
-  ways_.answer(held.one.id, how);
+void UmpireHost::finish(InFlightRequest& in_flight, FinalAnswer how) {
+  if (in_flight.answered) return;
+  in_flight.answered = true;
+  request_of_.erase(in_flight.one.id);
+  ways_.answer(in_flight.one.id, how);
 }
 
-void UmpireHost::forget(int txn) {
-  auto at = txns_.find(txn);
-  if (at != txns_.end() && at->second.answered && !umpire_->knows(txn)) txns_.erase(at);
+void UmpireHost::forget(int request_id) {
+  auto at = requests_.find(request_id);
+  if (at != requests_.end() && at->second.answered && !umpire_->knows(request_id)) requests_.erase(at);
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/umpire.h
+++ b/src/emulator/umpire.h
@@ -15,8 +15,8 @@
 
 namespace robinhoist::emulator {
 
-struct Settled {
-  load::End end = load::End::settled;
+struct FinalAnswer {
+  load::End end = load::End::succeeded;
   int status = 200;
   const char* why = "";
   int box = -1;
@@ -35,7 +35,7 @@
 class UmpireHost {
  public:
   struct Ways {
-    std::function<void(std::int64_t try_id, const Settled&)> answer;  // leaves the umpire now
+    std::function<void(std::int64_t try_id, const FinalAnswer&)> answer;  // leaves the umpire now
     std::function<void(int umpire, int build, int stage, Verdict verdict)> vote;
     std::function<void(int umpire)> refresh;             // the whole list, please
     std::function<int(const std::string& name)> box_of;  // -1: none of that name
@@ -59,23 +59,23 @@
   void ended(std::uint64_t id, Outcome outcome, const Answer& answer);
   void box_killed(int box);
 
-  std::size_t held() const { return txns_.size(); }
-  long submissions() const { return submissions_; }
+  std::size_t held() const { return requests_.size(); }
+  long attempts() const { return attempt_count_; }
   long decisions() const { return decisions_; }
 
  private:
-  struct Out {
+  struct InFlightAttempt {
     std::uint64_t id;
     int box, peer;
     bool ended = false, cancelled = false;
     Engine::Id timer{};
   };
-  struct Held {
+  struct InFlightRequest {
     load::Try one{};
-    Span expiry{}, until{};
-    std::vector<Out> outs{};
+    Span deadline{}, until{};
+    std::vector<InFlightAttempt> attempts{};
     bool answered = false;
-    Outcome last = Outcome::moot;
+    Outcome last = Outcome::obsolete;
   };
   struct Peer {  // a box as the module numbers it
     int box = -1;
@@ -86,10 +86,10 @@
   Span local() const { return engine_.now() - born_; }
   void pull();
   void carry_out(const Decision& decision);
-  void submit(const Decision& decision);
-  void submission_ended(int txn, std::size_t index, Outcome outcome, const Answer& answer);
-  void finish(Held& held, Settled how);
-  void forget(int txn);
+  void forward(const Decision& decision);
+  void attempt_ended(int request_id, std::size_t index, Outcome outcome, const Answer& answer);
+  void finish(InFlightRequest& in_flight, FinalAnswer how);
+  void forget(int request_id);
   int peer_of(const list::Entry& entry);
 
   Engine& engine_;
@@ -104,14 +104,14 @@
   std::vector<Peer> peers_{};
   std::map<std::string, int> peer_index_{};
   std::map<std::string, list::Entry> listed_{};
-  std::unordered_map<int, Held> txns_{};
-  std::unordered_map<std::int64_t, int> txn_of_{};                               // by try
-  std::unordered_map<std::uint64_t, std::pair<int, std::size_t>> submission_{};  // txn and index
-  int last_txn_ = 0;
+  std::unordered_map<int, InFlightRequest> requests_{};
+  std::unordered_map<std::int64_t, int> request_of_{};                               // by try
+  std::unordered_map<std::uint64_t, std::pair<int, std::size_t>> attempt_of_{};  // txn and index
+  int last_request_id_ = 0;
   bool heard_release_ = false, pulling_ = false;
   Engine::Id wake_{};
-  std::uint64_t next_submission_ = 0;
-  long submissions_ = 0, decisions_ = 0;
+  std::uint64_t next_attempt_id_ = 0;
+  long attempt_count_ = 0, decisions_ = 0;
 };
 
 }  // namespace robinhoist::emulator
--- a/src/figures.h
+++ b/src/figures.h
@@ -58,14 +58,14 @@
     failed += sample.failed;
     lost += sample.lost && beside;
   }
-  void time(double log_ratio, double sla_part) {
+  void time(double log_ratio, double objective_ratio) {
     timed += 1;
     sum += log_ratio;
     squares += log_ratio * log_ratio;
-    whole += std::log(std::clamp(sla_part, 0.001, 10.0));
+    whole += std::log(std::clamp(objective_ratio, 0.001, 10.0));
   }
   double mean() const { return sum / timed; }
-  double mean_sla_part() const { return whole / timed; }
+  double mean_log_objective_ratio() const { return whole / timed; }
   double doubt() const { return std::max(0.0, squares / timed - mean() * mean()) / timed; }
 };
 
--- a/src/lab/hunt.cpp
+++ b/src/lab/hunt.cpp
@@ -103,7 +103,7 @@
   Found found;
   found.troubles = std::move(troubles);
   const emulator::Summary summary = emulator::run(day, seed, folder);
-  found.revenue = summary.revenue_most > 0 ? 100 * summary.revenue / summary.revenue_most : 100;
+  found.priority_weight = summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 100;
   audit::Report report = audit::check(folder);
   if (!report.kept()) {
     std::istringstream lines(audit::shown(report));
@@ -178,10 +178,10 @@
   }
   // Shrinking: whatever can be left out or made smaller while the day stays as bad, give or take a twentieth
   // of the loss.
-  const double bad_enough = 100 - 0.95 * (100 - worst.revenue);
+  const double bad_enough = 100 - 0.95 * (100 - worst.priority_weight);
   const bool breaks = !worst.broken.empty();
   const auto still = [&](const Found& one) {
-    return breaks ? !one.broken.empty() : one.revenue <= bad_enough;
+    return breaks ? !one.broken.empty() : one.priority_weight <= bad_enough;
   };
   for (bool smaller = true; smaller && runs < settings.runs;) {
     smaller = false;
--- a/src/lab/hunt.h
+++ b/src/lab/hunt.h
@@ -18,12 +18,12 @@
 
 struct Found {
   std::vector<day::Trouble> troubles{};
-  double revenue = 100;  // % in time
+  double priority_weight = 100;  // % in time
   std::string broken{};  // the rules, if any, with the first case
   int runs = 0;
   bool worse_than(const Found& other) const {
     if (broken.empty() != other.broken.empty()) return !broken.empty();
-    return revenue < other.revenue;
+    return priority_weight < other.priority_weight;
   }
 };
 
--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -178,10 +178,10 @@
   const emulator::Summary summary = emulator::run(cell.day, seed, "", {}, cell.policy);
   Values values;
   const double tries = std::max(1.0, static_cast<double>(summary.tries));
-  values["revenue"] = summary.revenue_most > 0 ? 100 * summary.revenue / summary.revenue_most : 0;
-  values["declined"] = 100 * static_cast<double>(summary.declined) / tries;
-  values["voided"] = 100 * static_cast<double>(summary.voided) / tries;
-  values["submissions"] = static_cast<double>(summary.submissions) / tries;
+  values["revenue"] = summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 0;
+  values["declined"] = 100 * static_cast<double>(summary.rejected) / tries;
+  values["voided"] = 100 * static_cast<double>(summary.failed) / tries;
+  values["submissions"] = static_cast<double>(summary.attempts) / tries;
   if (!summary.took_ms.empty()) {
     values["p50"] = quantile(summary.took_ms, 0.5);
     values["p99"] = quantile(summary.took_ms, 0.99);
--- a/src/load/load.cpp
+++ b/src/load/load.cpp
@@ -54,9 +54,9 @@
   one.id = one.first = next_id_++;
   one.at = now;
   double at = draw();
-  for (std::size_t p = 0; p < settings_.products.size(); ++p) {
-    one.product = static_cast<int>(p);
-    if ((at -= settings_.products[p].share) < 0) break;
+  for (std::size_t p = 0; p < settings_.request_classes.size(); ++p) {
+    one.request_class = static_cast<int>(p);
+    if ((at -= settings_.request_classes[p].share) < 0) break;
   }
   at = draw();
   for (std::size_t t = 0; t < settings_.tenants.size(); ++t) {
@@ -67,16 +67,16 @@
     one.poison = true;
     if (poison_tenant_ >= 0) one.tenant = poison_tenant_;
   }
-  const Product& product = settings_.products[one.product];
-  const double mean = seconds(product.work);
-  if (product.spread == Spread::exponential) {
+  const RequestClass& request_class = settings_.request_classes[one.request_class];
+  const double mean = seconds(request_class.work);
+  if (request_class.spread == Spread::exponential) {
     one.work = span(boost::random::exponential_distribution<double>(1 / std::max(1e-6, mean))(chance_));
   } else {
-    const double sigma2 = std::log(1 + product.cv * product.cv);
+    const double sigma2 = std::log(1 + request_class.cv * request_class.cv);
     one.work = span(boost::random::lognormal_distribution<double>(std::log(std::max(1e-6, mean)) - sigma2 / 2,
                                                                   std::sqrt(sigma2))(chance_));
   }
-  if (product.keyed) one.key = "k" + std::to_string(chance_()) + "-" + std::to_string(one.id);
+  if (request_class.keyed) one.key = "k" + std::to_string(chance_()) + "-" + std::to_string(one.id);
   return one;
 }
 
@@ -89,10 +89,10 @@
     for (int u = 0; u < settings_.umpires; ++u) known.push_back(u);
   if (hot_share_ > 0 && draw() < hot_share_) known = hot_;
   one.umpire = known[static_cast<std::size_t>(draw() * static_cast<double>(known.size()))];
-  const Product& product = settings_.products[one.product];
+  const RequestClass& request_class = settings_.request_classes[one.request_class];
   double part = settings_.patience_least + draw() * (settings_.patience_most - settings_.patience_least);
   if (one.tenant == abuse_tenant_ && abuse_tries_ > 0) part = abuse_patience_;
-  one.until = now + span(seconds(product.expiry) * part);
+  one.until = now + span(seconds(request_class.deadline) * part);
   one.leaves = draw() < settings_.leaves ? now + span(seconds(one.until - now) * draw()) : Span{};
 }
 
@@ -127,15 +127,15 @@
   if (found == open_.end()) return;
   const Open open = found->second;
   open_.erase(found);
-  const Product& product = settings_.products[open.one.product];
-  const bool never_ran = end == End::declined || end == End::not_taken || end == End::unreached;
+  const RequestClass& request_class = settings_.request_classes[open.one.request_class];
+  const bool never_ran = end == End::rejected || end == End::rejected_before_routing || end == End::unreached;
   bool again =
-      end != End::settled && end != End::left && open.one.number < open.retries && end != End::not_taken;
+      end != End::succeeded && end != End::left && open.one.number < open.retries && end != End::rejected_before_routing;
   if (again && !never_ran) {
     // A referenced txn may come again while its repeats are dropped, counted from its first try.
-    if (product.repeats == Repeats::only_declined) again = false;
-    if (product.repeats == Repeats::within_memory)
-      again = product.memory > Span{} && now + product.expiry < open.first_at + product.memory;
+    if (request_class.repeats == Repeats::only_rejected) again = false;
+    if (request_class.repeats == Repeats::within_memory)
+      again = request_class.dedup_window > Span{} && now + request_class.deadline < open.first_at + request_class.dedup_window;
   }
   const bool abused = open.one.tenant == abuse_tenant_ && abuse_tries_ > 0;
   Span wait{};
@@ -149,8 +149,8 @@
   // A client has only so much time over all its tries, and a keyed one only while the mark holds.
   const Span at = now + wait;
   if (!again ||
-      (product.repeats == Repeats::within_memory && at + product.expiry >= open.first_at + product.memory) ||
-      (!abused && at >= open.first_at + product.expiry * (1 + open.retries))) {
+      (request_class.repeats == Repeats::within_memory && at + request_class.deadline >= open.first_at + request_class.dedup_window) ||
+      (!abused && at >= open.first_at + request_class.deadline * (1 + open.retries))) {
     first_at_.erase(open.one.first);
     return;
   }
--- a/src/load/load.h
+++ b/src/load/load.h
@@ -21,11 +21,11 @@
 enum class Shape { steady, wave, ramp, bursty };
 enum class Spread { exponential, lognormal };
 enum class Pause { none, fixed, growing };
-enum class Repeats { always, within_memory, only_declined };
+enum class Repeats { always, within_memory, only_rejected };
 
-struct Product {
+struct RequestClass {
   double share = 1;
-  Span work{}, expiry{}, memory{};
+  Span work{}, deadline{}, dedup_window{};
   Spread spread = Spread::exponential;
   double cv = 1;  // of a lognormal spread
   Repeats repeats = Repeats::always;
@@ -37,7 +37,7 @@
   Shape shape = Shape::steady;
   double swing = 0;  // of the rate, up and down
   Span length{};
-  std::vector<Product> products{};
+  std::vector<RequestClass> request_classes{};
   std::vector<double> tenants{1};  // shares
   int umpires = 1, retries = 0;
   double patience_least = 1, patience_most = 1;  // of the expiry, for one try
@@ -50,7 +50,7 @@
 
 struct Try {
   std::int64_t id = 0, first = 0;  // of the txn's first try
-  int number = 0, product = 0, tenant = 0, umpire = 0;
+  int number = 0, request_class = 0, tenant = 0, umpire = 0;
   Span at{}, until{};  // sent, and when its client gives this try up
   Span leaves{};       // 0, or when it hangs up before
   Span work{};
@@ -58,7 +58,7 @@
   bool poison = false;  // fails wherever it goes
 };
 
-enum class End { settled, declined, voided, not_taken, unreached, broken, timed_out, left };
+enum class End { succeeded, rejected, failed, rejected_before_routing, unreached, broken, timed_out, left };
 const char* word(End end);
 
 class Load {
@@ -79,7 +79,7 @@
   void burst(double times) { burst_ = times; }
   void hot(std::vector<int> umpires, double share);
   void poison(int tenant, double share);                         // on top of the usual; 0: over
-  void abuse(int tenant, int tries, double patience_of_expiry);  // 0 tries: over
+  void abuse(int tenant, int tries, double patience_of_deadline);  // 0 tries: over
 
  private:
   struct Later {
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -25,8 +25,8 @@
 constexpr Span ask_pause_least = 400ms, ask_pause_most = 3s;
 }  // namespace
 
-Nodes::Nodes(const NodeSettings& settings, const std::vector<Product>& products)
-    : settings_(settings), products_(products), took_(products.size(), Spread(took_kept)), per_hint_(took_),
+Nodes::Nodes(const NodeSettings& settings, const std::vector<RequestClass>& request_classes)
+    : settings_(settings), request_classes_(request_classes), took_(request_classes.size(), Spread(took_kept)), per_hint_(took_),
       sent_(sent_kept), refused_(sent_kept), ask_pause_(ask_pause_least) {}
 
 void Nodes::news(ListNews kind, const std::vector<NodeNews>& entries, Span now) {
@@ -86,16 +86,16 @@
   nodes_[n].cold_sent = now;
 }
 
-void Nodes::ended(const Submission& submission, Outcome outcome, const Arrival& txn, Span now) {
-  Node& node = nodes_[submission.node];
-  auto at = std::find(node.out.begin(), node.out.end(), submission.sent);
+void Nodes::ended(const Attempt& attempt, Outcome outcome, const RequestInfo& request, Span now) {
+  Node& node = nodes_[attempt.node];
+  auto at = std::find(node.out.begin(), node.out.end(), attempt.sent);
   if (at != node.out.end()) node.out.erase(at);
-  Span took = now - submission.sent;
-  bool unheard = node.heard_at < submission.sent && took > patience();
-  if (outcome == Outcome::moot || (outcome == Outcome::cancelled && !unheard)) return;
+  Span took = now - attempt.sent;
+  bool unheard = node.heard_at < attempt.sent && took > patience();
+  if (outcome == Outcome::obsolete || (outcome == Outcome::cancelled && !unheard)) return;
   // A connection that broke is no silence: something there has ended it. A dead process refuses the next.
   if (lost(outcome) || outcome == Outcome::cancelled) {
-    if (node.heard_at < submission.sent && outcome != Outcome::reset) {
+    if (node.heard_at < attempt.sent && outcome != Outcome::reset) {
       ++node.dead_run;
       node.dead_at = now;
     }
@@ -104,23 +104,23 @@
     node.dead_run = 0;
     node.heard_at = now;
   }
-  refused_.push(outcome == Outcome::no_connection);
+  refused_.push(outcome == Outcome::connect_failure);
   squeezed_ = count(refused_) > std::max(2.0, refused_part * refused_.size());
-  node.full_run = outcome == Outcome::full ? node.full_run + 1 : 0;
-  if (outcome == Outcome::full) return void(node.full_at = now);
+  node.full_run = outcome == Outcome::rejected ? node.full_run + 1 : 0;
+  if (outcome == Outcome::rejected) return void(node.full_at = now);
   // A late answer of a node that answers others is a matter of load, not of health.
-  bool well = outcome == Outcome::ok || (outcome == Outcome::timeout && node.heard_at >= submission.sent);
-  node.results.push({now, well, ratio(txn.product, took, txn.hint_ms), took, submission.in_hand,
+  bool well = outcome == Outcome::ok || (outcome == Outcome::timeout && node.heard_at >= attempt.sent);
+  node.results.push({now, well, ratio(request.request_class, took, request.cost_hint_ms), took, attempt.in_hand,
                      outcome != Outcome::error});
   node.lately.reset();
   if (outcome != Outcome::ok) return;
   // What one warm node carries: those gone since count too, else a fleet being swapped looks far more able.
-  if (warmth(submission.node, submission.sent) < 1) return;
-  settled_.push_back({now, submission.node});
-  ++node.settled;
-  while (settled_.front().first < now - settings_.fall_window) {
-    --nodes_[settled_.front().second].settled;
-    settled_.pop_front();
+  if (warmth(attempt.node, attempt.sent) < 1) return;
+  successes_.push_back({now, attempt.node});
+  ++node.succeeded;
+  while (successes_.front().first < now - settings_.fall_window) {
+    --nodes_[successes_.front().second].succeeded;
+    successes_.pop_front();
   }
   warm_asked_ = now;
 }
@@ -130,26 +130,26 @@
   if (!warm_asked_) return warm_;
   warm_ = 0;
   for (int n = 0; n < static_cast<int>(nodes_.size()); ++n)
-    warm_ += nodes_[n].settled > 0 || (open(n) && warmth(n, *warm_asked_) >= 1);
+    warm_ += nodes_[n].succeeded > 0 || (open(n) && warmth(n, *warm_asked_) >= 1);
   warm_asked_.reset();
   return warm_;
 }
 
-void Nodes::learn(int product, Span took, double hint_ms) {
-  took_[product].push(millis(took));
-  if (hint_ms > 0) per_hint_[product].push(millis(took) / hint_ms);
+void Nodes::learn(int request_class, Span took, double cost_hint_ms) {
+  took_[request_class].push(millis(took));
+  if (cost_hint_ms > 0) per_hint_[request_class].push(millis(took) / cost_hint_ms);
 }
 
-double Nodes::usual_ms(int product, double part) {
-  return took_[product].empty() ? millis(products_[product].sla) / 4 : took_[product].at(part);
+double Nodes::usual_ms(int request_class, double part) {
+  return took_[request_class].empty() ? millis(request_classes_[request_class].latency_objective) / 4 : took_[request_class].at(part);
 }
 
-double Nodes::ratio(int product, Span took, double hint_ms) {
-  if (hint_ms <= 0 || per_hint_[product].empty()) return millis(took) / usual_ms(product, 0.5);
-  return millis(took) / hint_ms / per_hint_[product].at(0.5);
+double Nodes::ratio(int request_class, Span took, double cost_hint_ms) {
+  if (cost_hint_ms <= 0 || per_hint_[request_class].empty()) return millis(took) / usual_ms(request_class, 0.5);
+  return millis(took) / cost_hint_ms / per_hint_[request_class].at(0.5);
 }
 
-double Nodes::sla_part(int product, Span took) const { return millis(took) / millis(products_[product].sla); }
+double Nodes::objective_ratio(int request_class, Span took) const { return millis(took) / millis(request_classes_[request_class].latency_objective); }
 void Nodes::report(int n, const Load& load, Span now) {
   if (load.held || load.busy) nodes_[n].load = load, nodes_[n].load_at = now;
 }
@@ -157,8 +157,8 @@
 // The longest that an answer may keep us waiting before its node is taken to be silent.
 Span Nodes::patience() {
   double most = 0;
-  for (int p = 0; p < static_cast<int>(products_.size()); ++p)
-    most = std::max(most, std::max(2 * usual_ms(p, 0.95), millis(products_[p].sla) / 2));
+  for (int p = 0; p < static_cast<int>(request_classes_.size()); ++p)
+    most = std::max(most, std::max(2 * usual_ms(p, 0.95), millis(request_classes_[p].latency_objective) / 2));
   return from_millis(most);
 }
 
@@ -172,7 +172,7 @@
   double then = warmth(n, std::max({node.started, node.back_at, now - settings_.fall_window / 2}));
   double ring = static_cast<double>(rings_[node.build == newest_][near(n)].size());
   double reached_by = std::min(1.0, reach(now) / std::max(1.0, ring));
-  double most = cold_margin * settings_.fall_multiple * then * node.size * settled_.size() /
+  double most = cold_margin * settings_.fall_multiple * then * node.size * successes_.size() /
                 (std::max(1, warm()) * reached_by);
   most = std::max(most, std::min(1.0, cold_least / (settings_.umpires * reached_by)));
   if (most >= 1) return node.sends.size() + 1 <= most;
@@ -323,15 +323,15 @@
 
 // Exposure
 
-Exposure::Exposure(const ExposureSettings& settings, int products, Span tick)
-    : settings_(settings), tick_(tick), counts_(settings.by_product ? products : 1) {}
+Exposure::Exposure(const ExposureSettings& settings, int request_classes, Span tick)
+    : settings_(settings), tick_(tick), counts_(settings.by_request_class ? request_classes : 1) {}
 
 void Exposure::news(const RelNews& rel) {
   if (rel.phase == RelPhase::going_back || rel.phase == RelPhase::withdrawn) moved_keys_.clear();
   rel_ = rel;
 }
 
-Exposure::Count& Exposure::count(int product) { return counts_[settings_.by_product ? product : 0]; }
+Exposure::Count& Exposure::count(int request_class) { return counts_[settings_.by_request_class ? request_class : 0]; }
 
 // Sends are kept a tick longer than txns taken, so that either way of reading the window's ends holds.
 void Exposure::trim(Count& count, Span now) const {
@@ -340,9 +340,9 @@
   while (!count.sent.empty() && count.sent.front() < now - settings_.window - tick_) count.sent.pop_front();
 }
 
-void Exposure::taken(int product, Span now) {
-  count(product).taken.push_back(now);
-  trim(count(product), now);
+void Exposure::taken(int request_class, Span now) {
+  count(request_class).taken.push_back(now);
+  trim(count(request_class), now);
 }
 
 void Exposure::answered(const std::string& key, int build) {
@@ -359,17 +359,17 @@
   return rel_->phase == RelPhase::trial ? rel_->cap : 0;
 }
 
-bool Exposure::allows(const Arrival& txn, int build, Effect effect, Span now) {
-  if (settings_.one_way && !txn.key.empty()) {
-    auto moved = moved_keys_.find(txn.key);
+bool Exposure::allows(const RequestInfo& request, int build, Idempotency idempotency, Span now) {
+  if (settings_.one_way && !request.key.empty()) {
+    auto moved = moved_keys_.find(request.key);
     if (moved != moved_keys_.end() && build < moved->second) return false;
   }
   if (!on_trial(build)) return true;
   double most = cap(build);
   if (most <= 0) return false;
   int stage = build > rel_->build ? 0 : rel_->stage;
-  if (effect != Effect::inquiry && stage < settings_.safe_only_stages) return false;
-  Count& of = count(txn.product);
+  if (idempotency != Idempotency::idempotent && stage < settings_.safe_only_stages) return false;
+  Count& of = count(request.request_class);
   trim(of, now);
   return of.sent.size() + 1 <= settings_.free + most * of.taken.size();
 }
@@ -377,7 +377,7 @@
 // Trial
 namespace {
 constexpr std::size_t fresh_kept = 600, older_kept = 800, fleet_enough = 30;
-constexpr double least_submissions = 10;  // the source's minimum before a stage is judged
+constexpr double min_attempts = 10;  // the source's minimum before a stage is judged
 constexpr double most_compared = 0.9;  // of the cap: beyond, the older machines are idle or on their way out
 constexpr Span same_time = 2s;         // outcomes of both builds are compared in spans of this
 constexpr Span least_window = 4s;      // from the latest start in the stage
@@ -397,8 +397,8 @@
 bool poorly(const Counts& c) { return c.n >= 3 && c.failed + c.lost >= std::max(2.0, 0.12 * c.n); }
 }  // namespace
 
-Trial::Trial(const GateSettings& settings, int products)
-    : settings_(settings), products_(products), fresh_(fresh_kept), older_(older_kept),
+Trial::Trial(const GateSettings& settings, int request_classes)
+    : settings_(settings), request_classes_(request_classes), fresh_(fresh_kept), older_(older_kept),
       level_(beyond_chance) {
   // Where many votes must stand, one umpire may be less sure: their number guards against a false alarm. It
   // would not if all erred alike, so there is a most.
@@ -422,7 +422,7 @@
     if (many_votes()) condemned_ = {};  // false alarms of many umpires would add up over the stages
     // What is too little to judge a stage by is carried into the next: else quiet umpires never see enough.
     bool next = rel_ && rel_->build == rel.build && rel.phase == RelPhase::trial;
-    if (!next || !many_votes() || fresh_.size() >= least_submissions) {
+    if (!next || !many_votes() || fresh_.size() >= min_attempts) {
       fresh_.clear();
       counted_from_ = stage_at_;
     }
@@ -440,7 +440,7 @@
 
 void Trial::tally(Arm& arm, const Samples<Sample>& samples, Span from,
                   const std::function<bool(const Sample&)>& skip, Arm* beside) const {
-  arm.by_product.resize(products_);
+  arm.by_request_class.resize(request_classes_);
   for (std::size_t i = 0; i < samples.size(); ++i) {
     const Sample& sample = samples.back(i);
     if (sample.at < from) break;
@@ -451,12 +451,12 @@
     bool near = !beside || then.n >= 3;
     double usual = beside && then.timed > 0 ? then.sum / then.timed : 0;
     double log_ratio = std::log(std::clamp(sample.ratio, 0.05, 20.0)) - usual;
-    for (Counts* counts : {&arm.by_node[sample.node], &arm.by_product[sample.product],
+    for (Counts* counts : {&arm.by_node[sample.node], &arm.by_request_class[sample.request_class],
                            &arm.by_tenant[sample.tenant], &arm.by_time[time], &arm.all}) {
       counts->add(sample, near, near ? (then.failed + then.lost) / std::max(1.0, then.n) : 0);
-      if (sample.warm && (!beside || then.timed >= 3)) counts->time(log_ratio, sample.sla_part);
+      if (sample.warm && (!beside || then.timed >= 3)) counts->time(log_ratio, sample.objective_ratio);
     }
-    if (sample.warm) arm.sla_parts.push_back(sample.sla_part);
+    if (sample.warm) arm.objective_ratios.push_back(sample.objective_ratio);
   }
 }
 
@@ -476,9 +476,9 @@
   for (auto& [node, counts] : fleet.by_node) {
     if (counts.timed < 2) continue;
     ++seen;
-    slow += counts.mean_sla_part() > *usual_part_ + slower / 2;
+    slow += counts.mean_log_objective_ratio() > *usual_part_ + slower / 2;
   }
-  return fleet.all.mean_sla_part() > *usual_part_ + slower && 5 * slow >= 4 * seen;
+  return fleet.all.mean_log_objective_ratio() > *usual_part_ + slower && 5 * slow >= 4 * seen;
 }
 
 // A build that turns bad with age does so first at the machines of its earlier waves, and few as they are,
@@ -526,13 +526,13 @@
     Arm before;
     tally(before, older_, since(older_, now - shared_window), nobody);
     bool known = before.all.timed >= answers_enough() && load > 0;
-    double part = known ? before.all.mean_sla_part() : 0;
+    double part = known ? before.all.mean_log_objective_ratio() : 0;
     if (rel_->stage == 0 && known) usual_load_ = load, usual_part_ = part;
     // Slow before the build had much traffic: something else is going on.
     if (rel_->stage == 1 && usual_part_ && part > *usual_part_ + std::log(shared_before)) usual_part_.reset();
   }
   look_at_fleet_ = false;
-  if (fresh_.size() < least_submissions / 2 || !(compared || many_votes()) ||
+  if (fresh_.size() < min_attempts / 2 || !(compared || many_votes()) ||
       !shared_harm(load, compared, now))
     slow_from_ = now;
   if (now - slow_from_ >= 2 * shared_window) return condemn(figures("all slower; load", load, usual_load_));
@@ -546,7 +546,7 @@
       left_out.insert(tenant);
   auto skip = [&](const Sample& sample) { return left_out.count(sample.tenant) > 0; };
   tally(old, older_, counted_from_, skip);
-  if (old.all.n < 2 * least_submissions) {
+  if (old.all.n < 2 * min_attempts) {
     old = {};
     tally(old, older_, long_ago, skip);
   }
@@ -583,7 +583,7 @@
     double luck = tail(failed, std::max(usual * c.n, beside * c.due));
     doubtful |= failed >= 2 && luck < 0.03;
     // Before the minimum only failures far beyond chance: the routing would soon leave such a build alone.
-    double chance = c.n >= least_submissions ? level_ : level_ / 10;
+    double chance = c.n >= min_attempts ? level_ : level_ / 10;
     bool many =
         beside ? failed >= 3 && failed > failure_threshold * c.n
                : wide && failed >= flood_least && failed > flood_threshold / (many_votes() ? 2 : 1) * c.n;
@@ -591,10 +591,10 @@
   };
   if (failing(young.all, old.all))
     return condemn(figures("failures", young.all.failed + young.all.lost, young.all.n));
-  for (int p = 0; p < products_; ++p)
-    if (failing(young.by_product[p], old.by_product[p]))
-      return condemn(figures("failures of a product", young.by_product[p].failed + young.by_product[p].lost,
-                             young.by_product[p].n));
+  for (int p = 0; p < request_classes_; ++p)
+    if (failing(young.by_request_class[p], old.by_request_class[p]))
+      return condemn(figures("failures of a product", young.by_request_class[p].failed + young.by_request_class[p].lost,
+                             young.by_request_class[p].n));
 
   // Answers found wrong come seconds late, so they are counted by build and not by stage.
   auto [given, wrong] = answers_[rel_->build];
@@ -621,13 +621,13 @@
   // Where the clock's step is shorter than the window, the step is the window: it must be over in time.
   Span length = settings_.gate == Gate::clock ? std::min(least_window, settings_.step) : least_window;
   bool window = now >= latest + std::max(length, settings_.bake);
-  bool judged = young.all.n >= least_submissions && window;
+  bool judged = young.all.n >= min_attempts && window;
 
   // Slowness, on warm machines only: the p99 against its ceiling, the SLA time, then the whole distribution
   // against the older build's, which sees it long before a p99 of a few answers can.
-  if (compared && 2 * old_nodes >= young_nodes && young.all.timed >= least_submissions &&
-      old.all.timed >= 2 * least_submissions) {
-    double young_p99 = quantile(young.sla_parts, 0.99), old_p99 = quantile(old.sla_parts, 0.99);
+  if (compared && 2 * old_nodes >= young_nodes && young.all.timed >= min_attempts &&
+      old.all.timed >= 2 * min_attempts) {
+    double young_p99 = quantile(young.objective_ratios, 0.99), old_p99 = quantile(old.objective_ratios, 0.99);
     // Of a build spread thinly over many machines one answer each must do.
     const double few =
         many_votes() && young.all.timed < 3 * static_cast<double>(young.by_node.size()) ? 1 : 3;
@@ -663,7 +663,7 @@
     return {};
   }
   // An umpire too quiet to reach the minimum soon does not hold the others up.
-  double lacking = least_submissions - young.all.n;
+  double lacking = min_attempts - young.all.n;
   bool soon = lacking <= 0 || lacking < 0.5 * trial_per_s;
   bool near_end = now >= latest + settings_.step + clock_lag;
   if (near_end && ((lacking > 0 && soon) || doubtful)) {
@@ -700,7 +700,7 @@
     stands_ = asked_;
     stands_until_ = asked_at_ + settings_.vote_life;
   } else {
-    retry_at_ = now + (outcome == Outcome::moot ? 500ms : 250ms);
+    retry_at_ = now + (outcome == Outcome::obsolete ? 500ms : 250ms);
   }
 }
 
@@ -727,39 +727,39 @@
 constexpr double most_load = 1.0;  // a trial machine's load against a usual machine's
 constexpr std::size_t again_kept = 100, tenants_kept = 200, slow_kept = 8;
 constexpr double share_slack = 1.1;
-constexpr int copies_most = 8, again_most = 20;  // of the last hundred submissions, so many may be repeats
+constexpr int max_hedges = 8, again_most = 20;  // of the last hundred submissions, so many may be repeats
 constexpr double wait_least = 0.45, wait_more = 0.3;  // of the SLA time, by the txn's revenue
-constexpr int declined_few = 5;                       // of the last hundred txns
+constexpr int few_rejections = 5;                       // of the last hundred txns
 constexpr double slow_part = 0.4, over_share_power = 3, open_least = 0.05, open_full = 0.9;
 constexpr double jam_part = 0.75, jam_falls = 1.25, jam_rises = 0.25, least_pace = 16;
 }  // namespace
 
-Txns::Txns(const TxnSettings& settings, Nodes& nodes, Exposure& exposure, Chance& chance)
+RequestScheduler::RequestScheduler(const RequestSettings& settings, Nodes& nodes, Exposure& exposure, Chance& chance)
     : settings_(settings), nodes_(nodes), exposure_(exposure), chance_(chance), again_(again_kept),
-      declined_(again_kept), tenants_(tenants_kept), slow_(slow_kept) {}
+      rejections_(again_kept), tenants_(tenants_kept), slow_(slow_kept) {}
 
-void Txns::arrived(const Arrival& asked) {
-  tenants_.push(asked.tenant);
-  txns_[asked.txn] = Txn{.asked = asked};
-  ready_.push_back(asked.txn);
+void RequestScheduler::arrived(const RequestInfo& info) {
+  tenants_.push(info.tenant);
+  requests_[info.request_id] = ScheduledRequest{.info = info};
+  ready_.push_back(info.request_id);
 }
 
-const Txn* Txns::find(int id) const {
-  auto at = txns_.find(id);
-  return at == txns_.end() ? nullptr : &at->second;
+const ScheduledRequest* RequestScheduler::find(int id) const {
+  auto at = requests_.find(id);
+  return at == requests_.end() ? nullptr : &at->second;
 }
 
-void Txns::streaming(int id) {
-  auto at = txns_.find(id);
-  if (at != txns_.end()) at->second.streaming = true;
+void RequestScheduler::streaming(int id) {
+  auto at = requests_.find(id);
+  if (at != requests_.end()) at->second.streaming = true;
 }
 
 // How much is let in follows the umpire's own answers, pooled over nodes: it falls while many come late or
 // are turned away and rises while they don't, as AIMD does. Guards against jams that no umpire can see at a
 // node, of whose work each brings a small part. It may shed for a moment when silent nodes swallow txns.
-void Txns::felt(const Submission& one, Outcome outcome, int product, Span now) {
-  const bool full = outcome == Outcome::full, ok = outcome == Outcome::ok;
-  const double part = nodes_.sla_part(product, now - one.sent);
+void RequestScheduler::felt(const Attempt& one, Outcome outcome, int request_class, Span now) {
+  const bool full = outcome == Outcome::rejected, ok = outcome == Outcome::ok;
+  const double part = nodes_.objective_ratio(request_class, now - one.sent);
   if (nodes_.warmth(one.node, one.sent) < 1 || !nodes_.near(one.node)) return;
   if (ok) slow_.push(part > slow_part);
   // A txn that its client gave up early tells nothing, nor does one lost while those answered come quickly.
@@ -776,67 +776,67 @@
       jam ? std::max(open_least, open_ * (1 - jam_falls * step)) : std::min(1.0, open_ + jam_rises * rise);
 }
 
-void Txns::ended(int id, int submission, Outcome outcome, bool settled, Span now) {
-  auto at = txns_.find(id);
-  if (at == txns_.end() || submission >= static_cast<int>(at->second.submissions.size())) return;
-  Txn& txn = at->second;
-  Submission& one = txn.submissions[submission];
+void RequestScheduler::ended(int id, int attempt, Outcome outcome, bool succeeded, Span now) {
+  auto at = requests_.find(id);
+  if (at == requests_.end() || attempt >= static_cast<int>(at->second.attempts.size())) return;
+  ScheduledRequest& request = at->second;
+  Attempt& one = request.attempts[attempt];
   one.out = false;
   one.never_ran = proves_not_run(outcome);
   one.failed = outcome == Outcome::error;
-  one.unreached = outcome == Outcome::no_connection;
-  felt(one, outcome, txn.asked.product, now);
-  if (settled && !txn.over) {
-    txn.over = true;
-    if (settings_.cancelling && !txn.streaming)
-      for (std::size_t i = 0; i < txn.submissions.size(); ++i)
-        if (txn.submissions[i].out) cancels_.push_back({id, static_cast<int>(i)});
+  one.unreached = outcome == Outcome::connect_failure;
+  felt(one, outcome, request.info.request_class, now);
+  if (succeeded && !request.over) {
+    request.over = true;
+    if (settings_.cancelling && !request.streaming)
+      for (std::size_t i = 0; i < request.attempts.size(); ++i)
+        if (request.attempts[i].out) cancels_.push_back({id, static_cast<int>(i)});
   }
-  if (txn.over) forget(id);
+  if (request.over) forget(id);
   else ready_.push_back(id);
 }
 
-void Txns::left(int id) {
-  auto at = txns_.find(id);
-  if (at == txns_.end()) return;
+void RequestScheduler::left(int id) {
+  auto at = requests_.find(id);
+  if (at == requests_.end()) return;
   at->second.over = true;
   forget(id);
 }
 
-void Txns::forget(int id) {
-  auto at = txns_.find(id);
-  for (const Submission& one : at->second.submissions)
+void RequestScheduler::forget(int id) {
+  auto at = requests_.find(id);
+  for (const Attempt& one : at->second.attempts)
     if (one.out) return;
-  txns_.erase(at);
+  requests_.erase(at);
 }
 
-void Txns::look(int id, Txn& txn, Span at) {
-  if (txn.look_at != Span{} && txn.look_at <= at) return;
-  txn.look_at = at;
+void RequestScheduler::look(int id, ScheduledRequest& request, Span at) {
+  if (request.look_at != Span{} && request.look_at <= at) return;
+  request.look_at = at;
   looks_.push({at, id});
 }
 
-std::optional<Decision> Txns::next(Span now) {
+std::optional<Decision> RequestScheduler::next(Span now) {
   while (!cancels_.empty()) {
-    auto [id, submission] = cancels_.front();
+    auto [id, attempt] = cancels_.front();
     cancels_.pop_front();
-    const Txn* txn = find(id);  // it may have come back in the meantime
-    if (txn && txn->submissions[submission].out)
-      return Decision{.action = Action::cancel, .txn = id, .submission = submission};
+    const ScheduledRequest* request = find(id);  // it may have come back in the meantime
+    if (request && request->attempts[attempt].out)
+      return Decision{.action = Action::cancel, .request_id = id, .attempt = attempt};
   }
   while (!looks_.empty() && looks_.top().first <= now) {
     int id = looks_.top().second;
     looks_.pop();
-    auto at = txns_.find(id);
-    if (at == txns_.end() || at->second.look_at > now) continue;
+    auto at = requests_.find(id);
+    if (at == requests_.end() || at->second.look_at > now) continue;
     at->second.look_at = Span{};
     ready_.push_back(id);
   }
   while (!ready_.empty()) {
     int id = ready_.front();
     ready_.pop_front();
-    auto at = txns_.find(id);
-    if (at == txns_.end() || at->second.over || at->second.streaming) continue;
+    auto at = requests_.find(id);
+    if (at == requests_.end() || at->second.over || at->second.streaming) continue;
     if (auto decision = decide(id, at->second, now)) return decision;
   }
   return {};
@@ -844,7 +844,7 @@
 
 // The share of first attempts that the newest build is to get: 0.9 of the cap, but no more than its machines
 // can carry without working harder than `most_load` times a usual machine; they count by their warmth.
-double Txns::trial_share(Span now) {
+double RequestScheduler::trial_share(Span now) {
   int newest = nodes_.newest();
   if (!nodes_.older()) return 1;
   const auto& nodes = nodes_.all();
@@ -856,43 +856,43 @@
     else if (!nodes_.resting(n, now) && nodes_.well(n, now)) young += nodes[n].size * nodes_.warmth(n, now);
   }
   // While txns are declined all machines share alike: full ones would look slow beside idle ones.
-  double places = exposure_.in_place() || count(declined_) > declined_few ? all : std::max(old, young);
+  double places = exposure_.in_place() || count(rejections_) > few_rejections ? all : std::max(old, young);
   double able = std::min(1.0, most_load * young / places);
   return exposure_.on_trial(newest) ? std::min(cap_used * exposure_.cap(newest), able) : able;
 }
 
 // Rule 2: where a txn that may have run can go again.
-bool Txns::may_go(const Txn& txn, int node, Span now) const {
-  const Product& product = settings_.products[txn.asked.product];
-  if (product.effect == Effect::inquiry) return true;
-  for (const Submission& one : txn.submissions) {
+bool RequestScheduler::may_go(const ScheduledRequest& request, int node, Span now) const {
+  const RequestClass& request_class = settings_.request_classes[request.info.request_class];
+  if (request_class.idempotency == Idempotency::idempotent) return true;
+  for (const Attempt& one : request.attempts) {
     if (one.never_ran) continue;
-    if (product.effect == Effect::once_only || now + settings_.tick >= one.sent + product.memory)
+    if (request_class.idempotency == Idempotency::non_idempotent || now + settings_.tick >= one.sent + request_class.dedup_window)
       return false;
     const Node &there = nodes_.all()[node], &before = nodes_.all()[one.node];
-    if (product.group == Group::zone && there.zone != before.zone) return false;
-    if (product.group == Group::cell && there.cell != before.cell) return false;
+    if (request_class.dedup_scope == DedupScope::zone && there.zone != before.zone) return false;
+    if (request_class.dedup_scope == DedupScope::cell && there.cell != before.cell) return false;
   }
   return true;
 }
 
 // Shedding by revenue: the less a txn brings, the shorter the queue that it may join.
-Span Txns::longest_wait(const Txn& txn, Span now) const {
-  const Product& product = settings_.products[txn.asked.product];
+Span RequestScheduler::longest_wait(const ScheduledRequest& request, Span now) const {
+  const RequestClass& request_class = settings_.request_classes[request.info.request_class];
   double most = 0;
-  Span sla = product.sla;
-  for (const Product& other : settings_.products) {
-    most = std::max(most, other.revenue);
-    if (other.revenue >= product.revenue) sla = std::min(sla, other.sla);
+  Span latency_objective = request_class.latency_objective;
+  for (const RequestClass& other : settings_.request_classes) {
+    most = std::max(most, other.priority_weight);
+    if (other.priority_weight >= request_class.priority_weight) latency_objective = std::min(latency_objective, other.latency_objective);
   }
-  double part = wait_least + wait_more * (most > 0 ? product.revenue / most : 1);
+  double part = wait_least + wait_more * (most > 0 ? request_class.priority_weight / most : 1);
   // In an overload what a tenant sends beyond its share is worth little: it joins shorter queues.
-  if (count(declined_) > declined_few && over_share(txn.asked.tenant)) part *= 0.7;
-  return std::min(from_millis(part * millis(sla)), txn.asked.expiry - now);
+  if (count(rejections_) > few_rejections && over_share(request.info.tenant)) part *= 0.7;
+  return std::min(from_millis(part * millis(latency_objective)), request.info.deadline - now);
 }
 
 // Whether a tenant takes more of our txns than its part of all allowances: only meant for an overload.
-bool Txns::over_share(int tenant) const {
+bool RequestScheduler::over_share(int tenant) const {
   if (tenant >= static_cast<int>(settings_.tenants.size())) return false;
   double all = 0, its = 0;
   for (const Tenant& other : settings_.tenants) all += other.allowance_per_s;
@@ -900,99 +900,99 @@
   return its * all > share_slack * settings_.tenants[tenant].allowance_per_s * tenants_.size();
 }
 
-bool Txns::shedding() const { return open_ < open_full; }
+bool RequestScheduler::shedding() const { return open_ < open_full; }
 
-int Txns::place(const Txn& txn, Span now) {
-  const Product& product = settings_.products[txn.asked.product];
+int RequestScheduler::place(const ScheduledRequest& request, Span now) {
+  const RequestClass& request_class = settings_.request_classes[request.info.request_class];
   const int newest = nodes_.newest();
   // A repeat goes to the older build where there is one: the trial's allowance is for first attempts.
-  bool young = txn.submissions.empty() && draw(chance_) < trial_share(now);
+  bool young = request.attempts.empty() && draw(chance_) < trial_share(now);
   for (bool arm : {young, !young}) {
     // What the older build has no room for is not heaped on a trial: its machines would look slow.
     if (arm && !young && exposure_.on_trial(newest)) continue;
-    if (arm && !exposure_.allows(txn.asked, newest, product.effect, now)) continue;
+    if (arm && !exposure_.allows(request.info, newest, request_class.idempotency, now)) continue;
     auto may = [&](int n) {
-      for (const Submission& one : txn.submissions)
+      for (const Attempt& one : request.attempts)
         if (one.node == n && !one.never_ran) return false;
-      return may_go(txn, n, now) &&
-             (arm || exposure_.allows(txn.asked, nodes_.all()[n].build, product.effect, now));
+      return may_go(request, n, now) &&
+             (arm || exposure_.allows(request.info, nodes_.all()[n].build, request_class.idempotency, now));
     };
     int node =
-        nodes_.choose(arm, may, product.effect == Effect::once_only, longest_wait(txn, now), now, chance_);
+        nodes_.choose(arm, may, request_class.idempotency == Idempotency::non_idempotent, longest_wait(request, now), now, chance_);
     if (node >= 0) return node;
   }
   return -1;
 }
 
-std::optional<Decision> Txns::submit(int id, Txn& txn, int node, Span now) {
+std::optional<Decision> RequestScheduler::forward(int id, ScheduledRequest& request, int node, Span now) {
   int build = nodes_.all()[node].build;
   bool trial = exposure_.on_trial(build),
-       unreached = !txn.submissions.empty() && txn.submissions.back().unreached;
-  txn.submissions.push_back({.node = node,
+       unreached = !request.attempts.empty() && request.attempts.back().unreached;
+  request.attempts.push_back({.node = node,
                              .build = build,
                              .sent = now,
                              .in_hand = static_cast<int>(nodes_.all()[node].out.size()) + 1});
   nodes_.sent(node, now);
-  if (trial) exposure_.sent(txn.asked.product, now);
-  again_.push(txn.submissions.size() > 1 && !unreached);
-  if (txn.submissions.size() == 1) declined_.push(false);
+  if (trial) exposure_.sent(request.info.request_class, now);
+  again_.push(request.attempts.size() > 1 && !unreached);
+  if (request.attempts.size() == 1) rejections_.push(false);
   ready_.push_back(id);
-  return Decision{.action = Action::submit, .txn = id, .node = node};
+  return Decision{.action = Action::forward, .request_id = id, .node = node};
 }
 
 // Declining tells the client that it may safely come again, so it needs rule 2; else the txn is voided.
-std::optional<Decision> Txns::finish(int id, Txn& txn, Span pause, Span now) {
-  const Product& product = settings_.products[txn.asked.product];
-  bool repeatable = product.effect == Effect::inquiry ||
-                    (product.effect == Effect::referenced && product.group == Group::all);
-  bool decline =
-      now < txn.asked.expiry && (repeatable || std::all_of(txn.submissions.begin(), txn.submissions.end(),
+std::optional<Decision> RequestScheduler::finish(int id, ScheduledRequest& request, Span pause, Span now) {
+  const RequestClass& request_class = settings_.request_classes[request.info.request_class];
+  bool repeatable = request_class.idempotency == Idempotency::idempotent ||
+                    (request_class.idempotency == Idempotency::idempotent_with_key && request_class.dedup_scope == DedupScope::all);
+  bool reject =
+      now < request.info.deadline && (repeatable || std::all_of(request.attempts.begin(), request.attempts.end(),
                                                            [](auto& one) { return one.never_ran; }));
-  if (txn.submissions.empty()) declined_.push(true);
-  txn.over = true;
+  if (request.attempts.empty()) rejections_.push(true);
+  request.over = true;
   forget(id);
-  if (!decline) return Decision{.action = Action::give_up, .txn = id};
-  return Decision{.action = Action::decline, .txn = id, .span = settings_.advice ? pause : Span{}};
+  if (!reject) return Decision{.action = Action::fail, .request_id = id};
+  return Decision{.action = Action::reject, .request_id = id, .span = settings_.advice ? pause : Span{}};
 }
 
-std::optional<Decision> Txns::decide(int id, Txn& txn, Span now) {
-  const Product& product = settings_.products[txn.asked.product];
-  bool out = std::any_of(txn.submissions.begin(), txn.submissions.end(), [](auto& one) { return one.out; });
-  bool more = static_cast<int>(txn.submissions.size()) < settings_.max_submissions;
-  Span left = txn.asked.expiry - now;
+std::optional<Decision> RequestScheduler::decide(int id, ScheduledRequest& request, Span now) {
+  const RequestClass& request_class = settings_.request_classes[request.info.request_class];
+  bool out = std::any_of(request.attempts.begin(), request.attempts.end(), [](auto& one) { return one.out; });
+  bool more = static_cast<int>(request.attempts.size()) < settings_.max_attempts;
+  Span left = request.info.deadline - now;
   if (out) {
     // A second copy guards against a silent or slow node; it is waste, so copies are rationed.
-    if (!settings_.second_copies || product.effect == Effect::once_only || product.stream) return {};
-    if (txn.submissions.size() > 1 || !more) return {};
-    const Submission& one = txn.submissions.back();
-    Span late = from_millis(std::max(nodes_.usual_ms(txn.asked.product, 0.95), 0.35 * millis(product.sla)));
+    if (!settings_.hedging || request_class.idempotency == Idempotency::non_idempotent || request_class.stream) return {};
+    if (request.attempts.size() > 1 || !more) return {};
+    const Attempt& one = request.attempts.back();
+    Span late = from_millis(std::max(nodes_.usual_ms(request.info.request_class, 0.95), 0.35 * millis(request_class.latency_objective)));
     // A node that goes on answering others works on it: a copy would only do long work twice.
     Span heard = nodes_.all()[one.node].heard_at;
     Span due = heard > one.sent ? std::max(one.sent + late, heard + late / 2) : one.sent + late;
-    if (now < due) return look(id, txn, due), std::nullopt;
-    if (count(again_) >= copies_most || millis(left) < nodes_.usual_ms(txn.asked.product, 0.5)) return {};
-    int node = place(txn, now);
-    return node < 0 ? std::nullopt : submit(id, txn, node, now);
+    if (now < due) return look(id, request, due), std::nullopt;
+    if (count(again_) >= max_hedges || millis(left) < nodes_.usual_ms(request.info.request_class, 0.5)) return {};
+    int node = place(request, now);
+    return node < 0 ? std::nullopt : forward(id, request, node, now);
   }
-  if (left <= 2 * settings_.tick) return finish(id, txn, {}, now);
+  if (left <= 2 * settings_.tick) return finish(id, request, {}, now);
   // Repeats are rationed: in an overload they would feed it.
-  bool worth_it = txn.submissions.empty()
-                      ? let_in(txn.asked, now)
-                      : (txn.submissions.back().unreached || count(again_) < again_most * open_) &&
-                            millis(left) > 0.5 * nodes_.usual_ms(txn.asked.product, 0.5);
-  int node = more && worth_it ? place(txn, now) : -1;
-  return node >= 0 ? submit(id, txn, node, now) : finish(id, txn, settings_.max_pause, now);
+  bool worth_it = request.attempts.empty()
+                      ? let_in(request.info, now)
+                      : (request.attempts.back().unreached || count(again_) < again_most * open_) &&
+                            millis(left) > 0.5 * nodes_.usual_ms(request.info.request_class, 0.5);
+  int node = more && worth_it ? place(request, now) : -1;
+  return node >= 0 ? forward(id, request, node, now) : finish(id, request, settings_.max_pause, now);
 }
 
 // While the umpire sheds: by revenue; what is beyond a tenant's share or whose client will hardly wait last.
-bool Txns::let_in(const Arrival& asked, Span now) {
+bool RequestScheduler::let_in(const RequestInfo& info, Span now) {
   if (!shedding()) return true;
   double mean = 0;
-  for (const Product& each : settings_.products) mean += each.revenue / settings_.products.size();
-  double power = mean / std::max(0.1, settings_.products[asked.product].revenue);
-  bool hasty = millis(asked.expiry - now) < nodes_.usual_ms(asked.product, 0.9);
+  for (const RequestClass& each : settings_.request_classes) mean += each.priority_weight / settings_.request_classes.size();
+  double power = mean / std::max(0.1, settings_.request_classes[info.request_class].priority_weight);
+  bool hasty = millis(info.deadline - now) < nodes_.usual_ms(info.request_class, 0.9);
   return draw(chance_) <=
-         std::pow(open_, hasty || over_share(asked.tenant) ? power * over_share_power : power);
+         std::pow(open_, hasty || over_share(info.tenant) ? power * over_share_power : power);
 }
 
 // Umpire
@@ -1002,30 +1002,30 @@
 }  // namespace
 
 Umpire::Umpire(unsigned salt, const NodeSettings& nodes, const ExposureSettings& exposure,
-               const GateSettings& gate, const TxnSettings& txns)
-    : chance_(salt), nodes_(nodes, txns.products),
-      exposure_(exposure, static_cast<int>(txns.products.size()), txns.tick),
-      trial_(gate, static_cast<int>(txns.products.size())), ballot_(gate),
-      txns_(txns, nodes_, exposure_, chance_), firsts_(firsts_kept) {}
-
-void Umpire::txn_arrived(const Arrival& txn, Span now) {
-  exposure_.taken(txn.product, now);
-  if (!txn.repeat) firsts_.push(now);
-  txns_.arrived(txn);
+               const GateSettings& gate, const RequestSettings& requests)
+    : chance_(salt), nodes_(nodes, requests.request_classes),
+      exposure_(exposure, static_cast<int>(requests.request_classes.size()), requests.tick),
+      trial_(gate, static_cast<int>(requests.request_classes.size())), ballot_(gate),
+      requests_(requests, nodes_, exposure_, chance_), firsts_(firsts_kept) {}
+
+void Umpire::request_arrived(const RequestInfo& request, Span now) {
+  exposure_.taken(request.request_class, now);
+  if (!request.is_retry) firsts_.push(now);
+  requests_.arrived(request);
 }
 
-void Umpire::submission_ended(int id, int index, Outcome outcome, bool settled, const Load& load, Span now) {
-  const Txn* txn = txns_.find(id);
-  if (!txn || index >= static_cast<int>(txn->submissions.size())) return;
-  const Submission one = txn->submissions[index];
-  const Arrival asked = txn->asked;
+void Umpire::attempt_ended(int id, int index, Outcome outcome, bool succeeded, const Load& load, Span now) {
+  const ScheduledRequest* request = requests_.find(id);
+  if (!request || index >= static_cast<int>(request->attempts.size())) return;
+  const Attempt one = request->attempts[index];
+  const RequestInfo info = request->info;
   Span took = now - one.sent;
   // What another node has failed already tells nothing of this one or its build: guards against txns that
   // fail anywhere, which as repeats would gather at the machines with room.
   bool failed_before =
-      std::any_of(txn->submissions.begin(), txn->submissions.end(), [](auto& s) { return s.failed; });
-  const Outcome tells = failed_before && outcome == Outcome::error ? Outcome::moot : outcome;
-  nodes_.ended(one, tells, asked, now);
+      std::any_of(request->attempts.begin(), request->attempts.end(), [](auto& s) { return s.failed; });
+  const Outcome tells = failed_before && outcome == Outcome::error ? Outcome::obsolete : outcome;
+  nodes_.ended(one, tells, info, now);
   nodes_.report(one.node, load, now);
   const Node& node = nodes_.all()[one.node];
   // What a machine swallows once it stops answering counts as one failure of the build. Late answers of cold
@@ -1034,17 +1034,17 @@
   bool counts = tells == Outcome::ok || tells == Outcome::error ||
                 (lost(outcome) && node.dead_run <= 1 && warm && nodes_.near(one.node));
   if (counts && node.build == one.build) {
-    trial_.noted(one.build, {now, one.sent, one.node, asked.product, asked.tenant, outcome == Outcome::error,
-                             lost(outcome), warm, nodes_.ratio(asked.product, took, asked.hint_ms),
-                             nodes_.sla_part(asked.product, took)});
+    trial_.noted(one.build, {now, one.sent, one.node, info.request_class, info.tenant, outcome == Outcome::error,
+                             lost(outcome), warm, nodes_.ratio(info.request_class, took, info.cost_hint_ms),
+                             nodes_.objective_ratio(info.request_class, took)});
     if (outcome == Outcome::ok && warm && !trial_.watched(one.build))
-      nodes_.learn(asked.product, took, asked.hint_ms);
+      nodes_.learn(info.request_class, took, info.cost_hint_ms);
   }
   if (outcome == Outcome::ok) {
-    trial_.settled(one.build);
-    exposure_.answered(asked.key, one.build);
+    trial_.succeeded(one.build);
+    exposure_.answered(info.key, one.build);
   }
-  txns_.ended(id, index, outcome, settled, now);
+  requests_.ended(id, index, outcome, succeeded, now);
 }
 
 void Umpire::release_news(const RelNews& rel, Span now) {
@@ -1057,7 +1057,7 @@
   if (now >= judged_at_ + judge_every) {
     judged_at_ = now;
     const double pace = pace_of(firsts_, now), load = pace / std::max(0.1, nodes_.able(now));
-    Finding found = trial_.judge(nodes_.all(), pace * txns_.trial_share(now), load, now);
+    Finding found = trial_.judge(nodes_.all(), pace * requests_.trial_share(now), load, now);
     ballot_.wants(found.verdict, now, chance_);
     std::string mode = mode_text(found.verdict, trial_.rel());
     if (mode != mode_) log_.push_back(mode + (found.why.empty() ? "" : ": " + found.why));
@@ -1070,9 +1070,9 @@
   }
   if (auto decision = nodes_.next(now, chance_)) return decision;
   if (auto decision = ballot_.next(now, chance_)) return decision;
-  if (auto decision = txns_.next(now)) return decision;
+  if (auto decision = requests_.next(now)) return decision;
   Span due = now + look_every;
-  if (auto look = txns_.next_look()) due = std::min(due, *look);
+  if (auto look = requests_.next_look()) due = std::min(due, *look);
   if (wake_at_ > now && wake_at_ <= due) return {};
   wake_at_ = std::max(due, now + Span(1));
   return Decision{.action = Action::wake, .span = wake_at_ - now};
--- a/src/logic.h
+++ b/src/logic.h
@@ -17,15 +17,15 @@
 // The list of nodes: health, warmth and drains.
 class Nodes {
  public:
-  Nodes(const NodeSettings& settings, const std::vector<Product>& products);
+  Nodes(const NodeSettings& settings, const std::vector<RequestClass>& request_classes);
   void news(ListNews kind, const std::vector<NodeNews>& entries, Span now);
   void sent(int node, Span now);
-  void ended(const Submission& submission, Outcome outcome, const Arrival& txn, Span now);
-  void learn(int product, Span took, double hint_ms);
+  void ended(const Attempt& attempt, Outcome outcome, const RequestInfo& request, Span now);
+  void learn(int request_class, Span took, double cost_hint_ms);
   void report(int node, const Load& load, Span now);
-  double ratio(int product, Span took, double hint_ms);
-  double sla_part(int product, Span took) const;
-  double usual_ms(int product, double part);
+  double ratio(int request_class, Span took, double cost_hint_ms);
+  double objective_ratio(int request_class, Span took) const;
+  double usual_ms(int request_class, double part);
   bool open(int node) const;
   bool near(int node) const { return nodes_[node].zone == settings_.zone; }
   bool has_room(int node, Span now);
@@ -51,10 +51,10 @@
   int warm();
 
   NodeSettings settings_;
-  std::vector<Product> products_;
+  std::vector<RequestClass> request_classes_;
   std::vector<Node> nodes_{};
   std::vector<Spread> took_, per_hint_;  // how long answers took: ms, and for each ms of hinted work
-  std::deque<std::pair<Span, int>> settled_{};
+  std::deque<std::pair<Span, int>> successes_{};
   int warm_ = 0, newest_ = -1;
   std::optional<Span> warm_asked_{};
   std::vector<int> rings_[2][2]{};  // open nodes by order: of the newest build or not, near or not
@@ -68,21 +68,21 @@
 // What may be sent to a release on trial.
 class Exposure {
  public:
-  Exposure(const ExposureSettings& settings, int products, Span tick);
+  Exposure(const ExposureSettings& settings, int request_classes, Span tick);
   void news(const RelNews& rel);
-  void taken(int product, Span now);
-  void sent(int product, Span now) { count(product).sent.push_back(now); }
+  void taken(int request_class, Span now);
+  void sent(int request_class, Span now) { count(request_class).sent.push_back(now); }
   void answered(const std::string& key, int build);
   bool on_trial(int build) const;
   double cap(int build) const;
-  bool allows(const Arrival& txn, int build, Effect effect, Span now);
+  bool allows(const RequestInfo& request, int build, Idempotency idempotency, Span now);
   bool in_place() const { return settings_.in_place; }
 
  private:
   struct Count {
     std::deque<Span> taken{}, sent{};
   };
-  Count& count(int product);
+  Count& count(int request_class);
   void trim(Count& count, Span now) const;
 
   ExposureSettings settings_;
@@ -95,10 +95,10 @@
 // Per-stage evidence on the release on trial, and the verdict drawn from it.
 class Trial {
  public:
-  Trial(const GateSettings& settings, int products);
+  Trial(const GateSettings& settings, int request_classes);
   void news(const RelNews& rel, Span now);
   void noted(int build, const Sample& sample);
-  void settled(int build) { answers_[build].first += 1; }
+  void succeeded(int build) { answers_[build].first += 1; }
   void flagged(int build) { answers_[build].second += 1; }
   bool watched(int build) const;
   // A build once condemned stays so.
@@ -109,9 +109,9 @@
   struct Arm {
     std::map<int, Counts> by_node{}, by_tenant{};
     std::map<long, Counts> by_time{};
-    std::vector<Counts> by_product{};
+    std::vector<Counts> by_request_class{};
     Counts all{};
-    std::vector<double> sla_parts{};
+    std::vector<double> objective_ratios{};
     double machines(double least) const;  // warm ones that gave so many answers
   };
   double answers_enough() const;  // of the fleet, to judge it by
@@ -124,7 +124,7 @@
              const std::function<bool(const Sample&)>& skip, Arm* beside = nullptr) const;
 
   GateSettings settings_;
-  int products_;
+  int request_classes_;
   std::optional<RelNews> rel_{};
   bool seen_on_trial_ = false;
   Finding condemned_{};
@@ -157,15 +157,15 @@
 };
 
 // Txns: submissions, repeats, time-outs, declines and final answers.
-class Txns {
+class RequestScheduler {
  public:
-  Txns(const TxnSettings& settings, Nodes& nodes, Exposure& exposure, Chance& chance);
-  void arrived(const Arrival& txn);
-  void streaming(int txn);
-  void ended(int txn, int submission, Outcome outcome, bool settled, Span now);
-  void left(int txn);
-  bool knows(int txn) const { return txns_.count(txn) > 0; }
-  const Txn* find(int txn) const;
+  RequestScheduler(const RequestSettings& settings, Nodes& nodes, Exposure& exposure, Chance& chance);
+  void arrived(const RequestInfo& request);
+  void streaming(int request_id);
+  void ended(int request_id, int attempt, Outcome outcome, bool succeeded, Span now);
+  void left(int request_id);
+  bool knows(int request_id) const { return requests_.count(request_id) > 0; }
+  const ScheduledRequest* find(int request_id) const;
   std::optional<Decision> next(Span now);
   std::optional<Span> next_look() const {
     return looks_.empty() ? std::nullopt : std::optional<Span>(looks_.top().first);
@@ -174,27 +174,27 @@
   bool shedding() const;
 
  private:
-  std::optional<Decision> decide(int id, Txn& txn, Span now);
-  std::optional<Decision> submit(int id, Txn& txn, int node, Span now);
-  std::optional<Decision> finish(int id, Txn& txn, Span pause, Span now);
-  int place(const Txn& txn, Span now);
-  void felt(const Submission& one, Outcome outcome, int product, Span now);
-  Span longest_wait(const Txn& txn, Span now) const;
+  std::optional<Decision> decide(int id, ScheduledRequest& request, Span now);
+  std::optional<Decision> forward(int id, ScheduledRequest& request, int node, Span now);
+  std::optional<Decision> finish(int id, ScheduledRequest& request, Span pause, Span now);
+  int place(const ScheduledRequest& request, Span now);
+  void felt(const Attempt& one, Outcome outcome, int request_class, Span now);
+  Span longest_wait(const ScheduledRequest& request, Span now) const;
   bool over_share(int tenant) const;
-  bool let_in(const Arrival& asked, Span now);
-  bool may_go(const Txn& txn, int node, Span now) const;
-  void look(int id, Txn& txn, Span at);
+  bool let_in(const RequestInfo& info, Span now);
+  bool may_go(const ScheduledRequest& request, int node, Span now) const;
+  void look(int id, ScheduledRequest& request, Span at);
   void forget(int id);
 
-  TxnSettings settings_;
+  RequestSettings settings_;
   Nodes& nodes_;
   Exposure& exposure_;
   Chance& chance_;
-  std::unordered_map<int, Txn> txns_{};
+  std::unordered_map<int, ScheduledRequest> requests_{};
   std::deque<int> ready_{};
   std::deque<std::pair<int, int>> cancels_{};
   std::priority_queue<std::pair<Span, int>, std::vector<std::pair<Span, int>>, std::greater<>> looks_{};
-  Samples<char> again_, declined_;
+  Samples<char> again_, rejections_;
   Samples<int> tenants_;
   Samples<char> slow_;
   Span felt_at_{};
@@ -204,17 +204,17 @@
 class Umpire {
  public:
   Umpire(unsigned salt, const NodeSettings& nodes, const ExposureSettings& exposure, const GateSettings& gate,
-         const TxnSettings& txns);
+         const RequestSettings& requests);
   Umpire(const Umpire&) = delete;
   Umpire& operator=(const Umpire&) = delete;
 
   void list_news(ListNews kind, const std::vector<NodeNews>& entries, Span now) {
     nodes_.news(kind, entries, now);
   }
-  void txn_arrived(const Arrival& txn, Span now);
-  void stream_began(int txn) { txns_.streaming(txn); }
-  void submission_ended(int txn, int submission, Outcome outcome, bool settled, const Load& load, Span now);
-  void txn_left(int txn) { txns_.left(txn); }
+  void request_arrived(const RequestInfo& request, Span now);
+  void stream_began(int request_id) { requests_.streaming(request_id); }
+  void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded, const Load& load, Span now);
+  void client_disconnected(int request_id) { requests_.left(request_id); }
   void release_news(const RelNews& rel, Span now);
   void vote_answered(Outcome outcome, Span now) { ballot_.answered(outcome, now); }
   void answer_flagged(int node) { trial_.flagged(nodes_.all()[node].build); }
@@ -223,7 +223,7 @@
   // The next decision, until there is none. Call again after each input and at each asked-for wake-up.
   std::optional<Decision> next(Span now);
   // Whether the txn still matters: false once it has ended and all its submissions have come back.
-  bool knows(int txn) const { return txns_.knows(txn); }
+  bool knows(int request_id) const { return requests_.knows(request_id); }
 
  private:
   Chance chance_;
@@ -231,7 +231,7 @@
   Exposure exposure_;
   Trial trial_;
   Ballot ballot_;
-  Txns txns_;
+  RequestScheduler requests_;
   Samples<Span> firsts_;
   Span judged_at_ = long_ago, wake_at_ = long_ago;
   std::string mode_{};
--- a/src/machine/forms.cpp
+++ b/src/machine/forms.cpp
@@ -29,7 +29,7 @@
   if (auto bad = form.maybe("bad")) {
     const std::string how = bad->own_word(0, "the way in which it is bad");
     const std::pair<const char*, Flaw> ways[] = {
-        {"errors", Flaw::errors}, {"slow", Flaw::slow},   {"product", Flaw::product}, {"load", Flaw::load},
+        {"errors", Flaw::errors}, {"slow", Flaw::slow},   {"product", Flaw::request_class}, {"load", Flaw::load},
         {"late", Flaw::late},     {"wrong", Flaw::wrong}, {"shared", Flaw::shared}};
     for (auto& [name, flaw] : ways)
       if (how == name) to.flaw = flaw;
@@ -41,9 +41,9 @@
     if (to.flaw == Flaw::load || to.flaw == Flaw::late) to.failing = bad->number("failing", 0, 1, 0.1);
     if (to.flaw == Flaw::load) to.busy = bad->number("busy", 0, 1);
     if (to.flaw == Flaw::late) to.after = bad->span("after", 0ms, 1h);
-    if (to.flaw == Flaw::product) {
-      to.product = deployment.product(bad->text("product"));
-      if (to.product < 0) bad->problem("product", "is none of the deployment's");
+    if (to.flaw == Flaw::request_class) {
+      to.request_class = deployment.request_class(bad->text("product"));
+      if (to.request_class < 0) bad->problem("product", "is none of the deployment's");
     }
     bad->finish();
   }
--- a/src/machine/machine.cpp
+++ b/src/machine/machine.cpp
@@ -84,7 +84,7 @@
                        (build_.flaw == Flaw::load && busy() > build_.busy);
   if (!work.key.empty() && marks_ && marks_->known(work.key, now)) job.how = Ran::repeat;
   else if (draw(failing_) || (build_.flaw == Flaw::errors && draw(build_.strength)) ||
-           (build_.flaw == Flaw::product && work.product == build_.product && draw(build_.strength)) ||
+           (build_.flaw == Flaw::request_class && work.request_class == build_.request_class && draw(build_.strength)) ||
            (bad_now && draw(build_.failing)))
     job.how = Ran::failed;
   else if (build_.flaw == Flaw::wrong && draw(build_.strength)) job.how = Ran::wrong;
--- a/src/machine/machine.h
+++ b/src/machine/machine.h
@@ -29,7 +29,7 @@
   Span fall_window{};        // for so long while cold, it falls over for good; 0: never
 };
 
-enum class Flaw { none, errors, slow, product, load, late, wrong, shared };
+enum class Flaw { none, errors, slow, request_class, load, late, wrong, shared };
 
 struct Build {
   int number = 0;
@@ -38,14 +38,14 @@
   double strength =
       0;  // share of txns that fail or are wrong; for slow, load, late and shared: times the work
   double failing = 0;  // load and late: the share that fails meanwhile
-  int product = -1;    // for product
+  int request_class = -1;    // for product
   Span after{};        // late: from so long after the machine's start
   double busy = 0;     // load: while over this part of its cores is busy
 };
 
 struct Work {
   std::int64_t id = 0;
-  int product = 0;
+  int request_class = 0;
   Span work{};        // on one standard core
   std::string key{};  // against repeats; empty: none
   bool effect = false;
--- a/src/params/params.cpp
+++ b/src/params/params.cpp
@@ -19,41 +19,41 @@
   return value;
 }
 
-void txn_settings(const Json& params, Params& to) {
-  TxnSettings& settings = to.txns;
+void request_settings(const Json& params, Params& to) {
+  RequestSettings& settings = to.requests;
   for (const Json& entry : array(params, "classes").GetArray()) {
     if (!entry.IsObject()) mistyped("classes", "an array of objects");
-    Product product{};
-    product.sla = span(positive(entry, "goal_time_ms"));
-    product.expiry = span(positive(entry, "deadline_ms"));
-    product.memory = span(not_negative(entry, "dedup_window_ms"));
-    product.effect = word<Effect>(
+    RequestClass request_class{};
+    request_class.latency_objective = span(positive(entry, "goal_time_ms"));
+    request_class.deadline = span(positive(entry, "deadline_ms"));
+    request_class.dedup_window = span(not_negative(entry, "dedup_window_ms"));
+    request_class.idempotency = word<Idempotency>(
         entry, "effect",
-        {{"free", Effect::inquiry}, {"guarded", Effect::referenced}, {"single_shot", Effect::once_only}});
-    product.group =
-        word<Group>(entry, "group", {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
-    product.revenue = not_negative(entry, "worth");
-    product.late_share = not_negative(entry, "late_share");
-    product.stream = truth(entry, "streaming");
-    settings.products.push_back(product);
-    to.products.push_back(text_or(entry, "name", ""));
+        {{"free", Idempotency::idempotent}, {"guarded", Idempotency::idempotent_with_key}, {"single_shot", Idempotency::non_idempotent}});
+    request_class.dedup_scope =
+        word<DedupScope>(entry, "group", {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
+    request_class.priority_weight = not_negative(entry, "worth");
+    request_class.late_weight_share = not_negative(entry, "late_share");
+    request_class.stream = truth(entry, "streaming");
+    settings.request_classes.push_back(request_class);
+    to.request_classes.push_back(text_or(entry, "name", ""));
   }
-  if (settings.products.empty()) throw BadInput("setting classes is empty");
+  if (settings.request_classes.empty()) throw BadInput("setting classes is empty");
   for (const Json& entry : array(params, "tenants").GetArray()) {
     if (!entry.IsObject()) mistyped("tenants", "an array of objects");
     settings.tenants.push_back({not_negative(entry, "fraction"), not_negative(entry, "allowance_per_s")});
     to.tenants.push_back(text_or(entry, "name", ""));
   }
   const Json& bounds = inner(params, "bounds");
-  settings.max_submissions = whole(bounds, "max_attempts", 1);
+  settings.max_attempts = whole(bounds, "max_attempts", 1);
   settings.umpires = whole(params, "balancers", 1);
-  settings.second_copies = truth(bounds, "second_copies");
+  settings.hedging = truth(bounds, "second_copies");
   settings.cancelling = truth(bounds, "cancelling");
   settings.advice = truth(bounds, "retry_after");
   settings.max_pause = span(not_negative(bounds, "max_retry_after_ms"));
   settings.slack = span(not_negative(inner(params, "safety"), "answer_slack_ms"));
   settings.tick = span(positive(params, "tick_ms"));
-  settings.over_share_revenue = not_negative(params, "over_share_worth");
+  settings.over_quota_weight = not_negative(params, "over_share_worth");
 }
 
 NodeSettings node_settings(const Json& params) {
@@ -82,7 +82,7 @@
   ExposureSettings settings{};
   settings.window = span(positive(info, "window_ms"));
   settings.free = not_negative(info, "free");
-  settings.by_product = word<bool>(info, "counts", {{"all", false}, {"each_class", true}});
+  settings.by_request_class = word<bool>(info, "counts", {{"all", false}, {"each_class", true}});
   settings.one_way = truth(info, "one_way");
   settings.in_place = word<bool>(info, "replace_mode", {{"parallel", false}, {"replace", true}});
   settings.safe_only_stages = whole(info, "safe_only_stages");
@@ -121,7 +121,7 @@
 Params decode(const Json& object) {
   Params to;
   const Json& info = inner(object, "family_info");
-  txn_settings(object, to);
+  request_settings(object, to);
   to.nodes = node_settings(object);
   to.exposure = exposure_settings(info);
   to.gate = gate_settings(object, info);
--- a/src/params/params.h
+++ b/src/params/params.h
@@ -14,11 +14,11 @@
   NodeSettings nodes{};
   ExposureSettings exposure{};
   GateSettings gate{};
-  TxnSettings txns{};
-  std::vector<std::string> products{}, tenants{}, zones{};  // by index
+  RequestSettings requests{};
+  std::vector<std::string> request_classes{}, tenants{}, zones{};  // by index
   Span connect_within{}, keep_idle{};  // for a connection to come up; an idle one is closed by its node
 
-  int product(std::string_view name) const { return index(products, name); }
+  int request_class(std::string_view name) const { return index(request_classes, name); }
   int zone(std::string_view name) const { return index(zones, name); }
 
  private:
--- a/src/platform/process.cpp
+++ b/src/platform/process.cpp
@@ -94,14 +94,14 @@
   const auto figures = [&](const char* what) {
     const umpire::Counters& c = router.counters();
     log.info(what, {{"taken", log::text(c.taken)},
-                    {"not_taken", log::text(c.not_taken)},
-                    {"settled", log::text(c.settled)},
+                    {"not_taken", log::text(c.rejected_before_routing)},
+                    {"settled", log::text(c.succeeded)},
                     {"late", log::text(c.late)},
-                    {"declined", log::text(c.declined)},
-                    {"voided", log::text(c.voided)},
+                    {"declined", log::text(c.rejected)},
+                    {"voided", log::text(c.failed)},
                     {"left", log::text(c.left)},
-                    {"submissions", log::text(c.submissions)},
-                    {"open", log::text(router.open_txns())},
+                    {"submissions", log::text(c.attempts)},
+                    {"open", log::text(router.open_requests())},
                     {"clients", log::text(router.clients())},
                     {"wake_late_us_p99", log::text(loop.lateness(0.99).value_or(0))}});
   };
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -59,26 +59,26 @@
 
 }  // namespace
 
-std::optional<http::Response> PlatformProtocol::aside(const http::Request& request, bool routes) const {
+std::optional<http::Response> PlatformProtocol::admin_response(const http::Request& request, bool routes) const {
   if (request.path() != "/up") return {};
   if (request.method != "GET") return http::text_answer(405, "ask by GET\n");
   return routes ? http::text_answer(200, "routes\n") : http::text_answer(503, "knows no nodes yet\n");
 }
 
-umpire::Asked PlatformProtocol::read(http::Exchange& exchange, int number_of_txn) const {
+umpire::ParsedRequest PlatformProtocol::read(http::Exchange& exchange, int request_id) const {
   http::Request& request = exchange.request;
-  umpire::Asked asked;
+  umpire::ParsedRequest parsed;
   auto refuse = [&](int status, const std::string& why) {
-    asked.refusal = umpire::Refusal{status, why};
-    return std::move(asked);
+    parsed.rejection = umpire::Rejection{status, why};
+    return std::move(parsed);
   };
   std::string_view path = request.path();
   if (path.empty() || path.front() != '/') return refuse(400, "the target is no path");
   path.remove_prefix(1);
-  const int p = params_.product(path.substr(0, path.find('/')));
+  const int p = params_.request_class(path.substr(0, path.find('/')));
   if (p < 0) return refuse(404, "no product of that name");
-  const Product& product = params_.txns.products[p];
-  if (request.method != (product.effect == Effect::inquiry ? "GET" : "POST"))
+  const RequestClass& request_class = params_.requests.request_classes[p];
+  if (request.method != (request_class.idempotency == Idempotency::idempotent ? "GET" : "POST"))
     return refuse(405, "the product does not go by that method");
   if (request.method == "GET" && !request.body.empty()) return refuse(400, "a GET has no body");
   const auto id = only(request.headers, id_header);
@@ -89,54 +89,54 @@
   if (!remaining || !(*remaining > 0)) return refuse(400, "needs one Request-Timeout such as 480m");
   const auto mark = only(request.headers, mark_header);
   if (mark ? mark->empty() || !graphic(*mark) || mark->size() > longest_id
-           : product.effect == Effect::referenced || request.headers.has(mark_header))
+           : request_class.idempotency == Idempotency::idempotent_with_key || request.headers.has(mark_header))
     return refuse(400, "needs one Idempotency-Key");
-  Arrival& txn = asked.txn;
-  txn.txn = number_of_txn;
-  txn.product = p;
+  RequestInfo& info = parsed.info;
+  info.request_id = request_id;
+  info.request_class = p;
   if (request.headers.has(info_header))
-    if (const auto info = figures_of(request.headers.get(info_header)))
-      for (auto& [name, value] : *info) {
-        if (name == "work_hint_ms" && value > 0) txn.hint_ms = value;
+    if (const auto metrics = figures_of(request.headers.get(info_header)))
+      for (auto& [name, value] : *metrics) {
+        if (name == "work_hint_ms" && value > 0) info.cost_hint_ms = value;
         if (name == "org" && value >= 0 && value < static_cast<double>(params_.tenants.size()))
-          txn.tenant = static_cast<int>(value);
+          info.tenant = static_cast<int>(value);
       }
-  txn.repeat = request.headers.get(repeat_header) == "1";
+  info.is_retry = request.headers.get(repeat_header) == "1";
   // One tick is kept back for the answer's way.
-  txn.expiry = exchange.at + from_millis(std::min(*remaining, millis(product.expiry))) - params_.txns.tick;
-  asked.id = *id;
-  asked.onward.method = request.method;
-  asked.onward.target = std::move(request.target);
-  http::copy_end_to_end(request.headers, asked.onward.headers);
-  asked.onward.body = std::move(request.body);
-  return asked;
+  info.deadline = exchange.at + from_millis(std::min(*remaining, millis(request_class.deadline))) - params_.requests.tick;
+  parsed.id = *id;
+  parsed.onward.method = request.method;
+  parsed.onward.target = std::move(request.target);
+  http::copy_end_to_end(request.headers, parsed.onward.headers);
+  parsed.onward.body = std::move(request.body);
+  return parsed;
 }
 
-void PlatformProtocol::submission(http::Request& onward, std::size_t, Span within) const {
+void PlatformProtocol::prepare_attempt(http::Request& onward, std::size_t, Span within) const {
   onward.headers.set(time_header, std::to_string(std::max<long>(1, within.count())) + "u");
 }
 
-umpire::Classed PlatformProtocol::classed(http::Ended how, const http::Response& response) const {
+umpire::AttemptResult PlatformProtocol::classify(http::Ended how, const http::Response& response) const {
   const bool turned_away =
       (response.status == 503 || response.status == 504) && response.headers.get(not_run_header) == "1";
   const Outcome answered = response.status == 200 && !response.body.empty() ? Outcome::ok
-                           : turned_away                                    ? Outcome::full
+                           : turned_away                                    ? Outcome::rejected
                                                                             : Outcome::error;
-  umpire::Classed classed{umpire::outcome_of(how, answered)};
-  if (params_.nodes.reports == Reports::none) return classed;
+  umpire::AttemptResult classify{umpire::outcome_of(how, answered)};
+  if (params_.nodes.reports == Reports::none) return classify;
   if (const auto load = figures_of(response.headers.get(load_header)))
     for (auto& [name, value] : *load)
-      if (auto* place = params::load_place(classed.load, name); place && value >= 0) *place = value;
-  return classed;
+      if (auto* place = params::load_place(classify.load, name); place && value >= 0) *place = value;
+  return classify;
 }
 
-http::Response PlatformProtocol::not_taken(const umpire::Refusal& refusal) const {
-  http::Response response = http::text_answer(refusal.status, refusal.why + "\n");
+http::Response PlatformProtocol::rejected_before_routing(const umpire::Rejection& rejection) const {
+  http::Response response = http::text_answer(rejection.status, rejection.why + "\n");
   response.keep_alive = false;
   return response;
 }
 
-http::Response PlatformProtocol::settled(http::Response&& from, const std::string&, int) const {
+http::Response PlatformProtocol::succeeded(http::Response&& from, const std::string&, int) const {
   http::Response passed;
   http::Headers headers;
   http::copy_end_to_end(from.headers, headers);
@@ -146,7 +146,7 @@
   return passed;
 }
 
-http::Response PlatformProtocol::declined(Span pause, const std::string& why) const {
+http::Response PlatformProtocol::rejected(Span pause, const std::string& why) const {
   http::Response response = http::text_answer(503, "declined, it is safe to try again: " + why + "\n");
   if (pause > Span{}) {
     char text[32];
@@ -156,7 +156,7 @@
   return response;
 }
 
-http::Response PlatformProtocol::voided(bool late, const std::string& why) const {
+http::Response PlatformProtocol::failed(bool late, const std::string& why) const {
   return http::text_answer(late ? 504 : 502, "voided, it may have been carried out: " + why + "\n");
 }
 
--- a/src/platform/protocol.h
+++ b/src/platform/protocol.h
@@ -9,14 +9,14 @@
 class PlatformProtocol : public umpire::Protocol {
  public:
   explicit PlatformProtocol(const params::Params& params) : params_(params) {}
-  std::optional<http::Response> aside(const http::Request& request, bool routes) const override;
-  umpire::Asked read(http::Exchange& exchange, int txn) const override;
-  void submission(http::Request& onward, std::size_t number, Span within) const override;
-  umpire::Classed classed(http::Ended how, const http::Response& response) const override;
-  http::Response not_taken(const umpire::Refusal& refusal) const override;
-  http::Response settled(http::Response&& from, const std::string& node, int build) const override;
-  http::Response declined(Span pause, const std::string& why) const override;
-  http::Response voided(bool late, const std::string& why) const override;
+  std::optional<http::Response> admin_response(const http::Request& request, bool routes) const override;
+  umpire::ParsedRequest read(http::Exchange& exchange, int request_id) const override;
+  void prepare_attempt(http::Request& onward, std::size_t number, Span within) const override;
+  umpire::AttemptResult classify(http::Ended how, const http::Response& response) const override;
+  http::Response rejected_before_routing(const umpire::Rejection& rejection) const override;
+  http::Response succeeded(http::Response&& from, const std::string& node, int build) const override;
+  http::Response rejected(Span pause, const std::string& why) const override;
+  http::Response failed(bool late, const std::string& why) const override;
 
  private:
   params::Params params_;
--- a/src/platform/sources.cpp
+++ b/src/platform/sources.cpp
@@ -223,10 +223,10 @@
                      .text();
   caller_->call(request, vote_within_, [this, answered](http::Ended how, http::Response&& response) {
     if (how == http::Ended::unreached || how == http::Ended::withheld)
-      return answered(Outcome::no_connection);
+      return answered(Outcome::connect_failure);
     if (how != http::Ended::answered) return answered(Outcome::timeout);
-    if (response.status == 409) return answered(Outcome::moot);
-    if (response.status == 429) return answered(Outcome::full);
+    if (response.status == 409) return answered(Outcome::obsolete);
+    if (response.status == 429) return answered(Outcome::rejected);
     if (response.status != 200) return answered(Outcome::error);
     RelNews rel{};
     try {
--- a/src/platform/sources.h
+++ b/src/platform/sources.h
@@ -83,7 +83,7 @@
              unsigned salt, const log::Log& log);
   void start(Heard heard) override;
   void vote(int build, int stage, Verdict verdict, Answered answered) override;
-  void patients(long, long) override {}  // this platform does not ask
+  void client_outcomes(long, long) override {}  // this platform does not ask
   void on_flagged(Flagged flagged) { flagged_ = std::move(flagged); }
   void move(const std::string& address);
 
--- a/src/record/lines.cpp
+++ b/src/record/lines.cpp
@@ -24,7 +24,7 @@
 void node_met(Writer& to, Span at, const char* what, const Met& met) {
   json::Out out;
   begin(out, at, what).put("node", met.node).put("build", met.build).put("id", static_cast<long>(met.id));
-  out.put("product", met.product).put("txn", met.txn).put("submission", met.submission);
+  out.put("product", met.request_class).put("txn", met.request_name).put("submission", met.attempt);
   out.put("try", met.try_id).put("key", met.key).put("work", met.work);
   to.line(out.close().text());
 }
@@ -86,7 +86,7 @@
   out.open().put("t", static_cast<long>(one.from.count())).put("t1", static_cast<long>(one.to.count()));
   out.put("until", static_cast<long>(one.until.count())).put("id", static_cast<long>(one.id));
   out.put("first", static_cast<long>(one.first)).put("n", one.number).put("umpire", one.umpire);
-  out.put("product", one.product).put("tenant", one.tenant).put("key", one.key).put("poison", one.poison);
+  out.put("product", one.request_class).put("tenant", one.tenant).put("key", one.key).put("poison", one.poison);
   out.put("end", one.end).put("status", one.status).put("why", one.why).put("node", one.node);
   to.line(out.put("build", one.build).put("right", one.right).close().text());
 }
--- a/src/record/lines.h
+++ b/src/record/lines.h
@@ -27,8 +27,8 @@
   std::string_view node;
   int build;
   std::int64_t id;
-  int product;
-  std::string_view txn, submission, try_id, key, work;
+  int request_class;
+  std::string_view request_name, attempt, try_id, key, work;
 };
 void node_met(Writer& to, Span at, const char* what, const Met& met);
 void node_ran(Writer& to, Span at, std::string_view node, std::int64_t id, const char* how, bool effect);
@@ -47,7 +47,7 @@
 struct Tried {
   Span from, to, until;
   std::int64_t id, first;
-  int number, product, tenant;
+  int number, request_class, tenant;
   std::string_view umpire, key;
   bool poison;
   const char* end;
--- a/src/record/meta.cpp
+++ b/src/record/meta.cpp
@@ -7,10 +7,10 @@
 
 namespace robinhoist::record {
 namespace {
-const std::pair<const char*, Effect> effects[] = {
-    {"inquiry", Effect::inquiry}, {"referenced", Effect::referenced}, {"once-only", Effect::once_only}};
-const std::pair<const char*, Group> groups[] = {
-    {"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}};
+const std::pair<const char*, Idempotency> effects[] = {
+    {"inquiry", Idempotency::idempotent}, {"referenced", Idempotency::idempotent_with_key}, {"once-only", Idempotency::non_idempotent}};
+const std::pair<const char*, DedupScope> groups[] = {
+    {"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}};
 }  // namespace
 
 void write(const std::string& file, const Meta& meta) {
@@ -25,22 +25,22 @@
                                                            {"answer_slack_ms", meta.answer_slack}})
     out.put_ms(name, span);
   out.put("free", meta.free).put("fall_multiple", meta.fall_multiple).put("cold_from", meta.cold_from);
-  out.put("by_product", meta.by_product).put("safe_only_stages", meta.safe_only_stages).open_list("caps");
+  out.put("by_product", meta.by_request_class).put("safe_only_stages", meta.safe_only_stages).open_list("caps");
   for (double cap : meta.caps) out.put(nullptr, cap);
   out.close_list().open_list("steps");
   for (auto& step : meta.steps) out.put(nullptr, step);
   out.close_list().open_list("tenants");
   for (auto& tenant : meta.tenants) out.put(nullptr, tenant);
   out.close_list().open_list("products");
-  for (auto& product : meta.products)
+  for (auto& request_class : meta.request_classes)
     out.open()
-        .put("name", product.name)
-        .put_ms("sla_ms", product.sla)
-        .put_ms("expiry_ms", product.expiry)
-        .put_ms("memory_ms", product.memory)
-        .put("effect", effects[static_cast<int>(product.effect)].first)
-        .put("group", groups[static_cast<int>(product.group)].first)
-        .put("revenue", product.revenue)
+        .put("name", request_class.name)
+        .put_ms("sla_ms", request_class.latency_objective)
+        .put_ms("expiry_ms", request_class.deadline)
+        .put_ms("memory_ms", request_class.dedup_window)
+        .put("effect", effects[static_cast<int>(request_class.idempotency)].first)
+        .put("group", groups[static_cast<int>(request_class.dedup_scope)].first)
+        .put("revenue", request_class.priority_weight)
         .close();
   out.close_list().close();
   std::ofstream to(file);
@@ -67,22 +67,22 @@
     meta.free = json::number(document, "free");
     meta.fall_multiple = json::number(document, "fall_multiple");
     meta.cold_from = json::number(document, "cold_from");
-    meta.by_product = json::truth(document, "by_product");
+    meta.by_request_class = json::truth(document, "by_product");
     meta.safe_only_stages = json::whole(document, "safe_only_stages");
     for (auto& cap : json::array(document, "caps").GetArray()) meta.caps.push_back(cap.GetDouble());
     for (auto& step : json::array(document, "steps").GetArray()) meta.steps.push_back(step.GetString());
     for (auto& tenant : json::array(document, "tenants").GetArray())
       meta.tenants.push_back(tenant.GetString());
     for (auto& each : json::array(document, "products").GetArray()) {
-      Meta::Product product;
-      product.name = json::text(each, "name");
-      product.sla = json::time_of(each, "sla_ms");
-      product.expiry = json::time_of(each, "expiry_ms");
-      product.memory = json::time_of(each, "memory_ms");
-      product.effect = json::word<Effect>(each, "effect", {effects[0], effects[1], effects[2]});
-      product.group = json::word<Group>(each, "group", {groups[0], groups[1], groups[2]});
-      product.revenue = json::number(each, "revenue");
-      meta.products.push_back(product);
+      Meta::RequestClass request_class;
+      request_class.name = json::text(each, "name");
+      request_class.latency_objective = json::time_of(each, "sla_ms");
+      request_class.deadline = json::time_of(each, "expiry_ms");
+      request_class.dedup_window = json::time_of(each, "memory_ms");
+      request_class.idempotency = json::word<Idempotency>(each, "effect", {effects[0], effects[1], effects[2]});
+      request_class.dedup_scope = json::word<DedupScope>(each, "group", {groups[0], groups[1], groups[2]});
+      request_class.priority_weight = json::number(each, "revenue");
+      meta.request_classes.push_back(request_class);
     }
     return meta;
   } catch (const json::BadInput& bad) {
--- a/src/record/meta.h
+++ b/src/record/meta.h
@@ -8,20 +8,20 @@
 namespace robinhoist::record {
 
 struct Meta {
-  struct Product {
+  struct RequestClass {
     std::string name{};
-    Span sla{}, expiry{}, memory{};
-    Effect effect = Effect::inquiry;
-    Group group = Group::all;
-    double revenue = 1;
+    Span latency_objective{}, deadline{}, dedup_window{};
+    Idempotency idempotency = Idempotency::idempotent;
+    DedupScope dedup_scope = DedupScope::all;
+    double priority_weight = 1;
   };
-  std::vector<Product> products{};
+  std::vector<RequestClass> request_classes{};
   std::vector<std::string> tenants{};
   std::vector<double> caps{};
   std::vector<std::string> steps{};  // of all releases, "build/id", in the order in which they must run
   Span length{}, drain_grace{}, window{}, fall_window{}, cold_for{}, answer_slack{};
   double free = 0, fall_multiple = 0, cold_from = 0;
-  bool by_product = false;
+  bool by_request_class = false;
   int safe_only_stages = 0, umpires = 0, nodes = 0;
   long seed = 0;
 };
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -147,20 +147,20 @@
 Outcome Rollout::vote(const std::string& umpire, int build, int stage, Verdict verdict, Span now) {
   tokens_ = std::min(2 * settings_.calls_per_s, tokens_ + seconds(now - tokens_at_) * settings_.calls_per_s);
   tokens_at_ = now;
-  if (tokens_ < 1) return Outcome::full;
+  if (tokens_ < 1) return Outcome::rejected;
   tokens_ -= 1;
-  if (build != build_) return Outcome::moot;
+  if (build != build_) return Outcome::obsolete;
   const bool trial = phase_ == RelPhase::trial;
   switch (verdict) {
     case Verdict::on:
-      if (!trial || stage != stage_ || settings_.gate == Gate::clock) return Outcome::moot;
+      if (!trial || stage != stage_ || settings_.gate == Gate::clock) return Outcome::obsolete;
       break;
     case Verdict::hold:
-      if (!trial || stage != stage_ || settings_.gate != Gate::clock) return Outcome::moot;
+      if (!trial || stage != stage_ || settings_.gate != Gate::clock) return Outcome::obsolete;
       break;
     case Verdict::back:
       // A release that is out can be sent back until the next is offered.
-      if (!can_go_back(now)) return Outcome::moot;
+      if (!can_go_back(now)) return Outcome::obsolete;
       break;
     case Verdict::none:
       break;
--- a/src/standin/nodes.cpp
+++ b/src/standin/nodes.cpp
@@ -16,7 +16,7 @@
       : spec(given), machine(given.capacity, given.build, salt, started, marks, harm) {}
   struct Open {
     http::ExchangePtr exchange;
-    int product;
+    int request_class;
     Span by;  // the answer takes so much longer
   };
   NodeSpec spec;
@@ -103,12 +103,12 @@
 void Nodes::fail_probes(const std::string& name, double share) {
   if (runs(name)) nodes_[name]->probes_fail = share;
 }
-void Nodes::note(const Node& node, const char* what, const http::Request& request, int product,
+void Nodes::note(const Node& node, const char* what, const http::Request& request, int request_class,
                  std::int64_t id) {
   if (!record_) return;
   const http::Headers& said = request.headers;
   record::node_met(*record_, loop_.now(), what,
-                   {node.spec.name, node.spec.build.number, id, product, said.get("Robinhoist-Txn"),
+                   {node.spec.name, node.spec.build.number, id, request_class, said.get("Robinhoist-Txn"),
                     said.get("Robinhoist-Submission"), said.get("X-Try"), said.get("Idempotency-Key"),
                     said.get("X-Work-Us")});
 }
@@ -118,7 +118,7 @@
   // Kept and never answered.
   auto swallow = [&](const char* why) {
     const std::int64_t id = next_id_++;
-    note(node, why, request, deployment_.product_of(request.method, request.path()), id);
+    note(node, why, request, deployment_.match_request_class(request.method, request.path()), id);
     node.open[id] = {exchange, -1, Span{}};
     exchange->on_gone = [at = &node, id] { at->open.erase(id); };
   };
@@ -135,32 +135,32 @@
   }
   if (there.cut) return swallow("cut");
   if (there.lost > 0 && chance() < there.lost) {
-    note(node, "cut", request, deployment_.product_of(request.method, request.path()), next_id_++);
+    note(node, "cut", request, deployment_.match_request_class(request.method, request.path()), next_id_++);
     return exchange->hang_up();
   }
   const Span by = there.by + (exchange->first ? node.handshake : Span{});
-  const int product = deployment_.product_of(request.method, request.path());
-  if (product < 0) return exchange->answer(http::text_answer(404, "no such product\n"));
+  const int request_class = deployment_.match_request_class(request.method, request.path());
+  if (request_class < 0) return exchange->answer(http::text_answer(404, "no such product\n"));
   machine::Work work;
   work.id = next_id_++;
-  work.product = product;
+  work.request_class = request_class;
   std::string_view said = request.headers.get("X-Work-Us");
   auto us = said.empty() ? std::nullopt : settings::number_of(std::string(said));
   work.work = us && *us >= 0                                    ? Span(static_cast<std::int64_t>(*us))
-              : product < static_cast<int>(shared_.work.size()) ? shared_.work[product]
+              : request_class < static_cast<int>(shared_.work.size()) ? shared_.work[request_class]
                                                                 : Span(1ms);
-  const Effect effect = deployment_.products[product].product.effect;
-  work.effect = effect != Effect::inquiry;
-  if (effect == Effect::referenced) work.key = request.headers.get("Idempotency-Key");
+  const Idempotency idempotency = deployment_.request_classes[request_class].request_class.idempotency;
+  work.effect = idempotency != Idempotency::idempotent;
+  if (idempotency == Idempotency::idempotent_with_key) work.key = request.headers.get("Idempotency-Key");
   if (!request.headers.get("X-Poison").empty()) {
-    note(node, "poison", request, product, work.id);
+    note(node, "poison", request, request_class, work.id);
     return exchange->answer(http::json_answer(500, "{\"error\":\"poison\"}"));
   }
   const bool was_fallen = node.machine.fallen();
   const machine::Entry entry = node.machine.arrive(work, loop_.now());
   if (!was_fallen && node.machine.fallen()) {
     ++figures_.fell;
-    note(node, "fell", request, product, work.id);
+    note(node, "fell", request, request_class, work.id);
   }
   ++figures_.arrived;
   lately_.emplace_back(loop_.now(), node.spec.build.number);
@@ -170,13 +170,13 @@
   }
   if (entry == machine::Entry::full) {
     ++figures_.refused;
-    note(node, "refused", request, product, work.id);
+    note(node, "refused", request, request_class, work.id);
     http::Response full = http::text_answer(503, "no room\n");
     full.headers.add("X-Not-Run", "1");
     return exchange->answer(std::move(full));
   }
-  note(node, "taken", request, product, work.id);
-  node.open[work.id] = {exchange, product, by};
+  note(node, "taken", request, request_class, work.id);
+  node.open[work.id] = {exchange, request_class, by};
   exchange->on_gone = [this, at = &node, id = work.id] {
     at->open.erase(id);
     at->machine.called_off(id, shared_.cancelled != Cancelled::nothing, shared_.cancelled == Cancelled::all,
@@ -214,7 +214,7 @@
             ? http::json_answer(500, "{\"error\":\"failed\"}")
             : http::json_answer(200, json::Out()
                                          .open()
-                                         .put("product", deployment_.products[open.product].name)
+                                         .put("product", deployment_.request_classes[open.request_class].name)
                                          .put("node", node.spec.name)
                                          .put("build", node.spec.build.number)
                                          .put("right", done->how != machine::Ran::wrong)
--- a/src/standin/nodes.h
+++ b/src/standin/nodes.h
@@ -81,7 +81,7 @@
   void handle(Node& node, const http::ExchangePtr& exchange);
   void finish(Node& node);
   void plan(Node& node);
-  void note(const Node& node, const char* what, const http::Request& request, int product, std::int64_t id);
+  void note(const Node& node, const char* what, const http::Request& request, int request_class, std::int64_t id);
 
   net::Loop& loop_;
   deployment::Deployment deployment_;
--- a/src/state.h
+++ b/src/state.h
@@ -15,15 +15,15 @@
 
 constexpr Span long_ago = std::chrono::hours(-1);
 
-enum class Effect { inquiry, referenced, once_only };
-enum class Group { all, zone, cell };
+enum class Idempotency { idempotent, idempotent_with_key, non_idempotent };
+enum class DedupScope { all, zone, cell };
 enum class NodePhase { in, lame, out };
-enum class Outcome { ok, error, full, timeout, no_connection, reset, cancelled, moot, unknown };
+enum class Outcome { ok, error, rejected, timeout, connect_failure, reset, cancelled, obsolete, unknown };
 inline bool lost(Outcome o) {
-  return o == Outcome::timeout || o == Outcome::no_connection || o == Outcome::reset;
+  return o == Outcome::timeout || o == Outcome::connect_failure || o == Outcome::reset;
 }
 inline bool proves_not_run(Outcome o) {
-  return o == Outcome::full || o == Outcome::no_connection || o == Outcome::moot;
+  return o == Outcome::rejected || o == Outcome::connect_failure || o == Outcome::obsolete;
 }
 
 enum class Gate { first_vote, count, clock };
@@ -32,11 +32,11 @@
 enum class ListNews { changes, whole, saved, failed };
 enum class Reports { none, answers, probes };
 
-struct Product {
-  Span sla, expiry, memory;
-  Effect effect;
-  Group group;
-  double revenue, late_share;
+struct RequestClass {
+  Span latency_objective, deadline, dedup_window;
+  Idempotency idempotency;
+  DedupScope dedup_scope;
+  double priority_weight, late_weight_share;
   bool stream;
 };
 
@@ -56,7 +56,7 @@
 struct ExposureSettings {
   Span window;
   double free;
-  bool by_product, one_way, in_place;
+  bool by_request_class, one_way, in_place;
   int safe_only_stages;
   std::vector<double> caps;
 };
@@ -68,13 +68,13 @@
   int umpires, to_advance, to_hold, to_revert;
 };
 
-struct TxnSettings {
-  std::vector<Product> products;
+struct RequestSettings {
+  std::vector<RequestClass> request_classes;
   std::vector<Tenant> tenants;
-  int max_submissions, umpires;
-  bool second_copies, cancelling, advice;
+  int max_attempts, umpires;
+  bool hedging, cancelling, advice;
   Span max_pause, slack, tick;
-  double over_share_revenue;
+  double over_quota_weight;
 };
 
 struct NodeNews {
@@ -97,22 +97,22 @@
   std::optional<double> held, waiting, busy, service_ms, served_ps, failed_ps;
 };
 
-struct Arrival {
-  int txn, product, tenant;
-  Span expiry;
-  double hint_ms;  // zero: none came
+struct RequestInfo {
+  int request_id, request_class, tenant;
+  Span deadline;
+  double cost_hint_ms;  // zero: none came
   std::string key;
-  bool repeat;
+  bool is_retry;
 };
 
-enum class Action { submit, decline, give_up, cancel, probe, close, subscribe, fetch, vote, wake, log };
+enum class Action { forward, reject, fail, cancel, probe, close, subscribe, fetch, vote, wake, log };
 
 // One decision; which fields count follows from the action.
 struct Decision {
   Action action;
-  int txn = -1;
+  int request_id = -1;
   int node = -1;
-  int submission = -1;
+  int attempt = -1;
   Span span{};  // time-out, advice when to come back, or time until the wake-up
   int build = -1;
   int stage = 0;
@@ -140,7 +140,7 @@
   bool listed = false;
   int dead_run = 0;                            // submissions lost in a row without any reply
   int full_run = 0;                            // submissions turned away in a row
-  int settled = 0;                             // answers of late, while warm
+  int succeeded = 0;                             // answers of late, while warm
   Span back_at = long_ago;                     // answered again after it was taken for dead
   Span told = long_ago, cold_sent = long_ago;  // when its start was heard of, and last sent to while cold
   Span dead_at = long_ago, heard_at = long_ago, full_at = long_ago;
@@ -152,26 +152,26 @@
   Span load_at = long_ago;
 };
 
-struct Submission {
+struct Attempt {
   int node, build;
   Span sent;
   int in_hand;
   bool out = true, never_ran = false, failed = false, unreached = false;
 };
 
-struct Txn {
-  Arrival asked;
+struct ScheduledRequest {
+  RequestInfo info;
   Span look_at{};
-  std::vector<Submission> submissions{};
+  std::vector<Attempt> attempts{};
   bool over = false, streaming = false;
 };
 
 // One judged submission of an arm.
 struct Sample {
   Span at, sent;
-  int node, product, tenant;
+  int node, request_class, tenant;
   bool failed, lost, warm;
-  double ratio, sla_part;  // latency over the product's usual one, and over its SLA time
+  double ratio, objective_ratio;  // latency over the product's usual one, and over its SLA time
 };
 
 // What is known of the release now offered, as judged from one arm's view.
--- a/src/steps/core.cpp
+++ b/src/steps/core.cpp
@@ -8,8 +8,8 @@
 using namespace std::chrono_literals;
 // A data step backs off while more than this part of the txns do poorly: its pause between batches doubles,
 // and shrinks by a quarter with each word that all is well.
-constexpr double poorly_most = 0.02;
-constexpr long txns_enough = 20;
+constexpr double max_unsuccessful_share = 0.02;
+constexpr long min_requests = 20;
 constexpr std::size_t pace_most = 16;
 constexpr Span throttle_least = 20ms, throttle_most = 5s;
 }  // namespace
@@ -224,9 +224,9 @@
   }
 }
 
-void Core::patients(long txns, long poorly, Span now) {
-  if (txns < txns_enough) return;
-  if (static_cast<double>(poorly) > poorly_most * static_cast<double>(txns))
+void Core::client_outcomes(long requests, long unsuccessful, Span now) {
+  if (requests < min_requests) return;
+  if (static_cast<double>(unsuccessful) > max_unsuccessful_share * static_cast<double>(requests))
     throttle_ = std::min(throttle_most, std::max(throttle_least, 2 * throttle_));
   else throttle_ = throttle_ * 3 / 4 < throttle_least / 2 ? Span{} : throttle_ * 3 / 4;
   batch_at_ = std::min(std::max(batch_at_, now), now + throttle_);
@@ -286,7 +286,7 @@
   return true;
 }
 
-bool Core::settled() const {
+bool Core::succeeded() const {
   for (int i = 0; i < static_cast<int>(plan_.steps.size()); ++i) {
     if (release_.withdrawn ? to_undo(i) : wanted(i) && !finished(i)) return false;
   }
--- a/src/steps/core.h
+++ b/src/steps/core.h
@@ -80,7 +80,7 @@
   void reaches(int step, std::int64_t last) { progress_[step].last = last; }
   void pause(bool on) { paused_ = on; }
   // Of the umpires' txns since the last word: how many, and how many were late, declined or voided.
-  void patients(long txns, long poorly, Span now);
+  void client_outcomes(long requests, long unsuccessful, Span now);
   // The operator: try it again (it is known to be safe), or take it as done.
   bool retry(int step);
   bool skip(int step);
@@ -96,7 +96,7 @@
   // Whether a wave may take traffic; `why` says what is missing.
   bool allows(int stage, std::string* why = nullptr) const;
   // Nothing is left to do as things stand.
-  bool settled() const;
+  bool succeeded() const;
 
   const Plan& plan() const { return plan_; }
   const std::vector<Progress>& progress() const { return progress_; }
--- a/src/steps/runner.cpp
+++ b/src/steps/runner.cpp
@@ -101,7 +101,7 @@
 bool Runner::allows(int build, int stage, std::string* why) const {
   // While an earlier release still has steps to undo or to finish, the next does not start.
   for (auto& other : runs_)
-    if (other->core.plan().build < build && !other->core.settled()) {
+    if (other->core.plan().build < build && !other->core.succeeded()) {
       if (why) *why = "build " + std::to_string(other->core.plan().build) + " still has steps to run";
       return false;
     }
@@ -181,7 +181,7 @@
     if (token_ > 0 && loop_.now() < lease_until_) {
       for (auto& run : runs_) {
         while (auto todo = run->core.next(loop_.now())) act(*run, *todo);
-        if (!run->core.settled() || run->core.busy()) {
+        if (!run->core.succeeded() || run->core.busy()) {
           if (auto at = run->core.next_look())
             look_ = loop_.at(std::max(*at, loop_.now() + 1ms), [this] { pull(); });
           break;
@@ -313,13 +313,13 @@
   return "";
 }
 
-void Runner::patients(long txns, long poorly) {
-  for (auto& run : runs_) run->core.patients(txns, poorly, loop_.now());
+void Runner::client_outcomes(long requests, long unsuccessful) {
+  for (auto& run : runs_) run->core.client_outcomes(requests, unsuccessful, loop_.now());
 }
 
-bool Runner::settled() const {
+bool Runner::succeeded() const {
   return std::all_of(runs_.begin(), runs_.end(),
-                     [](auto& run) { return run->core.settled() && !run->core.busy(); });
+                     [](auto& run) { return run->core.succeeded() && !run->core.busy(); });
 }
 
 bool Runner::stuck() const {
--- a/src/steps/runner.h
+++ b/src/steps/runner.h
@@ -39,7 +39,7 @@
   std::string pause(bool on, const std::string& who, const std::string& why);
   std::string retry(int build, const std::string& step, const std::string& who, const std::string& why);
   std::string skip(int build, const std::string& step, const std::string& who, const std::string& why);
-  void patients(long txns, long poorly);
+  void client_outcomes(long requests, long unsuccessful);
   // Asks the target again about every step that was applied, by its check, else by its mark; nothing is
   // changed. JSON, once all have been asked.
   void verify(std::function<void(const std::string&)> done);
@@ -48,7 +48,7 @@
   std::function<void()> changed{};
 
   std::string status() const;  // JSON
-  bool settled() const;
+  bool succeeded() const;
   bool stuck() const;
   bool has_plan(int build) const { return find(build) != nullptr; }
   // Of a build's plan, in order: id, phase, state in words.
--- a/src/trail/trail.cpp
+++ b/src/trail/trail.cpp
@@ -53,23 +53,23 @@
   return text;
 }
 
-TracePtr Trail::begin(const std::string& txn, const std::optional<Parent>& parent, Span now) {
+TracePtr Trail::begin(const std::string& request_name, const std::optional<Parent>& parent, Span now) {
   if (!on()) return nullptr;
   const bool asked = parent && parent->sampled;
   if (!asked &&
       (settings_.share <= 0 || std::uniform_real_distribution<double>(0, 1)(chance_) >= settings_.share))
     return nullptr;
-  auto trace = std::make_shared<Trace>(txn, parent ? parent->trace : drawn(32), drawn(16), now);
+  auto trace = std::make_shared<Trace>(request_name, parent ? parent->trace : drawn(32), drawn(16), now);
   while (traces_.size() >= settings_.keep) {
     const Trace& old = *traces_.front();
     // Another txn of the same trace may have taken its place.
-    for (const std::string* id : {&old.txn, &old.trace})
+    for (const std::string* id : {&old.request_name, &old.trace})
       if (auto at = by_id_.find(*id); at != by_id_.end() && at->second.lock() == traces_.front())
         by_id_.erase(at);
     traces_.pop_front();
   }
   traces_.push_back(trace);
-  by_id_[trace->txn] = trace;
+  by_id_[trace->request_name] = trace;
   by_id_[trace->trace] = trace;
   return trace;
 }
--- a/src/trail/trail.h
+++ b/src/trail/trail.h
@@ -34,10 +34,10 @@
 
 class Trace {
  public:
-  Trace(std::string txn, std::string trace, std::string span, Span began)
-      : txn(std::move(txn)), trace(std::move(trace)), span(std::move(span)), began(began) {}
+  Trace(std::string request_name, std::string trace, std::string span, Span began)
+      : request_name(std::move(request_name)), trace(std::move(trace)), span(std::move(span)), began(began) {}
   void note(Span now, std::string what, std::initializer_list<std::pair<std::string, std::string>> figures);
-  const std::string txn, trace, span;  // the umpire's name for it; the trace's id; the id of our part in it
+  const std::string request_name, trace, span;  // the umpire's name for it; the trace's id; the id of our part in it
   const Span began;
   const std::vector<Event>& events() const { return events_; }
   std::size_t dropped() const { return dropped_; }
@@ -58,7 +58,7 @@
  public:
   Trail(const Settings& settings, unsigned salt) : settings_(settings), chance_(salt) {}
   // Null when it is not traced.
-  TracePtr begin(const std::string& txn, const std::optional<Parent>& parent, Span now);
+  TracePtr begin(const std::string& request_name, const std::optional<Parent>& parent, Span now);
   bool on() const { return settings_.keep > 0; }
   // By the umpire's name for the txn or the trace's id; the last of that trace.
   TracePtr find(const std::string& id) const;
