--- a/tests/stage.h
+++ b/tests/stage.h
@@ -22,16 +22,16 @@
 // A node that does with each request what its script says next; the last word goes on for ever.
 struct ScriptNode {
   struct Conn : net::Stream::Owner {
-    ScriptNode& node;
+    ScriptNode& endpoint;
     Span answered{};
     std::shared_ptr<net::Stream> stream;
     http::RequestReader reader{http::Limits{}};
-    Conn(ScriptNode& of, int fd) : node(of), stream(net::Stream::adopt(of.loop, fd, *this)) {}
+    Conn(ScriptNode& of, int fd) : endpoint(of), stream(net::Stream::adopt(of.loop, fd, *this)) {}
     ~Conn() override { stream->drop(); }
     void on_bytes(net::Stream&) override {
       while (stream->open() && reader.read(stream->in()) == http::Read::whole) {
-        node.last = reader.take();
-        act(node.next());
+        endpoint.last = reader.take();
+        act(endpoint.next());
       }
     }
     void on_closed(net::Stream&, net::Closed) override {}
@@ -40,8 +40,8 @@
     }
     void act(const std::string& what) {
       if (what.rfind("stale-", 0) == 0) {  // dropped unseen when idle for so long: the next request is reset
-        if (answered != Span{} && node.loop.now() > answered + ms(what.substr(6))) return stream->drop(true);
-        answered = node.loop.now();
+        if (answered != Span{} && endpoint.loop.now() > answered + ms(what.substr(6))) return stream->drop(true);
+        answered = endpoint.loop.now();
         return answer(200);
       }
       if (what == "ok") answer(200);
@@ -57,7 +57,7 @@
       else if (what == "twice") answer(200), answer(200);
       else if (what == "twice-apart") {
         answer(200);
-        node.loop.in(3ms, [this] { stream->write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"); });
+        endpoint.loop.in(3ms, [this] { stream->write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"); });
       } else if (what == "busy") answer(503);
       else if (what == "close") stream->drop();
       else if (what == "reset") stream->drop(true);
@@ -79,9 +79,9 @@
       } else if (what == "huge") {
         stream->write("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n");
       } else if (what.rfind("late-", 0) == 0) {
-        node.loop.in(ms(what.substr(5)), [this] { answer(200); });
+        endpoint.loop.in(ms(what.substr(5)), [this] { answer(200); });
       } else if (what.rfind("close-", 0) == 0) {
-        node.loop.in(ms(what.substr(6)), [this] { stream->drop(); });
+        endpoint.loop.in(ms(what.substr(6)), [this] { stream->drop(); });
       } else if (what != "silence") {
         throw std::runtime_error("no such behaviour: " + what);
       }
@@ -144,7 +144,7 @@
   ~RawClient() override { stream->drop(); }
 };
 
-struct FakeNodes : umpire::NodeSource {
+struct FakeNodes : umpire::EndpointSource {
   Heard heard{};
   void start(Heard h) override { heard = std::move(h); }
   void refresh() override {}
@@ -168,7 +168,7 @@
   Make make;
   net::Loop loop{net::steady_now()};
   log::Log log{"test", "err"};
-  FakeNodes nodes{};
+  FakeNodes endpoints{};
   FakeReleases releases{};
   std::unique_ptr<umpire::Router> router{};
   std::map<std::string, std::unique_ptr<ScriptNode>> scripted{};
@@ -196,11 +196,11 @@
 
   void list(const std::string& name, const std::string& phase, int build = 1) {
     begin();
-    list::Entry entry{.name = name, .zone = "here", .build = build};
-    const auto& node = scripted.at(name);
-    entry.address = "127.0.0.1:" + std::to_string(node ? node->port() : 1);
-    entry.phase = phase == "in" ? NodePhase::in : phase == "lame" ? NodePhase::lame : NodePhase::out;
-    nodes.heard({"s", ++version, false, {entry}});
+    registry::Endpoint entry{.name = name, .zone = "here", .build = build};
+    const auto& endpoint = scripted.at(name);
+    entry.address = "127.0.0.1:" + std::to_string(endpoint ? endpoint->port() : 1);
+    entry.phase = phase == "in" ? EndpointPhase::ready : phase == "lame" ? EndpointPhase::draining : EndpointPhase::removed;
+    endpoints.heard({"s", ++version, false, {entry}});
   }
 
   RawClient& connect(const std::string& name) {
@@ -226,10 +226,10 @@
       return;
     }
     if (w[1] == "node") {
-      ScriptNode& node = *scripted.at(w[2]);
+      ScriptNode& endpoint = *scripted.at(w[2]);
       if (w[3] == "requests")
-        EXPECT_TRUE(tests::compares(node.requests, w[4], std::stod(w[5]))) << node.requests;
-      else EXPECT_EQ(node.last.headers.get(w[3]), w[4]);
+        EXPECT_TRUE(tests::compares(endpoint.requests, w[4], std::stod(w[5]))) << endpoint.requests;
+      else EXPECT_EQ(endpoint.last.headers.get(w[3]), w[4]);
       return;
     }
     if (w[1] == "open") {
--- a/tests/umpire_test.cpp
+++ b/tests/umpire_test.cpp
@@ -29,7 +29,7 @@
   const umpire::HttpProtocol protocol(settings);
   tests::Stage stage([&](tests::Stage& on) {
     return std::make_unique<umpire::Router>(on.loop, umpire::router_settings(settings),
-                                            umpire::params_of(settings), protocol, on.log, on.nodes,
+                                            umpire::params_of(settings), protocol, on.log, on.endpoints,
                                             on.releases);
   });
   tests::play_on(stage, GetParam());
