--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -13,7 +13,7 @@
 #include "controller/process.h"
 #include "http/stream_caller.h"
 #include "json/fields.h"
-#include "umpire/sources.h"
+#include "proxy/sources.h"
 
 namespace {
 
@@ -159,24 +159,24 @@
   client.end();
 }
 
-void storm(Served& served, int umpires) {
+void storm(Served& served, int proxies) {
   Running at;
   log::Log log("bench", "off");
-  std::vector<std::unique_ptr<umpire::WatchReleaseSource>> sources;
+  std::vector<std::unique_ptr<proxy::WatchReleaseSource>> sources;
   std::atomic<int> heard{0}, build{1};
   at.loop.call([&] {
-    for (int u = 0; u < umpires; ++u) {
-      sources.push_back(std::make_unique<umpire::WatchReleaseSource>(
+    for (int u = 0; u < proxies; ++u) {
+      sources.push_back(std::make_unique<proxy::WatchReleaseSource>(
           at.loop,
-          umpire::WatchReleaseSource::Settings{.from = served.address().toString(),
-                                               .umpire = "u" + std::to_string(u),
+          proxy::WatchReleaseSource::Settings{.from = served.address().toString(),
+                                               .proxy = "u" + std::to_string(u),
                                                .vote_within = 1s,
                                                .salt = static_cast<unsigned>(u + 1)},
           log));
       sources.back()->start([&](const ReleaseUpdate& release) { heard += release.build == build; });
     }
   });
-  while (heard < umpires) std::this_thread::sleep_for(1ms);
+  while (heard < proxies) std::this_thread::sleep_for(1ms);
   served.end();
   std::this_thread::sleep_for(2s);
   heard = 0;
@@ -184,9 +184,9 @@
   const auto from = net::steady_now();
   served.start();
   served.loop.call([&] { served.controller->offer(2, "bench"); });
-  while (heard < umpires) std::this_thread::sleep_for(1ms);
+  while (heard < proxies) std::this_thread::sleep_for(1ms);
   std::printf("%d umpires, controller gone for 2 s: all know the new release's cap %.0f ms after its start\n",
-              umpires, static_cast<double>((net::steady_now() - from).count()) / 1e3);
+              proxies, static_cast<double>((net::steady_now() - from).count()) / 1e3);
   at.loop.call([&] { sources.clear(); });
   at.stop();
 }
--- a/fuzz/driver.cpp
+++ b/fuzz/driver.cpp
@@ -19,8 +19,8 @@
     std::ifstream in(argv[i], std::ios::binary);
     seeds.emplace_back(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
   }
-  std::minstd_rand chance(static_cast<unsigned>(std::atol(argv[2])));
-  const auto below = [&](std::size_t n) { return n == 0 ? 0 : chance() % n; };
+  std::minstd_rand random(static_cast<unsigned>(std::atol(argv[2])));
+  const auto below = [&](std::size_t n) { return n == 0 ? 0 : random() % n; };
   const char odd[] = "()\"; \r\n:\0\xff,019-";
   for (long run = 0; run < std::atol(argv[1]); ++run) {
     std::string text = seeds[below(seeds.size())];
@@ -31,7 +31,7 @@
           text.insert(at, 1, odd[below(sizeof odd - 1)]);
           break;
         case 1:
-          if (at < text.size()) text[at] = static_cast<char>(chance());
+          if (at < text.size()) text[at] = static_cast<char>(random());
           break;
         case 2:
           text.erase(at, 1 + below(20));
--- a/fuzz/settings_fuzz.cpp
+++ b/fuzz/settings_fuzz.cpp
@@ -3,11 +3,11 @@
 #include <cstdint>
 #include <string>
 
-#include "umpire/settings.h"
+#include "proxy/settings.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   try {
-    robinhoist::umpire::read(
+    robinhoist::proxy::read(
         robinhoist::settings::Form::of_text(std::string(reinterpret_cast<const char*>(data), size), "fuzz"));
   } catch (const robinhoist::settings::Invalid&) {}
   return 0;
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -23,14 +23,14 @@
 struct Try {
   Span at, ended, until;
   long id, first;
-  std::string umpire, end;
+  std::string proxy, end;
   int request_class, tenant;
   bool right, poison;
 };
 
 struct AttemptArrival {
   Span at;
-  std::string endpoint, umpire, what;
+  std::string endpoint, proxy, what;
   int build, request_class;
   long id, attempt, client_request_id;  // client_request_id: the client's try
   Span work;
@@ -128,7 +128,7 @@
     one.until = micros(line, "until");
     one.id = static_cast<long>(json::number(line, "id"));
     one.first = static_cast<long>(json::number(line, "first"));
-    one.umpire = json::text(line, "umpire");
+    one.proxy = json::text(line, "umpire");
     one.request_class = json::whole(line, "product", 0, static_cast<int>(report.meta.request_classes.size()) - 1);
     one.tenant = json::whole(line, "tenant");
     one.end = json::text(line, "end");
@@ -168,7 +168,7 @@
       one.request_class = json::whole(line, "product", -1);
       one.id = static_cast<long>(json::number(line, "id"));
       const std::string request_name = json::text(line, "txn");
-      one.umpire = request_name.substr(0, request_name.find('.'));
+      one.proxy = request_name.substr(0, request_name.find('.'));
       one.attempt = whole_of(json::text(line, "submission"), 0);
       one.client_request_id = whole_of(json::text(line, "try"), -1);
       one.work = Span(whole_of(json::text(line, "work"), 0));
@@ -203,17 +203,17 @@
   }
 
   // Whether the umpire was not running all the time from then to then.
-  bool interrupted(const std::string& umpire, Span from, Span to) const {
-    auto at = record.lives.find(umpire);
+  bool interrupted(const std::string& proxy, Span from, Span to) const {
+    auto at = record.lives.find(proxy);
     if (at == record.lives.end()) return true;
     return std::none_of(at->second.begin(), at->second.end(),
                         [&](const Life& life) { return life.from <= from && to <= life.to; });
   }
 
   // The told things of one life, those of the life in which `at` lies.
-  Span life_began(const std::string& umpire, Span at) const {
+  Span life_began(const std::string& proxy, Span at) const {
     Span began{};
-    auto lives = record.lives.find(umpire);
+    auto lives = record.lives.find(proxy);
     if (lives == record.lives.end()) return began;
     for (const Life& life : lives->second)
       if (life.from <= at) began = life.from;
@@ -251,7 +251,7 @@
 
   std::string who(const Try& one) const {
     return "try " + std::to_string(one.id) + " (" + report.meta.request_classes[one.request_class].name + ", " +
-           one.umpire + ", sent at " + at_s(one.at) + ")";
+           one.proxy + ", sent at " + at_s(one.at) + ")";
   }
 
   void rule1_and_2() {
@@ -266,8 +266,8 @@
       after_the_end(one, at->second);
       repeats(one, at->second);
     }
-    for (auto& [umpire, count] : record.unasked)
-      broken(1, umpire + " sent " + std::to_string(count) + " answers that no client waited for");
+    for (auto& [proxy, count] : record.unasked)
+      broken(1, proxy + " sent " + std::to_string(count) + " answers that no client waited for");
     // A mark is there against a second effect: none may have two while it holds.
     std::map<std::string, Span> effect_at;
     std::unordered_map<long, const AttemptArrival*> by_work;
@@ -301,7 +301,7 @@
       return;
     }
     if (one.end == "left" || one.end == "unreached") return;
-    if (interrupted(one.umpire, one.at - unsure, one.ended + unsure)) ++rule.excused;
+    if (interrupted(one.proxy, one.at - unsure, one.ended + unsure)) ++rule.excused;
     else
       broken(1, who(one) + " got no answer: " + one.end + " after " +
                     std::to_string((one.ended - one.at).count() / 1000) + " ms");
@@ -370,13 +370,13 @@
     std::map<std::string, Node> endpoints{};
   };
 
-  void move_on(Known& known, const std::string& umpire, Span to) const {
-    const Span began = life_began(umpire, to);
+  void move_on(Known& known, const std::string& proxy, Span to) const {
+    const Span began = life_began(proxy, to);
     if (began != known.life) {
       known.life = began;
       known.endpoints.clear();
     }
-    auto told = record.told.find(umpire);
+    auto told = record.told.find(proxy);
     if (told == record.told.end()) return;
     for (; known.next < told->second.size() && told->second[known.next].at <= to; ++known.next) {
       const Told& one = told->second[known.next];
@@ -395,15 +395,15 @@
   }
 
   void rule3() {
-    std::map<std::string, Known> umpires;
+    std::map<std::string, Known> proxies;
     for (const AttemptArrival& arrival : record.arrivals) {
-      Known& known = umpires[arrival.umpire];
-      move_on(known, arrival.umpire, arrival.at);
+      Known& known = proxies[arrival.proxy];
+      move_on(known, arrival.proxy, arrival.at);
       auto at = known.endpoints.find(arrival.endpoint);
       ++report.rules[2].checked;
       if (at == known.endpoints.end() || at->second.phase == "in") continue;
       if (arrival.at > at->second.since + report.meta.drain_grace + unsure)
-        broken(3, arrival.umpire + " sent new work to " + arrival.endpoint + " at " + at_s(arrival.at) +
+        broken(3, arrival.proxy + " sent new work to " + arrival.endpoint + " at " + at_s(arrival.at) +
                       ", told at " + at_s(at->second.since) + " that it is " + at->second.phase);
     }
   }
@@ -412,13 +412,13 @@
     report.rules[3].checked = static_cast<long>(record.starts.size());
     for (auto& [at, endpoint] : record.falls) {
       const Start* start = start_of(endpoint, at);
-      std::map<std::string, Known> umpires;
+      std::map<std::string, Known> proxies;
       Span all{}, knowing{};
       for (const AttemptArrival& arrival : record.arrivals) {
         if (arrival.at > at) break;
         if (arrival.endpoint != endpoint || arrival.at <= at - report.meta.fall_window) continue;
-        Known& known = umpires[arrival.umpire];
-        move_on(known, arrival.umpire, arrival.at);
+        Known& known = proxies[arrival.proxy];
+        move_on(known, arrival.proxy, arrival.at);
         auto told = known.endpoints.find(endpoint);
         all += arrival.work;
         if (told != known.endpoints.end() && start && told->second.started == start->started)
@@ -453,28 +453,28 @@
     std::map<std::string, std::vector<std::vector<Span>>> taken;
     for (const Try& one : record.tries) {
       if (one.end == "unreached" || one.end == "not-taken") continue;
-      auto& of = taken[one.umpire];
+      auto& of = taken[one.proxy];
       of.resize(request_classes + 1);
       of[one.request_class].push_back(one.at);
       of[request_classes].push_back(one.at);
     }
-    for (auto& [umpire, lists] : taken)
+    for (auto& [proxy, lists] : taken)
       for (auto& list : lists) std::sort(list.begin(), list.end());
-    std::map<std::string, std::vector<const AttemptArrival*>> by_umpire;
-    for (const AttemptArrival& arrival : record.arrivals) by_umpire[arrival.umpire].push_back(&arrival);
+    std::map<std::string, std::vector<const AttemptArrival*>> by_proxy;
+    for (const AttemptArrival& arrival : record.arrivals) by_proxy[arrival.proxy].push_back(&arrival);
     std::set<int> builds;
     for (const AttemptArrival& arrival : record.arrivals) builds.insert(arrival.build);
-    for (auto& [umpire, arrivals] : by_umpire) {
-      const auto told = record.told.find(umpire);
+    for (auto& [proxy, arrivals] : by_proxy) {
+      const auto told = record.told.find(proxy);
       std::size_t next = 0;
       std::optional<Told> news;
       Span life{-1};
       std::map<int, Binding> bindings;
       std::map<std::pair<int, int>, std::vector<Span>> sent;  // by build and product
-      auto& lists = taken[umpire];
+      auto& lists = taken[proxy];
       lists.resize(request_classes + 1);
       for (const AttemptArrival* arrival : arrivals) {
-        const Span began = life_began(umpire, arrival->at);
+        const Span began = life_began(proxy, arrival->at);
         if (began != life) {
           life = began;
           news.reset();
@@ -513,7 +513,7 @@
         list.push_back(arrival->at);
         if (!grace && arrival->request_class >= 0 && binding.stage < meta.safe_only_stages &&
             meta.request_classes[arrival->request_class].idempotency != Idempotency::idempotent)
-          broken(5, umpire + " sent a txn with an effect to build " + std::to_string(arrival->build) +
+          broken(5, proxy + " sent a txn with an effect to build " + std::to_string(arrival->build) +
                         " at " + at_s(arrival->at) + ", in wave " + std::to_string(binding.stage));
         Span from = arrival->at - meta.window + unsure;
         if (binding.fell >= Span{} && !grace) from = std::max(from, binding.fell + meta.drain_grace);
@@ -527,7 +527,7 @@
         if (cap > 0 && !grace)
           report.most_exposed = std::max(report.most_exposed, count / std::max(1.0, most));
         if (count > most + 1e-9)
-          broken(5, umpire + " sent " + std::to_string(static_cast<long>(count)) + " submissions to build " +
+          broken(5, proxy + " sent " + std::to_string(static_cast<long>(count)) + " submissions to build " +
                         std::to_string(arrival->build) + " in the window up to " + at_s(arrival->at) +
                         ", allowed are " + std::to_string(meta.free) + " and " + std::to_string(cap) +
                         " of " + std::to_string(static_cast<long>(of)) + " txns");
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -27,7 +27,7 @@
   if (at == fields.MemberEnd() || at->value.IsNull()) return load;
   if (!at->value.IsObject()) mistyped("pressure", "an object");
   for (const auto& value : at->value.GetObject()) {
-    std::optional<double>* place = params::load_place(load, value.name.GetString());
+    std::optional<double>* place = module_settings::load_field(load, value.name.GetString());
     const double given = place ? number_or(at->value, value.name.GetString(), -1) : -1;
     if (given >= 0) *place = given;
   }
@@ -61,7 +61,7 @@
 }
 
 void drop_if_done(Instance& instance, int request_id) {
-  if (request_id < 0 || instance.umpire->knows(request_id)) return;
+  if (request_id < 0 || instance.engine->knows(request_id)) return;
   auto at = instance.request_names.find(request_id);
   if (at == instance.request_names.end()) return;
   instance.requests.erase(at->second);
@@ -128,7 +128,7 @@
       news.zone = whole(entry, "failure_domain");
       news.cell = whole(entry, "cell");
       news.build = whole(entry, "build", 0, 65535);
-      news.phase = word<EndpointPhase>(
+      news.phase = enumerator<EndpointPhase>(
           entry, "phase", {{"IN", EndpointPhase::ready}, {"LAME", EndpointPhase::draining}, {"OUT", EndpointPhase::removed}});
       news.size = number(entry, "share");
       news.started = span(number_or(entry, "ready_at_ms", 0));
@@ -146,31 +146,31 @@
     return;
   }
   Instance& instance = known(who, true);
-  Umpire& umpire = *instance.umpire;
+  DecisionEngine& engine = *instance.engine;
   if (name == "directory_update") {
     list(instance, fields);
   } else if (name == "demand") {
     demand(instance, fields);
   } else if (name == "flowing") {
     int request_id = find(instance.requests, text(fields, "call"));
-    if (request_id >= 0) umpire.stream_began(request_id);
+    if (request_id >= 0) engine.stream_began(request_id);
   } else if (name == "reply") {
     int request_id = find(instance.requests, text(fields, "call"));
     int attempt = whole(fields, "seq_no");
     Outcome outcome = outcome_of(fields);
     bool succeeded = truth(fields, "settled");
     Load load = load_of(fields);
-    if (request_id >= 0) umpire.attempt_ended(request_id, attempt, outcome, succeeded, load, now_);
+    if (request_id >= 0) engine.attempt_ended(request_id, attempt, outcome, succeeded, load, now_);
     drop_if_done(instance, request_id);
   } else if (name == "expired") {
     int request_id = find(instance.requests, text(fields, "call"));
-    if (request_id >= 0) umpire.client_disconnected(request_id);
+    if (request_id >= 0) engine.client_disconnected(request_id);
     drop_if_done(instance, request_id);
   } else if (name == "wakeup") {
     number(fields, "key_back");
   } else if (name == "probe_result") {
     outcome_of(fields);
-    umpire.probe_ended(named_endpoint(instance, fields), load_of(fields), now_);
+    engine.probe_ended(named_endpoint(instance, fields), load_of(fields), now_);
   } else if (name == "peer_data") {
     text(fields, "raw");
   } else if (name == "promotion") {
@@ -184,7 +184,7 @@
     number(fields, "since_ms");
   } else if (name == "flagged") {
     time_of(fields, "since_ms");
-    umpire.answer_found_wrong(named_endpoint(instance, fields));
+    engine.answer_found_wrong(named_endpoint(instance, fields));
   } else {
     throw BadInput("unknown message");
   }
@@ -193,19 +193,19 @@
 void Wire::hello(const std::string& who, const Json& fields) {
   const Json& salt = member(fields, "salt");
   if (!salt.IsUint64()) mistyped("salt", "a whole number");
-  const params::Params told = params::decode(inner(fields, "params"));
+  const module_settings::ModuleSettings told = module_settings::decode(inner(fields, "params"));
   auto instance = std::make_unique<Instance>();
   instance->request_classes = static_cast<int>(told.request_classes.size());
   instance->tenants = static_cast<int>(told.tenants.size());
   std::uint64_t seed = salt.GetUint64();
-  instance->umpire = std::make_unique<Umpire>(static_cast<unsigned>(seed ^ (seed >> 32)), told.endpoints,
+  instance->engine = std::make_unique<DecisionEngine>(static_cast<unsigned>(seed ^ (seed >> 32)), told.endpoints,
                                               told.canary_quota, told.analysis, told.requests);
   instances_[who] = std::move(instance);
   known(who, true);
 }
 
 void Wire::list(Instance& instance, const Json& fields) {
-  EndpointUpdateKind kind = word<EndpointUpdateKind>(fields, "mode",
+  EndpointUpdateKind kind = enumerator<EndpointUpdateKind>(fields, "mode",
                                  {{"INCREMENTAL", EndpointUpdateKind::incremental},
                                   {"FULL", EndpointUpdateKind::complete},
                                   {"SAVED", EndpointUpdateKind::cached},
@@ -217,7 +217,7 @@
     for (std::size_t i = 0; i < entries.size(); ++i)
       entries[i].endpoint = index(instance.endpoints, instance.endpoint_names, bank_names_[bank][i]);
   }
-  instance.umpire->endpoints_updated(kind, entries, now_);
+  instance.engine->endpoints_updated(kind, entries, now_);
 }
 
 void Wire::demand(Instance& instance, const Json& fields) {
@@ -235,12 +235,12 @@
   request.request_id = instance.next_request_id++;
   instance.requests[name] = request.request_id;
   instance.request_names[request.request_id] = name;
-  instance.umpire->request_arrived(request, now_);
+  instance.engine->request_arrived(request, now_);
 }
 
 void Wire::promotion(Instance& instance, const Json& fields) {
   Outcome outcome = outcome_of(fields);
-  if (whole(fields, "reason", 0, 1) == 1) instance.umpire->vote_answered(outcome, now_);
+  if (whole(fields, "reason", 0, 1) == 1) instance.engine->vote_answered(outcome, now_);
   // A vote that failed brings no news, or only part of it.
   if (outcome != Outcome::ok)
     for (const char* name : {"ver", "step", "where_at", "limit_share", "since_ms"}) {
@@ -253,11 +253,11 @@
   release.phase = static_cast<ReleasePhase>(whole(fields, "where_at", 0, 3));
   release.cap = number(fields, "limit_share");
   release.since = time_of(fields, "since_ms");
-  if (outcome == Outcome::ok || outcome == Outcome::obsolete) instance.umpire->release_updated(release, now_);
+  if (outcome == Outcome::ok || outcome == Outcome::obsolete) instance.engine->release_updated(release, now_);
 }
 
 void Wire::answer(const std::string& who, Instance& instance) {
-  while (auto decision = instance.umpire->next(now_)) write(who, instance, *decision);
+  while (auto decision = instance.engine->next(now_)) write(who, instance, *decision);
 }
 
 void Wire::write(const std::string& who, Instance& instance, const Decision& decision) {
--- a/src/benchlink/wire.h
+++ b/src/benchlink/wire.h
@@ -7,7 +7,7 @@
 
 #include "json/fields.h"
 #include "logic.h"
-#include "params/params.h"
+#include "module_settings/module_settings.h"
 
 namespace robinhoist::benchlink {
 
@@ -17,7 +17,7 @@
 
 // One instance, with the words that stand for its indices.
 struct Instance {
-  std::unique_ptr<Umpire> umpire;
+  std::unique_ptr<DecisionEngine> engine;
   std::vector<std::string> endpoint_names;
   std::unordered_map<std::string, int> endpoints, requests;
   std::unordered_map<int, std::string> request_names;
--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -54,7 +54,7 @@
   settings.jobs = words.jobs;
   const auto shown = [](const lab::Found& found) {
     std::string troubles;
-    for (const day::Trouble& one : found.troubles) troubles += std::string(" ") + day::word(one.kind);
+    for (const day::Trouble& one : found.troubles) troubles += std::string(" ") + day::to_string(one.kind);
     std::printf("  after %d runs: revenue %.1f%%%s,%s\n", found.runs, found.priority_weight,
                 found.broken.empty() ? "" : (", " + found.broken).c_str(), troubles.c_str());
     std::fflush(stdout);
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -16,7 +16,7 @@
 #include "platform/process.h"
 #include "standin/agent.h"
 #include "standin/database.h"
-#include "umpire/process.h"
+#include "proxy/process.h"
 
 namespace {
 
@@ -27,7 +27,7 @@
   namespace rh = robinhoist;
   Form root = Form::of_file(file);
   const char* kind = "";
-  if (root.has("umpire")) kind = "umpire", rh::umpire::read(root);
+  if (root.has("umpire")) kind = "umpire", rh::proxy::read(root);
   else if (root.has("standin")) kind = "standin", rh::standin::read(root);
   else if (root.has("controller")) kind = "controller", rh::controller::read(root);
   else if (root.has("day")) kind = "day", rh::day::read(root);
@@ -59,7 +59,7 @@
   const rh::day::Day day = rh::day::read(Form::of_file(file));
   if (folder.empty()) folder = "found/emulated-" + std::to_string(seed);
   if (no_record) folder.clear();
-  std::cout << file << ", seed " << seed << ", emulated: " << day.deployment.umpires << " umpires, "
+  std::cout << file << ", seed " << seed << ", emulated: " << day.deployment.proxies << " umpires, "
             << day.places << " nodes, " << day.load.rate << " txns a second for "
             << std::chrono::duration<double>(day.length).count() << " s"
             << (folder.empty() ? "" : ", record in " + folder) << std::endl;
@@ -90,7 +90,7 @@
   namespace rh = robinhoist;
   const rh::day::Day day = rh::day::read(Form::of_file(file));
   if (folder.empty()) folder = "found/day-" + std::to_string(seed);
-  std::cout << file << ", seed " << seed << ": " << day.deployment.umpires << " umpires, " << day.places
+  std::cout << file << ", seed " << seed << ": " << day.deployment.proxies << " umpires, " << day.places
             << " stand-in nodes, " << day.load.rate << " txns a second for "
             << std::chrono::duration<double>(day.length).count() << " s, record in " << folder << std::endl;
   const rh::day::Played played = rh::day::play(day, seed, folder, "/proc/self/exe");
@@ -117,7 +117,7 @@
     sub->add_option("--config", config, "Settings as S-expressions")->required()->check(CLI::ExistingFile);
     return sub;
   };
-  CLI::App* umpire = add("umpire", "Run one umpire: an HTTP/1.1 reverse proxy that routes, judges and votes");
+  CLI::App* proxy = add("umpire", "Run one umpire: an HTTP/1.1 reverse proxy that routes, judges and votes");
   CLI::App* platform = app.add_subcommand(
       "platform", "Run one umpire on the operators' platform, told all by its configuration file");
   platform->add_option("--config", config, "The file, as JSON")->envname("ROUTER_CONFIG")->required();
@@ -166,7 +166,7 @@
     if (*days) return play(config, seed, out);
     if (*emulates) return emulate(config, seed, out, no_record);
     Form root = Form::of_file(config);
-    if (*umpire) return rh::umpire::run(rh::umpire::read(root));
+    if (*proxy) return rh::proxy::run(rh::proxy::read(root));
     if (*controller) return rh::controller::run(rh::controller::read(root));
     if (*list) return rh::controller::run_list(rh::controller::read_list(root));
     if (*standin) return rh::standin::run(rh::standin::read(root));
--- a/src/cli/txn.cpp
+++ b/src/cli/txn.cpp
@@ -14,7 +14,7 @@
 
 struct Words {
   std::string id{}, output{"table"};
-  std::vector<std::string> umpires{"127.0.0.1:8081"};
+  std::vector<std::string> proxies{"127.0.0.1:8081"};
 };
 
 void show(const json::Json& trace, double from_ms) {
@@ -36,18 +36,18 @@
 int tell(const Words& words) {
   std::vector<rapidjson::Document> found;
   int silent = 0;
-  for (const std::string& umpire : words.umpires) {
+  for (const std::string& proxy : words.proxies) {
     http::Request request;
     request.target = "/txns/" + words.id;
-    const Asked asked = ask(umpire, request);
+    const Asked asked = ask(proxy, request);
     if (asked.status == 0) {
       ++silent;
-      std::cerr << umpire << ": no umpire answers\n";
+      std::cerr << proxy << ": no umpire answers\n";
     }
     if (asked.status == 200) found.push_back(json::object_of(asked.body));
   }
   if (found.empty()) {
-    if (silent == static_cast<int>(words.umpires.size())) return 2;
+    if (silent == static_cast<int>(words.proxies.size())) return 2;
     std::cerr << "no umpire asked has a trace of " << words.id
               << ": it was not sampled, or has been let go since\n";
     return 1;
@@ -68,7 +68,7 @@
   CLI::App* request_name = app.add_subcommand("txn", "One txn's way: client, decisions, submissions, answer");
   request_name->add_option("ID", words->id, "The trace's id (Robinhoist-Trace), or the umpire's name for the txn")
       ->required();
-  request_name->add_option("--umpire", words->umpires, "Admin addresses of umpires, any number")
+  request_name->add_option("--umpire", words->proxies, "Admin addresses of umpires, any number")
       ->capture_default_str();
   request_name->add_option("-o,--output", words->output, "table or json")
       ->check(CLI::IsMember({"table", "json"}))
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -4,14 +4,14 @@
 
 #include "controller/problem.h"
 #include "json/fields.h"
-#include "rollout/words.h"
+#include "rollout/names.h"
 #include "settings/form.h"
 
 namespace robinhoist::controller {
 namespace {
 using namespace std::chrono_literals;
 
-const char* word(rollout::OrderKind kind) {
+const char* to_string(rollout::OrderKind kind) {
   static const char* const words[] = {"start", "drain", "stop"};
   return words[static_cast<int>(kind)];
 }
@@ -22,7 +22,7 @@
     : loop_(loop), settings_(settings), log_(log), orders_(std::move(orders)), told_(std::move(told)),
       voted_(std::move(voted)), catalog_(settings.history), told_objects_(settings.history), members_([&] {
         membership::Settings members = settings.members;
-        members.expected = settings.umpires;
+        members.expected = settings.proxies;
         return members;
       }()),
       tokens_(settings.tokens), requests_(settings.requests_per_s, 2 * settings.requests_per_s),
@@ -32,16 +32,16 @@
   if (!settings.journal.empty()) {
     journal_ = std::make_unique<journal::Journal>(settings.journal);
     if (auto text = journal_->get("rollout")) {
-      core_ = std::make_unique<rollout::Rollout>(settings_.rollout, settings.places, settings.umpires,
+      core_ = std::make_unique<rollout::Rollout>(settings_.rollout, settings.places, settings.proxies,
                                                  rollout::decoded_kept(*text), loop.now());
       log_.info("goes on", {{"build", log::text(core_->news(loop.now()).build)},
                             {"wave", log::text(core_->news(loop.now()).stage)},
-                            {"phase", rollout::word(core_->news(loop.now()).phase)}});
+                            {"phase", rollout::to_string(core_->news(loop.now()).phase)}});
     }
   }
   if (!core_)
     core_ = std::make_unique<rollout::Rollout>(settings_.rollout, settings.places, settings.build,
-                                               settings.umpires);
+                                               settings.proxies);
   restore_objects();
   watches_ = std::make_unique<Watches>(loop, told_objects_, series_, settings.watches, told_);
   offer_pending();
@@ -127,7 +127,7 @@
   untold_.clear();
   for (const rollout::Order& one : decided) {
     const rollout::Order* order = &one;
-    log_.debug("order", {{"is", word(order->kind)},
+    log_.debug("order", {{"is", to_string(order->kind)},
                          {"machine", log::text(order->machine)},
                          {"place", log::text(order->place)},
                          {"build", log::text(order->build)}});
@@ -139,7 +139,7 @@
     const rollout::Change& change = changes[seen_changes_];
     log_.info("release", {{"build", log::text(change.build)},
                           {"wave", log::text(change.stage)},
-                          {"phase", rollout::word(change.phase)},
+                          {"phase", rollout::to_string(change.phase)},
                           {"why", change.why}});
   }
   const std::pair stage(core_->news(now).build, core_->running_stage());
@@ -157,7 +157,7 @@
   out.open().open_list("orders");
   for (const rollout::Order& order : untaken_)
     out.open()
-        .put("is", word(order.kind))
+        .put("is", to_string(order.kind))
         .put("machine", order.machine)
         .put("place", order.place)
         .put("build", order.build)
@@ -227,7 +227,7 @@
   try {
     auto document = json::object_of(asked.exchange->request.body);
     const int machine = json::whole(document, "machine");
-    const bool up = json::word<bool>(document, "state", {{"up", true}, {"gone", false}});
+    const bool up = json::enumerator<bool>(document, "state", {{"up", true}, {"gone", false}});
     if (up) core_->machine_up(machine, loop_.now());
     else core_->machine_gone(machine, loop_.now());
   } catch (const json::BadInput& bad) {
@@ -249,11 +249,11 @@
       {"POST", "/v1/releases/{name}/hold", Role::operate, &C::hold},
       {"POST", "/v1/releases/{name}/resume", Role::operate, &C::resume},
       {"POST", "/v1/releases/{name}/back", Role::operate, &C::back},
-      {"POST", "/v1/releases/{name}/votes", Role::umpire, &C::vote},
-      {"GET", "/v1/umpires", Role::read, &C::umpires},
-      {"POST", "/v1/umpires/{name}/heartbeat", Role::umpire, &C::heartbeat},
-      {"DELETE", "/v1/umpires/{name}", Role::umpire, &C::umpire_leaves},
-      {"POST", "/v1/patients", Role::umpire, &C::client_outcomes},
+      {"POST", "/v1/releases/{name}/votes", Role::proxy, &C::vote},
+      {"GET", "/v1/umpires", Role::read, &C::proxies},
+      {"POST", "/v1/umpires/{name}/heartbeat", Role::proxy, &C::heartbeat},
+      {"DELETE", "/v1/umpires/{name}", Role::proxy, &C::proxy_leaves},
+      {"POST", "/v1/patients", Role::proxy, &C::client_outcomes},
       {"POST", "/v1/plans", Role::operate, &C::take_plan},
       {"GET", "/v1/steps", Role::read, &C::steps_status},
       {"POST", "/v1/steps/verify", Role::read, &C::steps_verify},
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -24,7 +24,7 @@
 struct Settings {
   http::ServerSettings server{};
   rollout::Settings rollout{};
-  int places = 1, build = 1, umpires = 1;
+  int places = 1, build = 1, proxies = 1;
   std::size_t history = 1000;  // changes kept for those that watch
   membership::Settings members{.lease = std::chrono::seconds(3), .memory = std::chrono::minutes(10)};
   WatchSettings watches{};
@@ -47,7 +47,7 @@
  public:
   using Told = Watches::Told;
   using Orders = std::function<void(const rollout::Order&)>;
-  using Voted = std::function<void(const std::string& umpire, int build, int stage, Verdict, Outcome)>;
+  using Voted = std::function<void(const std::string& proxy, int build, int stage, Verdict, Outcome)>;
 
   // Orders go to `orders`; where there is none they wait to be fetched.
   Controller(net::Loop& loop, const Settings& settings, const log::Log& log, Orders orders = {},
@@ -96,9 +96,9 @@
   void reply(const Asked& asked, const releases::Reply& reply);
   bool finish(const Asked& asked, releases::Reply& reply, std::optional<journal::RequestKey> key = {});
   // Umpires.
-  void umpires(const Asked& asked);
+  void proxies(const Asked& asked);
   void heartbeat(const Asked& asked);
-  void umpire_leaves(const Asked& asked);
+  void proxy_leaves(const Asked& asked);
   void client_outcomes(const Asked& asked);
   bool in_trouble(const http::ExchangePtr& exchange);
   // Steps and machines.
@@ -137,7 +137,7 @@
   Span lag_{}, last_due_{};
   Trouble trouble_ = Trouble::none;
   double count_share_ = 0;
-  std::minstd_rand chance_{1};
+  std::minstd_rand random_{1};
   net::Loop::Timer look_ = net::Loop::no_timer;
   std::unique_ptr<journal::Journal> journal_{};
   std::unique_ptr<steps::Target> target_{};
--- a/src/controller/process.cpp
+++ b/src/controller/process.cpp
@@ -12,7 +12,7 @@
   Token token;
   token.name = form.own_word(0, "a name");
   token.role =
-      form.word<Role>("role", {{"read", Role::read}, {"umpire", Role::umpire}, {"operate", Role::operate}});
+      form.enumerator<Role>("role", {{"read", Role::read}, {"umpire", Role::proxy}, {"operate", Role::operate}});
   token.sha256 = form.text("sha256");
   if (token.sha256.size() != 64 || token.sha256.find_first_not_of("0123456789abcdef") != std::string::npos)
     form.problem("sha256", "is not 64 digits of lower-case hex (printf %s TOKEN | sha256sum)");
@@ -69,7 +69,7 @@
   if (to.members.memory < to.members.lease) form.problem("umpire-memory", "is less than umpire-lease");
   form.finish();
   root.finish();
-  to.umpires = deployment.umpires;
+  to.proxies = deployment.proxies;
   to.rollout = deployment.rollout;
   return to;
 }
--- a/src/controller/releases.cpp
+++ b/src/controller/releases.cpp
@@ -8,7 +8,7 @@
 #include "controller/controller.h"
 #include "controller/problem.h"
 #include "json/fields.h"
-#include "rollout/words.h"
+#include "rollout/names.h"
 
 namespace robinhoist::controller {
 namespace {
@@ -134,13 +134,13 @@
   status.why = release.status.why;
   status.since_ms = wall_ms();
   if (present) {
-    status.phase = rollout::word(news.phase);
+    status.phase = rollout::to_string(news.phase);
     status.stage = news.stage;
     status.cap = news.cap;
     status.since_ms = wall_ms() - news.since.count() / 1000;
     status.held = core_->held(now);
   } else if (auto fate = fates.find(release.build); fate != fates.end()) {
-    status.phase = rollout::word(fate->second);
+    status.phase = rollout::to_string(fate->second);
     status.stage = release.status.stage;
     status.cap = fate->second == ReleasePhase::released ? 1 : 0;
   } else if (core_->queued() != release.build && release.build <= core_->newest_offered()) {
@@ -179,20 +179,20 @@
   if (present) {
     const auto votes = core_->votes(now);
     for (auto& [name, member] : members_.all()) {
-      releases::UmpireSays says{.umpire = name, .vote = "none"};
-      if (auto vote = votes.find(name); vote != votes.end()) says.vote = rollout::word(vote->second.verdict);
+      releases::ProxyReport says{.proxy = name, .vote = "none"};
+      if (auto vote = votes.find(name); vote != votes.end()) says.vote = rollout::to_string(vote->second.verdict);
       if (member.acknowledged && member.acknowledged->build == release.build) {
         says.cap = member.acknowledged->cap;
         says.stage = member.acknowledged->stage;
         says.at_ms = wall_ms() - (now - member.acknowledged->at).count() / 1000;
         // To the millisecond, and not one off for the clocks' grain.
-        for (const releases::UmpireSays& old : release.status.umpires)
-          if (old.umpire == name && old.cap == says.cap && old.stage == says.stage) says.at_ms = old.at_ms;
+        for (const releases::ProxyReport& old : release.status.proxies)
+          if (old.proxy == name && old.cap == says.cap && old.stage == says.stage) says.at_ms = old.at_ms;
       }
-      status.umpires.push_back(says);
+      status.proxies.push_back(says);
     }
   } else {
-    status.umpires = release.status.umpires;
+    status.proxies = release.status.proxies;
   }
   const bool trial = status.phase == "trial",
              back = status.phase == "going-back" || status.phase == "withdrawn";
@@ -364,8 +364,8 @@
   WatchAsk ask;
   ask.selector = std::move(selector);
   ask.brief = request.query("view") == "brief";
-  ask.umpire = request.query("umpire");
-  if (!ask.umpire.empty() && !may(asked.caller.role, Role::umpire))
+  ask.proxy = request.query("umpire");
+  if (!ask.proxy.empty() && !may(asked.caller.role, Role::proxy))
     throw Refused{problem(403, "not allowed", "this token may not watch as an umpire")};
   const std::string since = request.query("resourceVersion"), within = request.query("timeoutSeconds"),
                     series = request.query("series");
@@ -515,28 +515,28 @@
 void Controller::vote(const Asked& asked) {
   guarded(asked.exchange, [&] {
     const auto body = body_of(asked.exchange->request);
-    const std::string umpire = json::text(body, "umpire"), session = json::text(body, "session");
+    const std::string proxy = json::text(body, "umpire"), session = json::text(body, "session");
     const int stage = json::whole(body, "stage", 0, 1000);
-    const Verdict verdict = json::word<Verdict>(
+    const Verdict verdict = json::enumerator<Verdict>(
         body, "verdict",
         {{"none", Verdict::none}, {"on", Verdict::promote}, {"hold", Verdict::hold}, {"back", Verdict::roll_back}});
-    if (umpire.empty()) json::mistyped("umpire", "a name");
+    if (proxy.empty()) json::mistyped("umpire", "a name");
     const releases::Release* release = catalog_.find(asked.name);
     if (!release) return reply(asked, catalog_.act(asked.name, {}));
     const int build = release->build;
     const Span now = loop_.now();
     const bool counts =
         trouble_ == Trouble::none ||
-        (trouble_ == Trouble::silent && std::uniform_real_distribution<double>(0, 1)(chance_) < count_share_);
+        (trouble_ == Trouble::silent && std::uniform_real_distribution<double>(0, 1)(random_) < count_share_);
     Outcome outcome = Outcome::error;
     bool superseded = false;
     if (counts) {
       // A vote says as much as a heartbeat that the umpire is there.
-      superseded = members_.heard(umpire, session, now) == membership::Heard::superseded;
+      superseded = members_.heard(proxy, session, now) == membership::Heard::superseded;
       look_at_members();
-      outcome = superseded ? Outcome::obsolete : core_->vote(umpire, build, stage, verdict, now);
+      outcome = superseded ? Outcome::obsolete : core_->vote(proxy, build, stage, verdict, now);
     }
-    if (voted_) voted_(umpire, build, stage, verdict, outcome);
+    if (voted_) voted_(proxy, build, stage, verdict, outcome);
     if (in_trouble(asked.exchange)) return;
     if (superseded) asked.exchange->answer(problem(409, "superseded", "another process votes by that name"));
     else if (outcome == Outcome::rejected) asked.exchange->answer(retry_later(1s, "too many votes"));
@@ -556,7 +556,7 @@
                           {"known", log::text(members_.known())},
                           {"counted_to_go_on", log::text(members_.to_go_on())},
                           {"counted_to_go_back", log::text(members_.to_go_back())}});
-  core_->umpires(members_.to_go_on(), members_.to_go_back());
+  core_->proxies(members_.to_go_on(), members_.to_go_back());
   loop_.cancel(members_look_);
   if (auto at = members_.next_look())
     members_look_ = loop_.at(std::max(*at, now + 1ms), [this] {
@@ -575,7 +575,7 @@
     const Span now = loop_.now();
     const membership::Heard heard = members_.heard(asked.name, session, now);
     if (heard != membership::Heard::renewed)
-      log_.info("umpire", {{"name", asked.name}, {"is", membership::word(heard)}});
+      log_.info("umpire", {{"name", asked.name}, {"is", membership::to_string(heard)}});
     if (heard == membership::Heard::superseded)
       throw Refused{problem(409, "superseded", "another process has taken the name " + asked.name)};
     if (json::present(body, "acknowledged")) {
@@ -597,7 +597,7 @@
   });
 }
 
-void Controller::umpire_leaves(const Asked& asked) {
+void Controller::proxy_leaves(const Asked& asked) {
   if (!members_.leaves(asked.name, asked.exchange->request.query("session")))
     return asked.exchange->answer(
         problem(404, "no such umpire", "no umpire " + asked.name + " of that session"));
@@ -607,7 +607,7 @@
   asked.exchange->answer(http::json_answer(200, "{\"kind\":\"Status\",\"status\":\"Success\"}"));
 }
 
-void Controller::umpires(const Asked& asked) {
+void Controller::proxies(const Asked& asked) {
   const Span now = loop_.now();
   json::Out out;
   out.open().put("kind", "UmpireList").put("known", members_.known()).put("live", members_.live());
--- a/src/controller/tokens.h
+++ b/src/controller/tokens.h
@@ -9,7 +9,7 @@
 namespace robinhoist::controller {
 
 // read: get, list, watch. umpire: the same, and heartbeats and votes. operate: everything.
-enum class Role { read, umpire, operate };
+enum class Role { read, proxy, operate };
 
 struct Token {
   std::string name{}, sha256{};  // lower-case hex
--- a/src/controller/watches.cpp
+++ b/src/controller/watches.cpp
@@ -51,7 +51,7 @@
                          .text();
   line.pop_back();
   line += ",\"object\":" + (watcher.ask.brief ? what.brief : what.full) + "}\n";
-  if (told_ && !watcher.ask.umpire.empty()) told_(watcher.ask.umpire, what);
+  if (told_ && !watcher.ask.proxy.empty()) told_(watcher.ask.proxy, what);
   return watcher.exchange->write(line);
 }
 
@@ -68,7 +68,7 @@
 
 bool Watches::add(const http::ExchangePtr& exchange, WatchAsk ask) {
   if (watchers_.size() >= settings_.most) return false;
-  const bool first = !ask.umpire.empty();
+  const bool first = !ask.proxy.empty();
   const At at = watchers_.insert(first ? watchers_.begin() : watchers_.end(), {exchange, std::move(ask)});
   http::Response head;
   head.headers.add("Content-Type", "application/json;stream=watch");
@@ -107,7 +107,7 @@
     watcher.version = event->now->version;
     const auto change = objects::seen(*event, watcher.ask.selector, watcher.ask.brief);
     if (!change) continue;
-    if (!write(watcher, objects::word(*change), *event->now)) {
+    if (!write(watcher, objects::to_string(*change), *event->now)) {
       ++cut_;
       watcher.exchange->write(error_line(429, "TooSlow", watcher.version));
       return false;
@@ -117,7 +117,7 @@
 }
 
 void Watches::wake() {
-  for (At at = watchers_.begin(); at != watchers_.end() && !at->ask.umpire.empty();) {
+  for (At at = watchers_.begin(); at != watchers_.end() && !at->ask.proxy.empty();) {
     const At one = at++;
     if (!serve(*one)) remove(one);
   }
@@ -133,7 +133,7 @@
 void Watches::serve_some() {
   for (int served = 0; served < at_a_time && next_ != watchers_.end();) {
     const At at = next_++;
-    if (!at->ask.umpire.empty()) continue;
+    if (!at->ask.proxy.empty()) continue;
     ++served;
     if (!serve(*at)) remove(at);
   }
--- a/src/controller/watches.h
+++ b/src/controller/watches.h
@@ -25,14 +25,14 @@
   objects::Selector selector{};
   bool brief = false;
   std::optional<std::int64_t> since{};  // none: all that there is first
-  std::string umpire{};
+  std::string proxy{};
   net::Span within{};  // 0: without end
 };
 
 class Watches {
  public:
   // What was written to an umpire's connection.
-  using Told = std::function<void(const std::string& umpire, const objects::Snapshot& what)>;
+  using Told = std::function<void(const std::string& proxy, const objects::Snapshot& what)>;
   Watches(net::Loop& loop, const objects::Store& store, const std::string& series,
           const WatchSettings& settings, Told told);
   ~Watches();
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -17,10 +17,10 @@
 }
 }  // namespace
 
-Clients::Clients(net::Loop& loop, const Day& day, unsigned salt, const std::vector<UmpirePorts>& umpires,
+Clients::Clients(net::Loop& loop, const Day& day, unsigned salt, const std::vector<ProxyPorts>& proxies,
                  record::Writer& record)
-    : loop_(loop), day_(day), load_(day.load, salt), chance_(salt + 1), record_(record) {
-  for (const UmpirePorts& ports : umpires) {
+    : loop_(loop), day_(day), load_(day.load, salt), random_(salt + 1), record_(record) {
+  for (const ProxyPorts& ports : proxies) {
     auto at = [](int port) { return Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(port)); };
     fronts_.push_back(std::make_unique<http::Caller>(loop, at(ports.front), call_settings()));
     admins_.push_back(std::make_unique<http::Caller>(loop, at(ports.admin), call_settings()));
@@ -35,7 +35,7 @@
   pull();
 }
 
-void Clients::umpire(int number, bool up) { load_.umpire(number, up, now()); }
+void Clients::proxy(int number, bool up) { load_.proxy(number, up, now()); }
 
 void Clients::begin_trouble(const Trouble& trouble) {
   const auto at_end = [&](std::function<void()> undo) { loop_.in(trouble.lasts, std::move(undo)); };
@@ -47,8 +47,8 @@
       break;
     case Kind::hot_caller: {
       std::vector<int> some;
-      const int many = std::max(1, static_cast<int>(trouble.part * d.umpires + 0.5));
-      for (int u = 0; u < many; ++u) some.push_back((u * 7 + 1) % d.umpires);
+      const int many = std::max(1, static_cast<int>(trouble.part * d.proxies + 0.5));
+      for (int u = 0; u < many; ++u) some.push_back((u * 7 + 1) % d.proxies);
       load_.hot(some, trouble.size);
       at_end([this] { load_.hot({}, 0); });
       break;
@@ -90,10 +90,10 @@
   if (one.poison) request.headers.add("X-Poison", "1");
   if (request.method != "GET") request.body = "{\"txn\":" + std::to_string(one.first) + "}";
   // A client listens a little longer than it told, so that an answer that comes too late is seen to.
-  const auto call = fronts_[one.umpire]->call(
+  const auto call = fronts_[one.proxy]->call(
       request, std::max(Span(1), left) + 2 * day_.answer_slack,
       [this, one](http::Ended how, http::Response&& response) { ended(one, how, response); });
-  calls_[one.id] = {one.umpire, call};
+  calls_[one.id] = {one.proxy, call};
   if (one.leaves == Span{}) return;
   loop_.at(from_ + one.leaves, [this, one] {
     auto at = calls_.find(one.id);
@@ -119,7 +119,7 @@
   if (end == load::End::succeeded && response.body.find("\"right\":false") != std::string::npos) right = false;
   const std::string node(response.headers.get("Robinhoist-Node"));
   auto pause = settings::number_of(std::string(response.headers.get("Robinhoist-Retry-After-Ms")));
-  const std::string umpire = "umpire-" + std::to_string(one.umpire);
+  const std::string proxy = "umpire-" + std::to_string(one.proxy);
   record::tried(
       record_,
       {.from = from_ + one.at,
@@ -130,32 +130,32 @@
        .number = one.number,
        .request_class = one.request_class,
        .tenant = one.tenant,
-       .umpire = umpire,
+       .proxy = proxy,
        .key = one.key,
        .poison = one.poison,
-       .end = load::word(end),
+       .end = load::to_string(end),
        .status = response.status,
        .why = response.headers.get("Robinhoist-Why"),
        .endpoint = node,
        .build = settings::number_of(std::string(response.headers.get("Robinhoist-Build"))).value_or(-1),
        .right = right});
   if (end == load::End::succeeded) {
-    const double chance = std::uniform_real_distribution<double>(0, 1)(chance_);
-    if (chance < (right ? day_.false_reports : day_.deployment.wrong_answer_report_share))
-      loop_.in(day_.reports_least + seconds(std::uniform_real_distribution<double>(0, 1)(chance_) *
+    const double random = std::uniform_real_distribution<double>(0, 1)(random_);
+    if (random < (right ? day_.false_reports : day_.deployment.wrong_answer_report_share))
+      loop_.in(day_.reports_least + seconds(std::uniform_real_distribution<double>(0, 1)(random_) *
                                             (day_.reports_most - day_.reports_least).count() / 1e6),
-               [this, umpire = one.umpire, node] { report(umpire, node); });
+               [this, proxy = one.proxy, node] { report(proxy, node); });
   }
   load_.ended(one.id, end, pause ? seconds(*pause / 1e3) : Span{}, now());
   pull();
 }
 
-void Clients::report(int umpire, const std::string& node) {
+void Clients::report(int proxy, const std::string& node) {
   http::Request request;
   request.method = "POST";
   request.target = "/wrong";
   request.body = json::Out().open().put("node", node).close().text();
-  admins_[umpire]->call(request, 2s, [](http::Ended, http::Response&&) {});
+  admins_[proxy]->call(request, 2s, [](http::Ended, http::Response&&) {});
 }
 
 void Clients::note_unasked() {
--- a/src/day/clients.h
+++ b/src/day/clients.h
@@ -10,18 +10,18 @@
 
 namespace robinhoist::day {
 
-struct UmpirePorts {
+struct ProxyPorts {
   int front = 0, admin = 0;
 };
 
 class Clients {
  public:
-  Clients(net::Loop& loop, const Day& day, unsigned salt, const std::vector<UmpirePorts>& umpires,
+  Clients(net::Loop& loop, const Day& day, unsigned salt, const std::vector<ProxyPorts>& proxies,
           record::Writer& record);
   void begin(Span from);
   bool over() const { return load_.over(); }
   std::size_t open() const { return load_.open(); }
-  void umpire(int number, bool up);
+  void proxy(int number, bool up);
   // Second answers and other words that no client asked for, noted at the end.
   void note_unasked();
 
@@ -30,13 +30,13 @@
   void send(const load::Try& one);
   void ended(const load::Try& one, http::Ended how, const http::Response& response);
   void begin_trouble(const Trouble& trouble);
-  void report(int umpire, const std::string& node);
+  void report(int proxy, const std::string& node);
   Span now() const { return loop_.now() - from_; }
 
   net::Loop& loop_;
   const Day& day_;
   load::Load load_;
-  std::minstd_rand chance_;
+  std::minstd_rand random_;
   record::Writer& record_;
   std::vector<std::unique_ptr<http::Caller>> fronts_{}, admins_{};
   std::map<std::int64_t, std::pair<int, http::Caller::Id>> calls_{};
--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -27,8 +27,8 @@
     {"bad-requests", Kind::bad_requests},
     {"retry-abuse", Kind::retry_abuse},
     {"stale-list", Kind::stale_list},
-    {"umpire-crash", Kind::umpire_crash},
-    {"umpire-roll", Kind::umpire_roll},
+    {"umpire-crash", Kind::proxy_crash},
+    {"umpire-roll", Kind::proxy_roll},
     {"controller-down", Kind::controller_down},
     {"controller-crash", Kind::controller_crash},
     {"watch-breaks", Kind::watch_breaks},
@@ -69,8 +69,8 @@
     return std::find(of.begin(), of.end(), trouble.kind) != of.end();
   };
   if (is({Kind::crash, Kind::vanish, Kind::slow, Kind::fast_errors, Kind::neighbour, Kind::probe_fail,
-          Kind::connection_squeeze, Kind::slow_handshakes, Kind::hot_caller, Kind::umpire_crash,
-          Kind::umpire_roll}))
+          Kind::connection_squeeze, Kind::slow_handshakes, Kind::hot_caller, Kind::proxy_crash,
+          Kind::proxy_roll}))
     trouble.part = form.number("part", 0, 1);
   if (is({Kind::slow, Kind::burst})) trouble.size = form.number("times", 0.01, 1000);
   if (is({Kind::fast_errors, Kind::neighbour, Kind::probe_fail, Kind::hot_caller, Kind::bad_requests}))
@@ -96,13 +96,13 @@
     form.problem("tenant", "is none of the deployment's");
   if (is({Kind::watch_breaks})) trouble.size = form.span("every", 20ms, 1h).count() / 1e6;
   if (is({Kind::stale_list})) trouble.size = form.span("by", 0ms, 1h).count() / 1e6;
-  if (is({Kind::umpire_roll})) {
+  if (is({Kind::proxy_roll})) {
     trouble.size = form.number("batch", 0.001, 1);
     trouble.extra = form.span("down", 0ms, 1min, 500ms).count() / 1e6;
   }
   if (is({Kind::controller_down})) {
     trouble.how =
-        form.word<std::string>("how", {{"silence", "silence"}, {"errors", "errors"}, {"stale", "stale"}});
+        form.enumerator<std::string>("how", {{"silence", "silence"}, {"errors", "errors"}, {"stale", "stale"}});
     if (trouble.how == "stale") trouble.size = form.span("by", 0ms, 1h).count() / 1e6;
     if (trouble.how == "silence") trouble.size = form.number("counted", 0, 1, 0.5);
   }
@@ -113,7 +113,7 @@
 void read_load(Form form, Day& day) {
   load::Settings& to = day.load;
   to.rate = form.number("rate", 0.1, 1e6);
-  to.shape = form.word<load::Shape>("shape",
+  to.shape = form.enumerator<load::Shape>("shape",
                                     {{"steady", load::Shape::steady},
                                      {"wave", load::Shape::wave},
                                      {"ramp", load::Shape::ramp},
@@ -133,7 +133,7 @@
     load::RequestClass& request_class = to.request_classes[p];
     sum += request_class.share = one.number("share", 0, 1);
     request_class.work = one.span("work", 1us, 1h);
-    request_class.spread = one.word<load::Spread>(
+    request_class.spread = one.enumerator<load::Spread>(
         "spread", {{"exponential", load::Spread::exponential}, {"lognormal", load::Spread::lognormal}},
         load::Spread::exponential);
     request_class.cv = one.number("cv", 0.01, 20, 1.0);
@@ -166,7 +166,7 @@
     to.patience_least = *std::min_element(patience.begin(), patience.end());
     to.patience_most = *std::max_element(patience.begin(), patience.end());
   }
-  to.pause = form.word<load::Pause>(
+  to.pause = form.enumerator<load::Pause>(
       "backoff",
       {{"none", load::Pause::none}, {"fixed", load::Pause::fixed}, {"growing", load::Pause::growing}},
       load::Pause::none);
@@ -178,7 +178,7 @@
 
 }  // namespace
 
-const char* word(Kind kind) {
+const char* to_string(Kind kind) {
   for (auto& [word, which] : kinds)
     if (which == kind) return word;
   return "?";
@@ -198,7 +198,7 @@
   day.speed_spread = fleet.number("speed-spread", 0, 0.9, 0.0);
   std::tie(day.boot_least, day.boot_most) = range(fleet, "boot", 1s);
   day.capacity = machine::read_capacity(fleet.sub("capacity"), day.deployment);
-  day.cancelled = fleet.word<machine::Cancelled>("cancelled",
+  day.cancelled = fleet.enumerator<machine::Cancelled>("cancelled",
                                                  {{"nothing", machine::Cancelled::nothing},
                                                   {"queued", machine::Cancelled::queued},
                                                   {"all", machine::Cancelled::all}},
@@ -218,7 +218,7 @@
     day.false_reports = reports->number("false", 0, 1, 0.0);
     reports->finish();
   }
-  day.load.umpires = day.deployment.umpires;
+  day.load.proxies = day.deployment.proxies;
   day.load.length = day.length;
   if (auto front = form.maybe("front")) {
     day.load.notice = front->span("notice", 0ms, 1h, 1s);
--- a/src/day/notation.h
+++ b/src/day/notation.h
@@ -28,8 +28,8 @@
   bad_requests,
   retry_abuse,
   stale_list,
-  umpire_crash,
-  umpire_roll,
+  proxy_crash,
+  proxy_roll,
   controller_down,
   controller_crash,
   watch_breaks
@@ -75,6 +75,6 @@
 };
 
 Day read(settings::Form root);
-const char* word(Kind kind);
+const char* to_string(Kind kind);
 
 }  // namespace robinhoist::day
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -135,10 +135,10 @@
       clients_record(dir + "/clients.jsonl"), lives(dir + "/umpires.jsonl"),
       database(dir + "/database.jsonl");
   for (const char* old : {"/journal", "/journal-wal", "/journal-shm"}) fs::remove(dir + old);
-  const int umpires = day.deployment.umpires;
-  const auto ports = free_ports(static_cast<std::size_t>(2 * umpires));
-  std::vector<UmpirePorts> at;
-  for (int u = 0; u < umpires; ++u) at.push_back({ports[2 * u], ports[2 * u + 1]});
+  const int proxies = day.deployment.proxies;
+  const auto ports = free_ports(static_cast<std::size_t>(2 * proxies));
+  std::vector<ProxyPorts> at;
+  for (int u = 0; u < proxies; ++u) at.push_back({ports[2 * u], ports[2 * u + 1]});
 
   Running database_runs(epoch), world_runs(epoch), clients_run(epoch);
   World world(world_runs.loop, database_runs.loop, day, static_cast<unsigned>(seed * 2 + 1), log, nodes, told,
@@ -161,7 +161,7 @@
 
   std::ofstream(dir + "/deployment.conf") << day.deployment_text << "\n";
   std::vector<std::unique_ptr<Process>> processes;
-  for (int u = 0; u < umpires; ++u) {
+  for (int u = 0; u < proxies; ++u) {
     const std::string name = "umpire-" + std::to_string(u), config = dir + "/" + name + ".conf";
     std::ofstream(config) << "(include \"deployment.conf\")\n(umpire\n  (name " << name << ")\n  (number "
                           << u << ")\n  (salt " << 1 + (seed * 7919 + u) % 2000000000
@@ -175,14 +175,14 @@
     processes.push_back(std::make_unique<Process>(program, config, dir + "/" + name + ".log"));
   }
   auto life = [&](int u, const char* what) {
-    record::umpire_life(lives, net::steady_now() - epoch, "umpire-" + std::to_string(u), what);
+    record::proxy_life(lives, net::steady_now() - epoch, "umpire-" + std::to_string(u), what);
   };
-  for (int u = 0; u < umpires; ++u) {
+  for (int u = 0; u < proxies; ++u) {
     life(u, "start");
     processes[u]->start();
   }
   // Each routes once its front takes a connection.
-  for (int u = 0; u < umpires; ++u) {
+  for (int u = 0; u < proxies; ++u) {
     for (int tries = 0;; ++tries) {
       try {
         Poco::Net::StreamSocket probe(Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(at[u].front)));
@@ -199,20 +199,20 @@
   // What befalls umpires happens here, in the order of time.
   struct Event {
     Span at;
-    int umpire;
+    int proxy;
     bool up;
   };
   const Span from = net::steady_now() - epoch + 50ms;
   std::vector<Event> events;
-  std::minstd_rand chance(static_cast<unsigned>(seed + 5));
+  std::minstd_rand random(static_cast<unsigned>(seed + 5));
   for (const Trouble& trouble : day.troubles) {
-    if (trouble.kind != Kind::umpire_crash && trouble.kind != Kind::umpire_roll) continue;
-    std::vector<int> order(umpires);
-    for (int u = 0; u < umpires; ++u) order[u] = u;
-    std::shuffle(order.begin(), order.end(), chance);
-    order.resize(std::clamp(static_cast<int>(trouble.part * umpires + 0.5), 1, umpires));
-    const bool roll = trouble.kind == Kind::umpire_roll;
-    const int batch = roll ? std::max(1, static_cast<int>(trouble.size * umpires)) : umpires;
+    if (trouble.kind != Kind::proxy_crash && trouble.kind != Kind::proxy_roll) continue;
+    std::vector<int> order(proxies);
+    for (int u = 0; u < proxies; ++u) order[u] = u;
+    std::shuffle(order.begin(), order.end(), random);
+    order.resize(std::clamp(static_cast<int>(trouble.part * proxies + 0.5), 1, proxies));
+    const bool roll = trouble.kind == Kind::proxy_roll;
+    const int batch = roll ? std::max(1, static_cast<int>(trouble.size * proxies)) : proxies;
     const int batches = (static_cast<int>(order.size()) + batch - 1) / batch;
     for (std::size_t i = 0; i < order.size(); ++i) {
       const Span begins =
@@ -228,22 +228,22 @@
   Played played;
   const auto now = [&] { return net::steady_now() - epoch; };
   std::size_t next = 0;
-  std::vector<bool> up(umpires, true);
+  std::vector<bool> up(proxies, true);
   for (bool over = false; !over; std::this_thread::sleep_for(2ms)) {
     for (; next < events.size() && events[next].at <= now(); ++next) {
       const Event& event = events[next];
-      if (up[event.umpire] == event.up) continue;
-      up[event.umpire] = event.up;
+      if (up[event.proxy] == event.up) continue;
+      up[event.proxy] = event.up;
       if (event.up) {
-        life(event.umpire, "start");
-        processes[event.umpire]->start();
+        life(event.proxy, "start");
+        processes[event.proxy]->start();
       } else {
-        life(event.umpire, "killed");
-        processes[event.umpire]->kill9();
+        life(event.proxy, "killed");
+        processes[event.proxy]->kill9();
       }
-      clients_run.loop.call([&] { clients.umpire(event.umpire, event.up); });
+      clients_run.loop.call([&] { clients.proxy(event.proxy, event.up); });
     }
-    for (int u = 0; u < umpires; ++u)
+    for (int u = 0; u < proxies; ++u)
       if (up[u] && processes[u]->died()) {
         life(u, "died");
         up[u] = false;
@@ -255,7 +255,7 @@
     if (now() > from + day.length + 30s) over = true;
   }
   std::this_thread::sleep_for(200ms);
-  for (int u = 0; u < umpires; ++u) {
+  for (int u = 0; u < proxies; ++u) {
     if (!up[u]) continue;
     life(u, "stopped");
     processes[u]->term();
--- a/src/day/record_meta.cpp
+++ b/src/day/record_meta.cpp
@@ -22,7 +22,7 @@
   meta.cold_from = d.cold_from;
   meta.by_request_class = d.by_request_class;
   meta.safe_only_stages = d.safe_only_stages;
-  meta.umpires = d.umpires;
+  meta.proxies = d.proxies;
   meta.endpoints = day.places;
   meta.seed = seed;
   for (const Offer& offer : day.offers)
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -4,7 +4,7 @@
 #include <filesystem>
 
 #include "record/lines.h"
-#include "rollout/words.h"
+#include "rollout/names.h"
 
 namespace robinhoist::day {
 namespace {
@@ -12,28 +12,28 @@
 
 Span seconds(double s) { return Span(static_cast<std::int64_t>(s * 1e6)); }
 
-int number_of(const std::string& umpire) {
-  const std::size_t dash = umpire.rfind('-');
-  return dash == std::string::npos ? -1 : std::atoi(umpire.c_str() + dash + 1);
+int number_of(const std::string& proxy) {
+  const std::size_t dash = proxy.rfind('-');
+  return dash == std::string::npos ? -1 : std::atoi(proxy.c_str() + dash + 1);
 }
 }  // namespace
 
-std::string zone_of(const Day& day, int umpire) {
-  return day.deployment.zones[umpire % day.deployment.zones.size()];
+std::string zone_of(const Day& day, int proxy) {
+  return day.deployment.zones[proxy % day.deployment.zones.size()];
 }
 
 World::World(net::Loop& loop, net::Loop& database_loop, const Day& day, unsigned salt, const log::Log& log,
              record::Writer& nodes, record::Writer& told, const std::string& folder, record::Writer* database)
-    : loop_(loop), day_(day), log_(log), told_(told), chance_(salt), folder_(folder) {
+    : loop_(loop), day_(day), log_(log), told_(told), random_(salt), folder_(folder) {
   standin::Shared shared;
   for (auto& request_class : day.deployment.request_classes)
     shared.memory = std::max(shared.memory, request_class.request_class.dedup_window);
   for (auto& request_class : day.load.request_classes) shared.work.push_back(request_class.work);
   shared.cancelled = day.cancelled;
   nodes_ = std::make_unique<standin::Nodes>(loop, day.deployment, shared, salt + 1, &nodes);
-  nodes_->way = [this](const std::string& umpire, const std::string& zone) {
+  nodes_->way = [this](const std::string& proxy, const std::string& zone) {
     standin::Nodes::Way way;
-    const int number = number_of(umpire);
+    const int number = number_of(proxy);
     const std::string from = number >= 0 ? zone_of(day_, number) : zone;
     if (from == zone) return way;
     way.cut = !cut_zone_.empty() && (from == cut_zone_ || zone == cut_zone_);
@@ -46,9 +46,9 @@
   http::ServerSettings server;
   list_ = std::make_unique<registry::Service>(
       loop, server, "list-1",
-      [this](const std::string& umpire, const registry::Update& news) { told_list(umpire, news); });
+      [this](const std::string& proxy, const registry::Update& news) { told_list(proxy, news); });
   list_->told_after(0ms);
-  for (int place = 0; place < day.places; ++place) speeds_[place] = 1 + day.speed_spread * (2 * draw() - 1);
+  for (int place = 0; place < day.places; ++place) speeds_[place] = 1 + day.speed_spread * (2 * uniform_sample() - 1);
   if (day.database) {
     const std::string file = folder + "/database.sqlite";
     for (const char* end : {"", "-wal", "-shm"}) std::filesystem::remove(file + end);
@@ -68,17 +68,17 @@
   settings.rollout = day_.deployment.rollout;
   settings.places = day_.places;
   settings.build = day_.first.number;
-  settings.umpires = day_.deployment.umpires;
+  settings.proxies = day_.deployment.proxies;
   settings.journal = folder_ + "/journal";
   settings.lease = 2s;
   settings.throttle = day_.throttle;
   if (database_) settings.steps_target = "127.0.0.1:" + std::to_string(database_->port());
   controller_ = std::make_unique<controller::Controller>(
       loop_, settings, log_, [this](const rollout::Order& one) { order(one); },
-      [this](const std::string& umpire, const objects::Snapshot& what) { told_news(umpire, what); },
-      [this](const std::string& umpire, int build, int stage, Verdict verdict, Outcome outcome) {
-        record::voted(told_, loop_.now(), umpire, build, stage, rollout::word(verdict),
-                      rollout::word(outcome));
+      [this](const std::string& proxy, const objects::Snapshot& what) { told_news(proxy, what); },
+      [this](const std::string& proxy, int build, int stage, Verdict verdict, Outcome outcome) {
+        record::voted(told_, loop_.now(), proxy, build, stage, rollout::to_string(verdict),
+                      rollout::to_string(outcome));
       });
   controller_port_ = controller_->port();
   changes_ = 0;
@@ -88,7 +88,7 @@
 
 World::~World() = default;
 
-Span World::drawn(Span least, Span most) { return least + seconds(draw() * (most - least).count() / 1e6); }
+Span World::drawn(Span least, Span most) { return least + seconds(uniform_sample() * (most - least).count() / 1e6); }
 
 bool World::all_up() const {
   return static_cast<int>(places_.size()) >= day_.places &&
@@ -174,7 +174,7 @@
   std::vector<int> running;
   for (auto& [id, place] : places_)
     if (nodes_->runs(place.name) && !place.ordered_down) running.push_back(id);
-  std::shuffle(running.begin(), running.end(), chance_);
+  std::shuffle(running.begin(), running.end(), random_);
   const std::size_t many = std::min(
       running.size(),
       std::max<std::size_t>(1, static_cast<std::size_t>(part * static_cast<double>(running.size()) + 0.5)));
@@ -236,7 +236,7 @@
                [this](const std::string& n) { nodes_->fail_probes(n, 0); });
       break;
     case Kind::connection_squeeze: {
-      const auto most = static_cast<std::size_t>(size * day_.deployment.umpires / day_.places) + 1;
+      const auto most = static_cast<std::size_t>(size * day_.deployment.proxies / day_.places) + 1;
       on_nodes([this, most](const std::string& n) { nodes_->squeeze(n, most); },
                [this](const std::string& n) { nodes_->squeeze(n, 0); });
       break;
@@ -284,7 +284,7 @@
     default:
       return;  // the clients' or the umpires'
   }
-  log_.info("trouble", {{"is", word(trouble.kind)}});
+  log_.info("trouble", {{"is", to_string(trouble.kind)}});
 }
 
 void World::begin(Span from) {
@@ -334,23 +334,23 @@
   const auto& changes = controller_->core().changes();
   for (; changes_ < changes.size(); ++changes_) {
     const rollout::Change& change = changes[changes_];
-    record::release_moved(told_, change.at, change.build, change.stage, rollout::word(change.phase),
+    record::release_moved(told_, change.at, change.build, change.stage, rollout::to_string(change.phase),
                           change.why);
   }
 }
 
-void World::told_list(const std::string& umpire, const registry::Update& news) {
-  record::told_list(told_, loop_.now(), umpire, news.entries, news.whole);
+void World::told_list(const std::string& proxy, const registry::Update& news) {
+  record::told_list(told_, loop_.now(), proxy, news.entries, news.whole);
 }
 
 // As the umpire takes it: the newest release that has begun.
-void World::told_news(const std::string& umpire, const objects::Snapshot& what) {
+void World::told_news(const std::string& proxy, const objects::Snapshot& what) {
   const releases::Release release = releases::decoded(what.full);
   const releases::Status& status = release.status;
-  int& newest = newest_told_[umpire];
+  int& newest = newest_told_[proxy];
   if (status.phase == "pending" || release.build < newest) return;
   newest = release.build;
-  record::told_news(told_, loop_.now(), umpire, release.build, status.stage, status.phase, status.cap);
+  record::told_news(told_, loop_.now(), proxy, release.build, status.stage, status.phase, status.cap);
 }
 
 }  // namespace robinhoist::day
--- a/src/day/world.h
+++ b/src/day/world.h
@@ -42,10 +42,10 @@
   std::vector<int> pick(double part);
   void begin_trouble(const Trouble& trouble);
   void each(const std::vector<int>& machines, const std::function<void(const std::string&)>& act);
-  double draw() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
+  double uniform_sample() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   Span drawn(Span least, Span most);
-  void told_list(const std::string& umpire, const registry::Update& news);
-  void told_news(const std::string& umpire, const objects::Snapshot& what);
+  void told_list(const std::string& proxy, const registry::Update& news);
+  void told_news(const std::string& proxy, const objects::Snapshot& what);
   void watch_changes();
   void share_harm();
   void start_controller();
@@ -55,7 +55,7 @@
   const Day& day_;
   const log::Log& log_;
   record::Writer& told_;
-  std::minstd_rand chance_;
+  std::minstd_rand random_;
   std::unique_ptr<standin::Nodes> nodes_;
   std::unique_ptr<registry::Service> list_;
   std::unique_ptr<standin::Database> database_{};
@@ -75,6 +75,6 @@
 };
 
 // The umpire's zone follows from its number.
-std::string zone_of(const Day& day, int umpire);
+std::string zone_of(const Day& day, int proxy);
 
 }  // namespace robinhoist::day
--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -17,10 +17,10 @@
   request_class.deadline = form.span("expiry", 1ms, 10min);
   request_class.priority_weight = form.number("revenue", 0, 1e6, 1.0);
   request_class.late_weight_share = form.number("late-share", 0, 1, 0.0);
-  request_class.idempotency = form.word<Idempotency>(
+  request_class.idempotency = form.enumerator<Idempotency>(
       "effect",
       {{"inquiry", Idempotency::idempotent}, {"referenced", Idempotency::idempotent_with_key}, {"once-only", Idempotency::non_idempotent}});
-  request_class.dedup_scope = form.word<DedupScope>(
+  request_class.dedup_scope = form.enumerator<DedupScope>(
       "group", {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}}, DedupScope::all);
   request_class.dedup_window = form.span("memory", 0ms, 24h, 0ms);
   request_class.stream = false;
@@ -52,7 +52,7 @@
   to.fall_window = form.span("fall-window", 1ms, 10min);
   to.window = form.span("exposure-window", 1ms, 10min);
   to.free = form.number("exposure-free", 0, 1000);
-  to.by_request_class = form.word<bool>("exposure-counts", {{"all", false}, {"each-product", true}}, false);
+  to.by_request_class = form.enumerator<bool>("exposure-counts", {{"all", false}, {"each-product", true}}, false);
   to.one_way = form.truth("one-way", false);
   to.safe_only_stages = form.whole("safe-only-waves", 0, 100, 0);
   to.max_attempts = form.whole("max-submissions", 1, 100, 5);
@@ -74,7 +74,7 @@
   if (rollout.stages.size() != rollout.caps.size())
     form.problem("caps", std::to_string(rollout.caps.size()) + " given for " +
                              std::to_string(rollout.stages.size()) + " waves");
-  rollout.promotion_mode = form.word<PromotionMode>(
+  rollout.promotion_mode = form.enumerator<PromotionMode>(
       "gate", {{"first-vote", PromotionMode::first_vote}, {"count", PromotionMode::count}, {"clock", PromotionMode::clock}});
   rollout.bake = form.span("bake", 0ms, 24h);
   rollout.step = form.span("step", 0ms, 24h, 0ms);
@@ -91,7 +91,7 @@
   rollout.votes_to_hold = form.number("hold-share", 0, 1, 0.1);
   rollout.votes_to_roll_back = form.number("back-share", 0, 1);
   rollout.votes_per_s = form.number("votes-per-s", 0.1, 1e6);
-  rollout.in_place = form.word<bool>("style", {{"beside", false}, {"in-place", true}}, false);
+  rollout.in_place = form.enumerator<bool>("style", {{"beside", false}, {"in-place", true}}, false);
   to.vote_timeout = form.span("vote-timeout", 1ms, 1min, 1s);
   to.wrong_answer_report_share = form.number("reports-share", 0, 1, 0.0);
   form.finish();
@@ -122,10 +122,10 @@
     form.problem("zones", "names none");
     to.zones.push_back("");
   }
-  to.umpires = form.whole("umpires", 1, 100000);
+  to.proxies = form.whole("umpires", 1, 100000);
   to.sized = form.truth("sized-nodes", false);
   to.over_quota_weight = form.number("over-share-revenue", 0, 1, 1.0);
-  to.reports = form.word<Reports>("load-reports", {{"none", Reports::none}, {"answers", Reports::answers}},
+  to.reports = form.enumerator<Reports>("load-reports", {{"none", Reports::none}, {"answers", Reports::answers}},
                                   Reports::answers);
   read_rules(form.sub("rules"), to);
   read_rollout(form.sub("rollout"), to);
@@ -171,7 +171,7 @@
   to.probes = false;
   to.reports = d.reports;
   to.me = number;
-  to.umpires = d.umpires;
+  to.proxies = d.proxies;
   return to;
 }
 
@@ -180,7 +180,7 @@
 }
 
 AnalysisSettings analysis_settings(const Deployment& d) {
-  auto votes = [&](double share) { return rollout::Rollout::needed(share, d.umpires); };
+  auto votes = [&](double share) { return rollout::Rollout::needed(share, d.proxies); };
   return {d.rollout.promotion_mode,
           d.rollout.bake,
           d.rollout.step,
@@ -188,7 +188,7 @@
           d.vote_timeout,
           d.rollout.votes_per_s,
           d.wrong_answer_report_share,
-          d.umpires,
+          d.proxies,
           d.rollout.promotion_mode == PromotionMode::clock        ? 0
           : d.rollout.promotion_mode == PromotionMode::first_vote ? 1
                                                : votes(d.rollout.votes_to_promote),
@@ -201,7 +201,7 @@
   for (auto& request_class : d.request_classes) to.request_classes.push_back(request_class.request_class);
   for (auto& tenant : d.tenants) to.tenants.push_back(tenant.tenant);
   to.max_attempts = d.max_attempts;
-  to.umpires = d.umpires;
+  to.proxies = d.proxies;
   to.hedging = d.hedging;
   to.cancelling = true;
   to.advice = d.advice;
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -31,7 +31,7 @@
   std::vector<NamedRequestClass> request_classes{};
   std::vector<NamedTenant> tenants{};
   std::vector<std::string> zones{};
-  int umpires = 1;
+  int proxies = 1;
   // Figures of the rules.
   Span drain_grace{}, cold_for{}, fall_window{}, window{};
   double cold_from = 0, fall_multiple = 0, free = 0;
--- a/src/emulator/fleet.cpp
+++ b/src/emulator/fleet.cpp
@@ -13,12 +13,12 @@
 
 Fleet::Fleet(Engine& engine, const deployment::Deployment& deployment, Span memory,
              machine::Cancelled cancelled, unsigned salt, record::Writer* record)
-    : engine_(engine), deployment_(deployment), cancelled_(cancelled), chance_(salt), record_(record),
+    : engine_(engine), deployment_(deployment), cancelled_(cancelled), random_(salt), record_(record),
       marks_(memory) {}
 
 int Fleet::start(const ServerSpec& spec) {
   const Span started = spec.cold ? engine_.now() : long_ago;
-  servers_.push_back(std::make_unique<Server>(spec, static_cast<unsigned>(chance_()), started, &marks_, &harm_));
+  servers_.push_back(std::make_unique<Server>(spec, static_cast<unsigned>(random_()), started, &marks_, &harm_));
   Server& server = *servers_.back();
   if (spec.cold) server.started = engine_.now() + Span(wall_us);
   if (record_)
@@ -49,7 +49,7 @@
 
 void Fleet::note(const Server& server, const char* what, const Sent& sent, std::int64_t id) {
   if (!record_) return;
-  const std::string request_id = "umpire-" + std::to_string(sent.umpire) + "." + std::to_string(sent.request_id),
+  const std::string request_id = "umpire-" + std::to_string(sent.proxy) + "." + std::to_string(sent.request_id),
                     attempt = std::to_string(sent.attempt), try_id = std::to_string(sent.try_id),
                     work = std::to_string(sent.work.count());
   record::node_met(
@@ -67,9 +67,9 @@
     server.work_of[sent.id] = id;
   };
   if (server.silent) return swallow("silent");
-  const Way there = way ? way(sent.umpire, server.spec.zone) : Way{};
+  const Way there = way ? way(sent.proxy, server.spec.zone) : Way{};
   if (there.cut) return swallow("cut");
-  if (there.lost > 0 && std::uniform_real_distribution<double>(0, 1)(chance_) < there.lost) {
+  if (there.lost > 0 && std::uniform_real_distribution<double>(0, 1)(random_) < there.lost) {
     note(server, "cut", sent, id);
     return answered(sent.id, {.is = Answer::Is::broken});
   }
@@ -125,7 +125,7 @@
   server.timer = {};
   while (auto done = server.machine.next(engine_.now())) {
     if (record_)
-      record::node_ran(*record_, engine_.now(), server.spec.name, done->id, machine::word(done->how),
+      record::node_ran(*record_, engine_.now(), server.spec.name, done->id, machine::to_string(done->how),
                        done->effect);
     auto at = server.open.find(done->id);
     if (at == server.open.end()) continue;  // nobody waits for it any more
--- a/src/emulator/fleet.h
+++ b/src/emulator/fleet.h
@@ -18,7 +18,7 @@
 // One submission on its way. Ids are indices; names are made for the record alone.
 struct Sent {
   std::uint64_t id = 0;  // of the umpires' book of submissions
-  int umpire = 0, request_class = 0, attempt = 0;
+  int proxy = 0, request_class = 0, attempt = 0;
   long request_id = 0;
   std::int64_t try_id = 0;
   Span work{};
@@ -77,7 +77,7 @@
     Span by{};
     double lost = 0;
   };
-  std::function<Way(int umpire, int zone)> way{};
+  std::function<Way(int proxy, int zone)> way{};
   Answered answered{};
   // All that were out at a box that was killed.
   std::function<void(int server)> killed{};
@@ -109,7 +109,7 @@
   Engine& engine_;
   const deployment::Deployment& deployment_;
   machine::Cancelled cancelled_;
-  std::minstd_rand chance_;
+  std::minstd_rand random_;
   record::Writer* record_;
   machine::Marks marks_;
   machine::SharedHarm harm_{};
--- a/src/emulator/network.h
+++ b/src/emulator/network.h
@@ -14,16 +14,16 @@
 
 class Network {
  public:
-  Network(const NetworkSettings& settings, unsigned salt) : settings_(settings), chance_(salt) {}
+  Network(const NetworkSettings& settings, unsigned salt) : settings_(settings), random_(salt) {}
   Span way() {
     const double factor =
-        1 + settings_.jitter * (2 * std::uniform_real_distribution<double>(0, 1)(chance_) - 1);
+        1 + settings_.jitter * (2 * std::uniform_real_distribution<double>(0, 1)(random_) - 1);
     return Span(static_cast<std::int64_t>(static_cast<double>(settings_.delay.count()) * factor));
   }
 
  private:
   NetworkSettings settings_;
-  std::minstd_rand chance_;
+  std::minstd_rand random_;
 };
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -12,24 +12,24 @@
  public:
   Module(unsigned salt, const EndpointSettings& endpoints, const CanaryQuotaSettings& canary_quota, const AnalysisSettings& analysis,
          const RequestSettings& requests)
-      : umpire_(salt, endpoints, canary_quota, analysis, requests) {}
+      : policy_(salt, endpoints, canary_quota, analysis, requests) {}
   void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, Span now) override {
-    umpire_.endpoints_updated(kind, entries, now);
+    policy_.endpoints_updated(kind, entries, now);
   }
-  void request_arrived(const RequestInfo& request, Span now) override { umpire_.request_arrived(request, now); }
+  void request_arrived(const RequestInfo& request, Span now) override { policy_.request_arrived(request, now); }
   void attempt_ended(int request, int attempt, Outcome outcome, bool succeeded, const Load& load,
                         Span now) override {
-    umpire_.attempt_ended(request, attempt, outcome, succeeded, load, now);
+    policy_.attempt_ended(request, attempt, outcome, succeeded, load, now);
   }
-  void client_disconnected(int request) override { umpire_.client_disconnected(request); }
-  void release_updated(const ReleaseUpdate& release, Span now) override { umpire_.release_updated(release, now); }
-  void vote_answered(Outcome outcome, Span now) override { umpire_.vote_answered(outcome, now); }
-  void answer_found_wrong(int endpoint) override { umpire_.answer_found_wrong(endpoint); }
-  std::optional<Decision> next(Span now) override { return umpire_.next(now); }
-  bool knows(int request) const override { return umpire_.knows(request); }
+  void client_disconnected(int request) override { policy_.client_disconnected(request); }
+  void release_updated(const ReleaseUpdate& release, Span now) override { policy_.release_updated(release, now); }
+  void vote_answered(Outcome outcome, Span now) override { policy_.vote_answered(outcome, now); }
+  void answer_found_wrong(int endpoint) override { policy_.answer_found_wrong(endpoint); }
+  std::optional<Decision> next(Span now) override { return policy_.next(now); }
+  bool knows(int request) const override { return policy_.knows(request); }
 
  private:
-  Umpire umpire_;
+  DecisionEngine policy_;
 };
 
 // One submission for each txn, to a listed node by the book; what fails is voided, nothing is sent again or
@@ -37,7 +37,7 @@
 // it says 'back' when the trial's failures of the last seconds pass a fixed share.
 class Baseline : public Policy {
  public:
-  Baseline(const PolicySpec& spec, unsigned salt) : spec_(spec), chance_(salt) {}
+  Baseline(const PolicySpec& spec, unsigned salt) : spec_(spec), random_(salt) {}
 
   void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, Span) override {
     if (kind == EndpointUpdateKind::failed) return;
@@ -112,11 +112,11 @@
   static constexpr std::size_t enough = 20;
   static constexpr double failed_most = 0.1;
 
-  double draw() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
+  double uniform_sample() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   int choose() {
     const bool trial = release_ && release_->phase != ReleasePhase::released;
-    const bool young = !trial || draw() < release_->cap;
+    const bool young = !trial || uniform_sample() < release_->cap;
     std::vector<int> among;
     for (auto& [endpoint, build] : endpoints_)
       if (!trial || (build == release_->build) == young) among.push_back(endpoint);
@@ -126,7 +126,7 @@
         if (build != release_->build) among.push_back(endpoint);
     if (among.empty()) return -1;
     if (spec_.route == Route::random)
-      return among[static_cast<std::size_t>(draw() * static_cast<double>(among.size()))];
+      return among[static_cast<std::size_t>(uniform_sample() * static_cast<double>(among.size()))];
     if (spec_.route == Route::round_robin) return among[turn_++ % among.size()];
     return *std::min_element(among.begin(), among.end(), [&](int a, int b) { return out_[a] < out_[b]; });
   }
@@ -145,7 +145,7 @@
   }
 
   PolicySpec spec_;
-  RandomGenerator chance_;
+  RandomGenerator random_;
   std::map<int, int> endpoints_{};  // build, by node
   std::map<int, int> out_{};
   std::unordered_map<int, Held> requests_{};
--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -6,7 +6,7 @@
 
 #include "day/record_meta.h"
 #include "record/lines.h"
-#include "rollout/words.h"
+#include "rollout/names.h"
 
 namespace robinhoist::emulator {
 namespace {
@@ -22,7 +22,7 @@
 
 Span seconds(double s) { return Span(static_cast<std::int64_t>(s * 1e6)); }
 
-std::string name_of(int umpire) { return "umpire-" + std::to_string(umpire); }
+std::string name_of(int proxy) { return "umpire-" + std::to_string(proxy); }
 
 class Run {
  public:
@@ -55,14 +55,14 @@
   // The list.
   void list_later(const registry::Endpoint& entry, bool removed);
   void tell_list();
-  void tell_whole(int umpire);
-  void record_list(int umpire, const std::vector<registry::Endpoint>& entries, bool whole);
+  void tell_whole(int proxy);
+  void record_list(int proxy, const std::vector<registry::Endpoint>& entries, bool whole);
   // The controller.
   void start_controller();
   void pull_controller();
   void publish();
-  void tell_release(int umpire);
-  void vote(int umpire, int build, int stage, Verdict verdict);
+  void tell_release(int proxy);
+  void vote(int proxy, int build, int stage, Verdict verdict);
   void beat();
   void offer(const day::Offer& offer);
   // Clients.
@@ -71,8 +71,8 @@
   void answer(std::int64_t id, const FinalAnswer& how);
   void ended(load::Try one, load::End end, const FinalAnswer& how);
   // Umpires and troubles.
-  void start_umpire(int u);
-  void kill_umpire(int u);
+  void start_proxy(int u);
+  void kill_proxy(int u);
   void begin(const Trouble& trouble);
   void life(int u, const char* what);
   template <class Act, class Undo>
@@ -88,19 +88,19 @@
     auto kept = std::make_shared<std::vector<int>>(std::move(chosen));
     engine_.in(trouble.lasts, [kept, each, undo]() mutable { each(*kept, undo); });
   }
-  double draw() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
+  double uniform_sample() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   Span drawn(Span least, Span most) {
-    return least + seconds(draw() * static_cast<double>((most - least).count()) / 1e6);
+    return least + seconds(uniform_sample() * static_cast<double>((most - least).count()) / 1e6);
   }
   Span day_now() const { return engine_.now() - from_; }
 
   const day::Day& day_;
   std::unique_ptr<record::Writer> nodes_, told_, clients_, lives_;
   Engine engine_{};
-  std::minstd_rand chance_;
+  std::minstd_rand random_;
   Network network_;
   Fleet fleet_;
-  std::vector<std::unique_ptr<UmpireHost>> umpires_{};
+  std::vector<std::unique_ptr<SimulatedProxy>> proxies_{};
   std::vector<bool> up_{};
   load::Load load_;
   std::map<int, Place> places_{};
@@ -141,7 +141,7 @@
          const PolicySpec& policy)
     : day_(day), nodes_(writer(folder, "nodes.jsonl")), told_(writer(folder, "told.jsonl")),
       clients_(writer(folder, "clients.jsonl")), lives_(writer(folder, "umpires.jsonl")),
-      chance_(static_cast<unsigned>(seed * 2 + 1)), network_(network, static_cast<unsigned>(seed * 3 + 7)),
+      random_(static_cast<unsigned>(seed * 2 + 1)), network_(network, static_cast<unsigned>(seed * 3 + 7)),
       fleet_(
           engine_, day.deployment,
           [&] {
@@ -151,26 +151,26 @@
           }(),
           day.cancelled, static_cast<unsigned>(seed * 2 + 2), nodes_.get()),
       load_(day.load, static_cast<unsigned>(seed * 2 + 101)),
-      members_({day.deployment.umpires, lease, memory}), from_(settles_in) {
+      members_({day.deployment.proxies, lease, memory}), from_(settles_in) {
   const auto& d = day.deployment;
   fleet_.answered = [this](std::uint64_t id, const Answer& answer) {
     const int u = static_cast<int>(id >> 40);
-    engine_.in(network_.way(), [this, u, id, answer, life = umpires_[u]->life()] {
-      UmpireHost& umpire = *umpires_[u];
-      if (!umpire.up() || umpire.life() != life) return;
+    engine_.in(network_.way(), [this, u, id, answer, life = proxies_[u]->life()] {
+      SimulatedProxy& proxy = *proxies_[u];
+      if (!proxy.up() || proxy.life() != life) return;
       const Outcome outcome = answer.is == Answer::Is::well     ? Outcome::ok
                               : answer.is == Answer::Is::failed ? Outcome::error
                               : answer.is == Answer::Is::full   ? Outcome::rejected
                                                                 : Outcome::reset;
-      umpire.ended(id, outcome, answer);
+      proxy.ended(id, outcome, answer);
     });
   };
   fleet_.killed = [this](int server) {
-    for (auto& umpire : umpires_) umpire->server_killed(server);
+    for (auto& proxy : proxies_) proxy->server_killed(server);
   };
-  fleet_.way = [this](int umpire, int zone) {
+  fleet_.way = [this](int proxy, int zone) {
     Fleet::Way way;
-    const std::string &from = day_.deployment.zones[umpire % day_.deployment.zones.size()],
+    const std::string &from = day_.deployment.zones[proxy % day_.deployment.zones.size()],
                       &to = day_.deployment.zones[zone];
     if (from == to) return way;
     way.cut = !cut_zone_.empty() && (from == cut_zone_ || to == cut_zone_);
@@ -180,14 +180,14 @@
     }
     return way;
   };
-  for (int place = 0; place < day.places; ++place) speeds_.push_back(1 + day.speed_spread * (2 * draw() - 1));
-  for (int u = 0; u < d.umpires; ++u) {
-    UmpireSettings settings;
+  for (int place = 0; place < day.places; ++place) speeds_.push_back(1 + day.speed_spread * (2 * uniform_sample() - 1));
+  for (int u = 0; u < d.proxies; ++u) {
+    SimulatedProxySettings settings;
     settings.number = u;
     settings.zone = static_cast<int>(u % d.zones.size());
     settings.salt = static_cast<unsigned>(1 + (seed * 7919 + u) % 2000000000);
     settings.policy = policy;
-    UmpireHost::Ways ways;
+    SimulatedProxy::Ways ways;
     ways.answer = [this](std::int64_t id, const FinalAnswer& how) {
       engine_.in(network_.way(), [this, id, how] { answer(id, how); });
     };
@@ -199,7 +199,7 @@
       auto at = server_of_.find(name);
       return at == server_of_.end() ? -1 : at->second;
     };
-    umpires_.push_back(std::make_unique<UmpireHost>(engine_, d, settings, fleet_, network_, std::move(ways)));
+    proxies_.push_back(std::make_unique<SimulatedProxy>(engine_, d, settings, fleet_, network_, std::move(ways)));
     up_.push_back(false);
   }
 }
@@ -288,7 +288,7 @@
   std::vector<int> running;
   for (auto& [id, place] : places_)
     if (place.server >= 0 && fleet_.runs(place.server) && !place.ordered_down) running.push_back(id);
-  std::shuffle(running.begin(), running.end(), chance_);
+  std::shuffle(running.begin(), running.end(), random_);
   const auto many =
       std::max<std::size_t>(1, static_cast<std::size_t>(part * static_cast<double>(running.size()) + 0.5));
   running.resize(std::min(running.size(), many));
@@ -326,8 +326,8 @@
   });
 }
 
-void Run::record_list(int umpire, const std::vector<registry::Endpoint>& entries, bool whole) {
-  if (told_) record::told_list(*told_, engine_.now(), name_of(umpire), entries, whole);
+void Run::record_list(int proxy, const std::vector<registry::Endpoint>& entries, bool whole) {
+  if (told_) record::told_list(*told_, engine_.now(), name_of(proxy), entries, whole);
 }
 
 void Run::tell_list() {
@@ -335,22 +335,22 @@
   auto entries = std::make_shared<std::vector<registry::Endpoint>>();
   for (auto& [name, entry] : changed_) entries->push_back(entry);
   changed_.clear();
-  for (int u = 0; u < static_cast<int>(umpires_.size()); ++u) {
-    if (!umpires_[u]->up()) continue;
+  for (int u = 0; u < static_cast<int>(proxies_.size()); ++u) {
+    if (!proxies_[u]->up()) continue;
     record_list(u, *entries, false);
-    engine_.in(network_.way(), [this, u, entries, life = umpires_[u]->life()] {
-      if (umpires_[u]->life() == life) umpires_[u]->list(*entries, false);
+    engine_.in(network_.way(), [this, u, entries, life = proxies_[u]->life()] {
+      if (proxies_[u]->life() == life) proxies_[u]->list(*entries, false);
     });
   }
 }
 
 void Run::tell_whole(int u) {
-  if (!umpires_[u]->up()) return;
+  if (!proxies_[u]->up()) return;
   auto entries = std::make_shared<std::vector<registry::Endpoint>>();
   for (auto& [name, entry] : listed_) entries->push_back(entry);
   record_list(u, *entries, true);
-  engine_.in(network_.way(), [this, u, entries, life = umpires_[u]->life()] {
-    if (umpires_[u]->life() == life) umpires_[u]->list(*entries, true);
+  engine_.in(network_.way(), [this, u, entries, life = proxies_[u]->life()] {
+    if (proxies_[u]->life() == life) proxies_[u]->list(*entries, true);
   });
 }
 
@@ -359,8 +359,8 @@
 void Run::start_controller() {
   const auto& d = day_.deployment;
   if (kept_.machines.empty())
-    core_ = std::make_unique<rollout::Rollout>(d.rollout, day_.places, day_.first.number, d.umpires);
-  else core_ = std::make_unique<rollout::Rollout>(d.rollout, day_.places, d.umpires, kept_, engine_.now());
+    core_ = std::make_unique<rollout::Rollout>(d.rollout, day_.places, day_.first.number, d.proxies);
+  else core_ = std::make_unique<rollout::Rollout>(d.rollout, day_.places, d.proxies, kept_, engine_.now());
   seen_version_ = 0;
   seen_changes_ = 0;
   for (auto& [id, place] : places_)
@@ -371,7 +371,7 @@
 void Run::pull_controller() {
   if (!core_ || silent_ || errors_) return;
   const Span now = engine_.now();
-  core_->umpires(members_.to_go_on(), members_.to_go_back());
+  core_->proxies(members_.to_go_on(), members_.to_go_back());
   while (auto one = core_->next(now)) {
     order(*one);
     if (!core_) return;
@@ -381,9 +381,9 @@
   for (; seen_changes_ < changes.size(); ++seen_changes_) {
     const rollout::Change& change = changes[seen_changes_];
     summary_.verdicts.push_back(
-        {change.at, change.build, change.stage, rollout::word(change.phase), change.why});
+        {change.at, change.build, change.stage, rollout::to_string(change.phase), change.why});
     if (told_)
-      record::release_moved(*told_, change.at, change.build, change.stage, rollout::word(change.phase),
+      record::release_moved(*told_, change.at, change.build, change.stage, rollout::to_string(change.phase),
                             change.why);
   }
   if (core_->version() != seen_version_) {
@@ -399,42 +399,42 @@
   engine_.at(news_due_, [this, update = core_->news(engine_.now()), at = engine_.now()] {
     published_ = update;
     published_at_ = at;
-    for (int u = 0; u < static_cast<int>(umpires_.size()); ++u) tell_release(u);
+    for (int u = 0; u < static_cast<int>(proxies_.size()); ++u) tell_release(u);
   });
 }
 
 void Run::tell_release(int u) {
-  if (!umpires_[u]->up() || !core_) return;
+  if (!proxies_[u]->up() || !core_) return;
   if (told_)
     record::told_news(*told_, engine_.now(), name_of(u), published_.build, published_.stage,
-                      rollout::word(published_.phase), published_.cap);
+                      rollout::to_string(published_.phase), published_.cap);
   ReleaseUpdate update = published_;
   update.since += engine_.now() - published_at_;
-  engine_.in(network_.way(), [this, u, update, life = umpires_[u]->life()] {
-    if (umpires_[u]->life() == life) umpires_[u]->release(update);
+  engine_.in(network_.way(), [this, u, update, life = proxies_[u]->life()] {
+    if (proxies_[u]->life() == life) proxies_[u]->release(update);
   });
 }
 
 void Run::vote(int u, int build, int stage, Verdict verdict) {
   ++summary_.votes;
-  const int life = umpires_[u]->life();
+  const int life = proxies_[u]->life();
   const auto back = [this, u, life](Span after, Outcome outcome) {
     engine_.in(after, [this, u, life, outcome] {
-      if (umpires_[u]->life() == life) umpires_[u]->vote_answered(outcome);
+      if (proxies_[u]->life() == life) proxies_[u]->vote_answered(outcome);
     });
   };
   if (!core_) return back(2 * network_.way(), Outcome::connect_failure);
   engine_.in(network_.way(), [this, u, build, stage, verdict, back] {
     if (!core_) return back(network_.way(), Outcome::reset);
-    const bool counts = !errors_ && (!silent_ || draw() < counted_);
+    const bool counts = !errors_ && (!silent_ || uniform_sample() < counted_);
     Outcome outcome = Outcome::error;
     if (counts) {
-      members_.heard(name_of(u), std::to_string(umpires_[u]->life()), engine_.now());
+      members_.heard(name_of(u), std::to_string(proxies_[u]->life()), engine_.now());
       outcome = core_->vote(name_of(u), build, stage, verdict, engine_.now());
     }
     if (told_)
-      record::voted(*told_, engine_.now(), name_of(u), build, stage, rollout::word(verdict),
-                    rollout::word(outcome));
+      record::voted(*told_, engine_.now(), name_of(u), build, stage, rollout::to_string(verdict),
+                    rollout::to_string(outcome));
     if (silent_) return back(day_.deployment.vote_timeout, Outcome::timeout);
     back(network_.way(), outcome);
     pull_controller();
@@ -442,8 +442,8 @@
 }
 
 void Run::beat() {
-  for (int u = 0; core_ && !silent_ && !errors_ && u < static_cast<int>(umpires_.size()); ++u)
-    if (umpires_[u]->up()) members_.heard(name_of(u), std::to_string(umpires_[u]->life()), engine_.now());
+  for (int u = 0; core_ && !silent_ && !errors_ && u < static_cast<int>(proxies_.size()); ++u)
+    if (proxies_[u]->up()) members_.heard(name_of(u), std::to_string(proxies_[u]->life()), engine_.now());
   if (core_) members_.canary_running(core_->news(engine_.now()).phase == ReleasePhase::canary);
   members_.tick(engine_.now());
   engine_.in(beat_every, [this] { beat(); });
@@ -475,9 +475,9 @@
   Open& open = open_[one.id];
   open.one = one;
   const Span until = from_ + one.until;
-  UmpireHost& umpire = *umpires_[one.umpire];
-  open.life = umpire.life();
-  if (!umpire.up()) {
+  SimulatedProxy& proxy = *proxies_[one.proxy];
+  open.life = proxy.life();
+  if (!proxy.up()) {
     engine_.in(front_refused, [this, id = one.id] {
       auto at = open_.find(id);
       if (at != open_.end()) ended(at->second.one, load::End::unreached, {.status = 0});
@@ -488,7 +488,7 @@
     auto at = open_.find(id);
     if (at == open_.end()) return;
     const load::Try gone = at->second.one;
-    umpires_[gone.umpire]->left(id);
+    proxies_[gone.proxy]->left(id);
     ended(gone, load::End::timed_out, {.status = 0});
   });
   if (one.leaves > Span{})
@@ -496,14 +496,14 @@
       auto at = open_.find(id);
       if (at == open_.end()) return;
       const load::Try gone = at->second.one;
-      if (umpires_[gone.umpire]->up()) umpires_[gone.umpire]->left(id);
+      if (proxies_[gone.proxy]->up()) proxies_[gone.proxy]->left(id);
       ended(gone, load::End::left, {.status = 0});
     });
   engine_.in(network_.way(), [this, id = one.id] {
     auto at = open_.find(id);
     if (at == open_.end()) return;
     Open& still = at->second;
-    UmpireHost& to = *umpires_[still.one.umpire];
+    SimulatedProxy& to = *proxies_[still.one.proxy];
     if (!to.up() || to.life() != still.life) return ended(still.one, load::End::broken, {.status = 0});
     load::Try taken = still.one;
     taken.at += from_;
@@ -563,18 +563,18 @@
                               .number = one.number,
                               .request_class = one.request_class,
                               .tenant = one.tenant,
-                              .umpire = name_of(one.umpire),
+                              .proxy = name_of(one.proxy),
                               .key = one.key,
                               .poison = one.poison,
-                              .end = load::word(end),
+                              .end = load::to_string(end),
                               .status = how.status,
                               .why = how.why,
                               .endpoint = how.server < 0 ? std::string_view() : fleet_.spec(how.server).name,
                               .build = how.server < 0 ? -1.0 : fleet_.spec(how.server).build.number,
                               .right = how.right});
-  if (end == load::End::succeeded && draw() < (how.right ? day_.false_reports : day_.deployment.wrong_answer_report_share))
+  if (end == load::End::succeeded && uniform_sample() < (how.right ? day_.false_reports : day_.deployment.wrong_answer_report_share))
     engine_.in(drawn(day_.reports_least, day_.reports_most),
-               [this, u = one.umpire, server = how.server] { umpires_[u]->found_wrong(server); });
+               [this, u = one.proxy, server = how.server] { proxies_[u]->found_wrong(server); });
   load_.ended(one.id, end, how.stay_away, day_now());
   pull_load();
 }
@@ -582,26 +582,26 @@
 // Umpires and troubles.
 
 void Run::life(int u, const char* what) {
-  if (lives_) record::umpire_life(*lives_, engine_.now(), name_of(u), what);
+  if (lives_) record::proxy_life(*lives_, engine_.now(), name_of(u), what);
 }
 
-void Run::start_umpire(int u) {
-  if (umpires_[u]->up()) return;
+void Run::start_proxy(int u) {
+  if (proxies_[u]->up()) return;
   life(u, "start");
-  umpires_[u]->start();
+  proxies_[u]->start();
   engine_.in(2 * network_.way(), [this, u] { tell_whole(u); });
   engine_.in(2 * network_.way(), [this, u] { tell_release(u); });
-  load_.umpire(u, true, day_now());
+  load_.proxy(u, true, day_now());
 }
 
-void Run::kill_umpire(int u) {
-  if (!umpires_[u]->up()) return;
+void Run::kill_proxy(int u) {
+  if (!proxies_[u]->up()) return;
   life(u, "killed");
-  umpires_[u]->kill();
-  load_.umpire(u, false, day_now());
+  proxies_[u]->kill();
+  load_.proxy(u, false, day_now());
   std::vector<std::int64_t> lost;
   for (auto& [id, open] : open_)
-    if (open.one.umpire == u) lost.push_back(id);
+    if (open.one.proxy == u) lost.push_back(id);
   std::sort(lost.begin(), lost.end());
   for (std::int64_t id : lost)
     engine_.in(network_.way(), [this, id] {
@@ -652,7 +652,7 @@
       break;
     }
     case Kind::connection_squeeze: {
-      const int most = static_cast<int>(size * d.umpires / day_.places) + 1;
+      const int most = static_cast<int>(size * d.proxies / day_.places) + 1;
       on_servers(
           trouble, [this, most](int server) { fleet_.squeeze(server, most); },
           [this](int server) { fleet_.squeeze(server, 0); });
@@ -698,8 +698,8 @@
       break;
     case Kind::hot_caller: {
       std::vector<int> some;
-      const int many = std::max(1, static_cast<int>(trouble.part * d.umpires + 0.5));
-      for (int u = 0; u < many; ++u) some.push_back((u * 7 + 1) % d.umpires);
+      const int many = std::max(1, static_cast<int>(trouble.part * d.proxies + 0.5));
+      for (int u = 0; u < many; ++u) some.push_back((u * 7 + 1) % d.proxies);
       load_.hot(some, size);
       at_end([this] { load_.hot({}, 0); });
       break;
@@ -712,21 +712,21 @@
       load_.abuse(d.tenant(trouble.tenant), static_cast<int>(size), trouble.extra);
       at_end([this] { load_.abuse(-1, 0, 1); });
       break;
-    case Kind::umpire_crash:
-    case Kind::umpire_roll: {
-      std::vector<int> chosen(umpires_.size());
+    case Kind::proxy_crash:
+    case Kind::proxy_roll: {
+      std::vector<int> chosen(proxies_.size());
       for (std::size_t u = 0; u < chosen.size(); ++u) chosen[u] = static_cast<int>(u);
-      std::shuffle(chosen.begin(), chosen.end(), chance_);
-      const int umpires = static_cast<int>(chosen.size());
-      chosen.resize(std::clamp(static_cast<int>(trouble.part * umpires + 0.5), 1, umpires));
-      const bool roll = trouble.kind == Kind::umpire_roll;
-      const int batch = roll ? std::max(1, static_cast<int>(size * umpires)) : umpires;
+      std::shuffle(chosen.begin(), chosen.end(), random_);
+      const int proxies = static_cast<int>(chosen.size());
+      chosen.resize(std::clamp(static_cast<int>(trouble.part * proxies + 0.5), 1, proxies));
+      const bool roll = trouble.kind == Kind::proxy_roll;
+      const int batch = roll ? std::max(1, static_cast<int>(size * proxies)) : proxies;
       const int batches = (static_cast<int>(chosen.size()) + batch - 1) / batch;
       for (std::size_t i = 0; i < chosen.size(); ++i) {
         const Span begins = roll ? trouble.lasts * (static_cast<int>(i) / batch) / batches : Span{};
         const Span gone = roll ? seconds(trouble.extra) : trouble.lasts;
-        engine_.in(begins, [this, u = chosen[i]] { kill_umpire(u); });
-        engine_.in(begins + gone, [this, u = chosen[i]] { start_umpire(u); });
+        engine_.in(begins, [this, u = chosen[i]] { kill_proxy(u); });
+        engine_.in(begins + gone, [this, u = chosen[i]] { start_proxy(u); });
       }
       break;
     }
@@ -738,7 +738,7 @@
 
 Summary Run::play() {
   start_controller();
-  for (int u = 0; u < static_cast<int>(umpires_.size()); ++u) start_umpire(u);
+  for (int u = 0; u < static_cast<int>(proxies_.size()); ++u) start_proxy(u);
   beat();
   share_harm();
   engine_.run(from_);
@@ -752,10 +752,10 @@
   const Span end = from_ + day_.length;
   engine_.run(end);
   while (!load_.over() && engine_.now() < end + over_most && engine_.step(end + over_most)) {}
-  for (std::size_t u = 0; u < umpires_.size(); ++u) {
-    summary_.attempts += umpires_[u]->attempts();
-    summary_.decisions += umpires_[u]->decisions();
-    if (umpires_[u]->up()) life(static_cast<int>(u), "stopped");
+  for (std::size_t u = 0; u < proxies_.size(); ++u) {
+    summary_.attempts += proxies_[u]->attempts();
+    summary_.decisions += proxies_[u]->decisions();
+    if (proxies_[u]->up()) life(static_cast<int>(u), "stopped");
   }
   summary_.events = engine_.events();
   return std::move(summary_);
--- a/src/emulator/run.h
+++ b/src/emulator/run.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "day/notation.h"
-#include "emulator/umpire.h"
+#include "emulator/simulated_proxy.h"
 #include "membership/members.h"
 #include "rollout/rollout.h"
 
--- a/src/emulator/umpire.cpp
+++ b/src/emulator/simulated_proxy.cpp
@@ -1,9 +1,9 @@
-#include "emulator/umpire.h"
+#include "emulator/simulated_proxy.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "rollout/words.h"
+#include "rollout/names.h"
 
 namespace robinhoist::emulator {
 namespace {
@@ -19,19 +19,19 @@
 }
 }  // namespace
 
-UmpireHost::UmpireHost(Engine& engine, const deployment::Deployment& deployment,
-                       const UmpireSettings& settings, Fleet& fleet, Network& network, Ways ways)
+SimulatedProxy::SimulatedProxy(Engine& engine, const deployment::Deployment& deployment,
+                       const SimulatedProxySettings& settings, Fleet& fleet, Network& network, Ways ways)
     : engine_(engine), deployment_(deployment), settings_(settings), fleet_(fleet), network_(network),
       ways_(std::move(ways)), next_attempt_id_(static_cast<std::uint64_t>(settings.number) << 40) {}
 
-void UmpireHost::start() {
+void SimulatedProxy::start() {
   ++life_;
   born_ = engine_.now();
   last_request_id_ = 0;
   heard_release_ = false;
   upstreams_.clear();
   upstream_of_.clear();
-  umpire_ = make_policy(settings_.policy, settings_.salt,
+  policy_ = make_policy(settings_.policy, settings_.salt,
                         deployment::endpoint_settings(deployment_, settings_.zone, settings_.number),
                         deployment::canary_quota_settings(deployment_), deployment::analysis_settings(deployment_),
                         deployment::request_settings(deployment_, tick));
@@ -41,7 +41,7 @@
   pull();
 }
 
-void UmpireHost::kill() {
+void SimulatedProxy::kill() {
   if (!up()) return;
   engine_.cancel(wake_);
   for (auto& [id, in_flight] : requests_)
@@ -54,10 +54,10 @@
   requests_.clear();
   request_of_.clear();
   attempt_of_.clear();
-  umpire_.reset();
+  policy_.reset();
 }
 
-void UmpireHost::take(const load::Try& one, Span until) {
+void SimulatedProxy::take(const load::Try& one, Span until) {
   const auto& request_class = deployment_.request_classes[one.request_class].request_class;
   RequestInfo request{};
   request.request_class = one.request_class;
@@ -72,11 +72,11 @@
   in_flight.until = until;
   requests_.emplace(request.request_id, std::move(in_flight));
   request_of_[one.id] = request.request_id;
-  umpire_->request_arrived(request, local());
+  policy_->request_arrived(request, local());
   pull();
 }
 
-void UmpireHost::left(std::int64_t try_id) {
+void SimulatedProxy::left(std::int64_t try_id) {
   auto at = request_of_.find(try_id);
   if (at == request_of_.end()) return;
   const int request_id = at->second;
@@ -84,12 +84,12 @@
   if (in_flight.answered) return;
   in_flight.answered = true;
   request_of_.erase(at);
-  umpire_->client_disconnected(request_id);
+  policy_->client_disconnected(request_id);
   forget(request_id);
   // The router pulls with its next input or wake-up; so does this.
 }
 
-int UmpireHost::upstream_index(const registry::Endpoint& entry) {
+int SimulatedProxy::upstream_index(const registry::Endpoint& entry) {
   const std::string id = entry.name + "@" + entry.address;
   if (auto at = upstream_of_.find(id); at != upstream_of_.end()) return at->second;
   if (entry.phase == EndpointPhase::removed) return -1;
@@ -100,7 +100,7 @@
   return upstream_of_[id] = static_cast<int>(upstreams_.size()) - 1;
 }
 
-void UmpireHost::list(const std::vector<registry::Endpoint>& entries, bool whole, bool saved) {
+void SimulatedProxy::list(const std::vector<registry::Endpoint>& entries, bool whole, bool saved) {
   if (!up()) return;
   if (whole) listed_.clear();
   std::vector<EndpointInfo> news;
@@ -136,45 +136,45 @@
   if (!heard_release_ && !listed_.empty()) {
     int lowest = listed_.begin()->second.build;
     for (auto& [name, entry] : listed_) lowest = std::min(lowest, entry.build);
-    umpire_->release_updated(ReleaseUpdate{lowest, 0, ReleasePhase::released, 1, Span{}}, local());
+    policy_->release_updated(ReleaseUpdate{lowest, 0, ReleasePhase::released, 1, Span{}}, local());
   }
-  umpire_->endpoints_updated(saved ? EndpointUpdateKind::cached : whole ? EndpointUpdateKind::complete : EndpointUpdateKind::incremental, news, local());
+  policy_->endpoints_updated(saved ? EndpointUpdateKind::cached : whole ? EndpointUpdateKind::complete : EndpointUpdateKind::incremental, news, local());
   pull();
 }
 
-void UmpireHost::release(const ReleaseUpdate& update) {
+void SimulatedProxy::release(const ReleaseUpdate& update) {
   if (!up()) return;
   heard_release_ = true;
-  umpire_->release_updated(update, local());
+  policy_->release_updated(update, local());
   pull();
 }
 
-void UmpireHost::vote_answered(Outcome outcome) {
+void SimulatedProxy::vote_answered(Outcome outcome) {
   if (!up()) return;
-  umpire_->vote_answered(outcome, local());
+  policy_->vote_answered(outcome, local());
   pull();
 }
 
-void UmpireHost::found_wrong(int server) {
+void SimulatedProxy::found_wrong(int server) {
   if (!up()) return;
   for (std::size_t i = 0; i < upstreams_.size(); ++i)
     if (upstreams_[i].server == server) {
-      umpire_->answer_found_wrong(static_cast<int>(i));
+      policy_->answer_found_wrong(static_cast<int>(i));
       return pull();
     }
 }
 
-void UmpireHost::pull() {
+void SimulatedProxy::pull() {
   if (pulling_) return;
   pulling_ = true;
-  while (auto decision = umpire_->next(local())) {
+  while (auto decision = policy_->next(local())) {
     ++decisions_;
     carry_out(*decision);
   }
   pulling_ = false;
 }
 
-void UmpireHost::carry_out(const Decision& decision) {
+void SimulatedProxy::carry_out(const Decision& decision) {
   switch (decision.action) {
     case Action::forward:
       forward(decision);
@@ -183,7 +183,7 @@
       InFlightRequest& in_flight = requests_.at(decision.request_id);
       finish(in_flight, {.end = load::End::rejected,
                     .status = 503,
-                    .why = in_flight.attempts.empty() ? "no-room" : rollout::word(in_flight.last),
+                    .why = in_flight.attempts.empty() ? "no-room" : rollout::to_string(in_flight.last),
                     .stay_away = decision.span});
       forget(decision.request_id);
       break;
@@ -193,7 +193,7 @@
       const bool late = in_flight.attempts.empty() || in_flight.last == Outcome::timeout;
       finish(in_flight, {.end = load::End::failed,
                     .status = late ? 504 : 502,
-                    .why = in_flight.attempts.empty() ? "expired" : rollout::word(in_flight.last)});
+                    .why = in_flight.attempts.empty() ? "expired" : rollout::to_string(in_flight.last)});
       forget(decision.request_id);
       break;
     }
@@ -234,7 +234,7 @@
   }
 }
 
-void UmpireHost::forward(const Decision& decision) {
+void SimulatedProxy::forward(const Decision& decision) {
   InFlightRequest& in_flight = requests_.at(decision.request_id);
   const std::size_t index = in_flight.attempts.size();
   Upstream& upstream = upstreams_[decision.endpoint];
@@ -250,7 +250,7 @@
     });
   };
   Sent sent{.id = id,
-            .umpire = settings_.number,
+            .proxy = settings_.number,
             .request_class = in_flight.one.request_class,
             .attempt = static_cast<int>(index),
             .request_id = decision.request_id,
@@ -298,7 +298,7 @@
     if (of.attempts[place].ended || of.attempts[place].cancelled) return;
     if (!fleet_.runs(server)) return ended(id, Outcome::reset, {});
     fleet_.arrive(server, {.id = id,
-                        .umpire = settings_.number,
+                        .proxy = settings_.number,
                         .request_class = of.one.request_class,
                         .attempt = static_cast<int>(place),
                         .request_id = request_id,
@@ -310,14 +310,14 @@
   });
 }
 
-void UmpireHost::ended(std::uint64_t id, Outcome outcome, const Answer& answer) {
+void SimulatedProxy::ended(std::uint64_t id, Outcome outcome, const Answer& answer) {
   auto at = attempt_of_.find(id);
   if (at == attempt_of_.end()) return;
   const auto [request_id, index] = at->second;
   attempt_ended(request_id, index, outcome, answer);
 }
 
-void UmpireHost::attempt_ended(int request_id, std::size_t index, Outcome outcome, const Answer& answer) {
+void SimulatedProxy::attempt_ended(int request_id, std::size_t index, Outcome outcome, const Answer& answer) {
   InFlightRequest& in_flight = requests_.at(request_id);
   InFlightAttempt& out = in_flight.attempts[index];
   if (out.ended) return;
@@ -343,7 +343,7 @@
     load.held = answer.held;
   }
   const bool answers = outcome == Outcome::ok && !in_flight.answered;
-  umpire_->attempt_ended(request_id, static_cast<int>(index), outcome, in_flight.answered || answers, load, local());
+  policy_->attempt_ended(request_id, static_cast<int>(index), outcome, in_flight.answered || answers, load, local());
   if (answers)
     finish(
         in_flight,
@@ -352,7 +352,7 @@
   pull();
 }
 
-void UmpireHost::server_killed(int server) {
+void SimulatedProxy::server_killed(int server) {
   if (!up()) return;
   for (Upstream& upstream : upstreams_)
     if (upstream.server == server) upstream.idle = 0;
@@ -366,16 +366,16 @@
     });
 }
 
-void UmpireHost::finish(InFlightRequest& in_flight, FinalAnswer how) {
+void SimulatedProxy::finish(InFlightRequest& in_flight, FinalAnswer how) {
   if (in_flight.answered) return;
   in_flight.answered = true;
   request_of_.erase(in_flight.one.id);
   ways_.answer(in_flight.one.id, how);
 }
 
-void UmpireHost::forget(int request_id) {
+void SimulatedProxy::forget(int request_id) {
   auto at = requests_.find(request_id);
-  if (at != requests_.end() && at->second.answered && !umpire_->knows(request_id)) requests_.erase(at);
+  if (at != requests_.end() && at->second.answered && !policy_->knows(request_id)) requests_.erase(at);
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/umpire.h
+++ b/src/emulator/simulated_proxy.h
@@ -24,7 +24,7 @@
   Span stay_away{};
 };
 
-struct UmpireSettings {
+struct SimulatedProxySettings {
   int number = 0, zone = 0;
   unsigned salt = 1;
   Span reserve = std::chrono::milliseconds(5);
@@ -32,21 +32,21 @@
   PolicySpec policy{};
 };
 
-class UmpireHost {
+class SimulatedProxy {
  public:
   struct Ways {
     std::function<void(std::int64_t try_id, const FinalAnswer&)> answer;  // leaves the umpire now
-    std::function<void(int umpire, int build, int stage, Verdict verdict)> vote;
-    std::function<void(int umpire)> refresh;             // the whole list, please
+    std::function<void(int proxy, int build, int stage, Verdict verdict)> vote;
+    std::function<void(int proxy)> refresh;             // the whole list, please
     std::function<int(const std::string& name)> server_of;  // -1: none of that name
   };
-  UmpireHost(Engine& engine, const deployment::Deployment& deployment, const UmpireSettings& settings,
+  SimulatedProxy(Engine& engine, const deployment::Deployment& deployment, const SimulatedProxySettings& settings,
              Fleet& fleet, Network& network, Ways ways);
 
   // A process begins, with the list that the one before saved, if any; or ends without a word.
   void start();
   void kill();
-  bool up() const { return umpire_ != nullptr; }
+  bool up() const { return policy_ != nullptr; }
   int life() const { return life_; }  // grows with each start: what is meant for an earlier one is lost
 
   void take(const load::Try& one, Span until);
@@ -94,11 +94,11 @@
 
   Engine& engine_;
   const deployment::Deployment& deployment_;
-  UmpireSettings settings_;
+  SimulatedProxySettings settings_;
   Fleet& fleet_;
   Network& network_;
   Ways ways_;
-  std::unique_ptr<Policy> umpire_{};
+  std::unique_ptr<Policy> policy_{};
   Span born_{};
   int life_ = 0;
   std::vector<Upstream> upstreams_{};
--- a/src/http/caller.h
+++ b/src/http/caller.h
@@ -11,7 +11,7 @@
 
 #include "http/message.h"
 #include "net/stream.h"
-#include "samples.h"
+#include "sliding_window.h"
 
 namespace robinhoist::http {
 
@@ -42,7 +42,7 @@
   // and what lies between may drop them without a word, long before any time agreed on.
   bool stale(net::Span idle) const;
   std::size_t most_, open_ = 0;
-  Samples<Reuse> reuses_{256};
+  SlidingWindow<Reuse> reuses_{256};
   std::list<Connection*> idle_{};  // the longest idle first
 };
 
--- a/src/http/long_poll.h
+++ b/src/http/long_poll.h
@@ -14,7 +14,7 @@
  public:
   struct Asked {
     ExchangePtr exchange;
-    std::string umpire, series;
+    std::string proxy, series;
     std::int64_t since;
     net::Span wait;  // zero: answered at once
   };
--- a/src/json/fields.h
+++ b/src/json/fields.h
@@ -89,7 +89,7 @@
 inline Span time_of(const Json& object, const char* field) { return span(number(object, field)); }
 
 template <class T>
-T word(const Json& object, const char* field, std::initializer_list<std::pair<const char*, T>> words) {
+T enumerator(const Json& object, const char* field, std::initializer_list<std::pair<const char*, T>> words) {
   std::string given = text(object, field);
   for (auto& [name, value] : words)
     if (given == name) return value;
--- a/src/lab/hunt.cpp
+++ b/src/lab/hunt.cpp
@@ -40,8 +40,8 @@
     {Kind::burst, "times", nullptr, 1.2, 4, 0, 0, false, false},
     {Kind::hot_caller, "share", nullptr, 0.2, 0.9, 0, 0, true, false},
     {Kind::stale_list, "by", nullptr, 0.5, 10, 0, 0, false, true},
-    {Kind::umpire_crash, nullptr, nullptr, 0, 0, 0, 0, true, false},
-    {Kind::umpire_roll, "batch", "down", 0.2, 1, 0.2, 1.5, true, false},
+    {Kind::proxy_crash, nullptr, nullptr, 0, 0, 0, 0, true, false},
+    {Kind::proxy_roll, "batch", "down", 0.2, 1, 0.2, 1.5, true, false},
     {Kind::controller_crash, nullptr, nullptr, 0, 0, 0, 0, false, false},
 };
 
@@ -225,7 +225,7 @@
   std::string added;
   for (const Trouble& one : troubles) {
     const Range& range = range_of(one.kind);
-    added += "\n  (trouble " + std::string(day::word(one.kind)) + " (at " + spoken(one.at) + ") (for " +
+    added += "\n  (trouble " + std::string(day::to_string(one.kind)) + " (at " + spoken(one.at) + ") (for " +
              spoken(one.lasts) + ")";
     if (range.part) added += " (part " + number(one.part) + ")";
     if (range.size_word)
--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -280,7 +280,7 @@
         const auto [a, b] = pairs(first, runs, measure.name);
         const Paired paired = compare(a, b, measure.more_is_better);
         std::snprintf(line, sizeof line, "  %18s  %s", shown(paired.difference).c_str(),
-                      word(paired.verdict));
+                      to_string(paired.verdict));
         out << line;
         if (paired.more) out << ", " << *paired.more << " more runs likely would";
       }
--- a/src/lab/stats.cpp
+++ b/src/lab/stats.cpp
@@ -57,7 +57,7 @@
   return *at;
 }
 
-const char* word(Verdict verdict) {
+const char* to_string(Verdict verdict) {
   static const char* const words[] = {"better", "worse", "can't tell"};
   return words[static_cast<int>(verdict)];
 }
--- a/src/load/load.cpp
+++ b/src/load/load.cpp
@@ -10,19 +10,19 @@
 constexpr double wave_s = 20, burst_s = 2;  // the periods of two shapes
 }  // namespace
 
-const char* word(End end) {
+const char* to_string(End end) {
   static const char* const words[] = {"settled",   "declined", "voided",    "not-taken",
                                       "unreached", "broken",   "timed-out", "left"};
   return words[static_cast<int>(end)];
 }
 
 Load::Load(const Settings& settings, unsigned salt)
-    : settings_(settings), chance_(salt), dead_since_(settings.umpires, Span(-1)),
-      up_(settings.umpires, true) {
+    : settings_(settings), random_(salt), dead_since_(settings.proxies, Span(-1)),
+      up_(settings.proxies, true) {
   plan_arrival(Span{});
 }
 
-double Load::draw() { return boost::random::uniform_real_distribution<double>(0, 1)(chance_); }
+double Load::uniform_sample() { return boost::random::uniform_real_distribution<double>(0, 1)(random_); }
 
 double Load::rate_at(Span now) const {
   const double s = seconds(now), length = std::max(1e-6, seconds(settings_.length));
@@ -44,7 +44,7 @@
 }
 
 void Load::plan_arrival(Span from) {
-  const double wait = boost::random::exponential_distribution<double>(rate_at(from))(chance_);
+  const double wait = boost::random::exponential_distribution<double>(rate_at(from))(random_);
   arrival_at_ = from + std::max(Span(1), span(wait));
   if (arrival_at_ >= settings_.length) arrivals_over_ = true;
 }
@@ -53,47 +53,47 @@
   Try one;
   one.id = one.first = next_id_++;
   one.at = now;
-  double at = draw();
+  double at = uniform_sample();
   for (std::size_t p = 0; p < settings_.request_classes.size(); ++p) {
     one.request_class = static_cast<int>(p);
     if ((at -= settings_.request_classes[p].share) < 0) break;
   }
-  at = draw();
+  at = uniform_sample();
   for (std::size_t t = 0; t < settings_.tenants.size(); ++t) {
     one.tenant = static_cast<int>(t);
     if ((at -= settings_.tenants[t]) < 0) break;
   }
-  if (poison_share_ > 0 && draw() < poison_share_) {
+  if (poison_share_ > 0 && uniform_sample() < poison_share_) {
     one.poison = true;
     if (poison_tenant_ >= 0) one.tenant = poison_tenant_;
   }
   const RequestClass& request_class = settings_.request_classes[one.request_class];
   const double mean = seconds(request_class.work);
   if (request_class.spread == Spread::exponential) {
-    one.work = span(boost::random::exponential_distribution<double>(1 / std::max(1e-6, mean))(chance_));
+    one.work = span(boost::random::exponential_distribution<double>(1 / std::max(1e-6, mean))(random_));
   } else {
     const double sigma2 = std::log(1 + request_class.cv * request_class.cv);
     one.work = span(boost::random::lognormal_distribution<double>(std::log(std::max(1e-6, mean)) - sigma2 / 2,
-                                                                  std::sqrt(sigma2))(chance_));
+                                                                  std::sqrt(sigma2))(random_));
   }
-  if (request_class.keyed) one.key = "k" + std::to_string(chance_()) + "-" + std::to_string(one.id);
+  if (request_class.keyed) one.key = "k" + std::to_string(random_()) + "-" + std::to_string(one.id);
   return one;
 }
 
 // Over which umpire it goes, how long its client waits, and whether it leaves before.
 void Load::address(Try& one, Span now) {
   std::vector<int> known;
-  for (int u = 0; u < settings_.umpires; ++u)
+  for (int u = 0; u < settings_.proxies; ++u)
     if (up_[u] || now < dead_since_[u] + settings_.notice) known.push_back(u);
   if (known.empty())
-    for (int u = 0; u < settings_.umpires; ++u) known.push_back(u);
-  if (hot_share_ > 0 && draw() < hot_share_) known = hot_;
-  one.umpire = known[static_cast<std::size_t>(draw() * static_cast<double>(known.size()))];
+    for (int u = 0; u < settings_.proxies; ++u) known.push_back(u);
+  if (hot_share_ > 0 && uniform_sample() < hot_share_) known = hot_;
+  one.proxy = known[static_cast<std::size_t>(uniform_sample() * static_cast<double>(known.size()))];
   const RequestClass& request_class = settings_.request_classes[one.request_class];
-  double part = settings_.patience_least + draw() * (settings_.patience_most - settings_.patience_least);
+  double part = settings_.patience_least + uniform_sample() * (settings_.patience_most - settings_.patience_least);
   if (one.tenant == abuse_tenant_ && abuse_tries_ > 0) part = abuse_patience_;
   one.until = now + span(seconds(request_class.deadline) * part);
-  one.leaves = draw() < settings_.leaves ? now + span(seconds(one.until - now) * draw()) : Span{};
+  one.leaves = uniform_sample() < settings_.leaves ? now + span(seconds(one.until - now) * uniform_sample()) : Span{};
 }
 
 std::optional<Try> Load::next(Span now) {
@@ -141,10 +141,10 @@
   Span wait{};
   if (!abused) {
     const Span drawn =
-        settings_.pause_least + span(draw() * seconds(settings_.pause_most - settings_.pause_least));
+        settings_.pause_least + span(uniform_sample() * seconds(settings_.pause_most - settings_.pause_least));
     if (settings_.pause == Pause::fixed) wait = drawn;
     if (settings_.pause == Pause::growing) wait = drawn * (1 << std::min(open.one.number, 6));
-    if (stay_away > Span{} && draw() < settings_.heeds) wait = std::max(wait, stay_away);
+    if (stay_away > Span{} && uniform_sample() < settings_.heeds) wait = std::max(wait, stay_away);
   }
   // A client has only so much time over all its tries, and a keyed one only while the mark holds.
   const Span at = now + wait;
@@ -160,13 +160,13 @@
   due_.push({at, next.id, next});
 }
 
-void Load::umpire(int number, bool up, Span now) {
+void Load::proxy(int number, bool up, Span now) {
   up_[number] = up;
   if (!up) dead_since_[number] = now;
 }
 
-void Load::hot(std::vector<int> umpires, double share) {
-  hot_ = std::move(umpires);
+void Load::hot(std::vector<int> proxies, double share) {
+  hot_ = std::move(proxies);
   hot_share_ = hot_.empty() ? 0 : share;
 }
 
--- a/src/load/load.h
+++ b/src/load/load.h
@@ -39,7 +39,7 @@
   Span length{};
   std::vector<RequestClass> request_classes{};
   std::vector<double> tenants{1};  // shares
-  int umpires = 1, retries = 0;
+  int proxies = 1, retries = 0;
   double patience_least = 1, patience_most = 1;  // of the expiry, for one try
   Pause pause = Pause::fixed;
   Span pause_least{}, pause_most{};
@@ -50,7 +50,7 @@
 
 struct Try {
   std::int64_t id = 0, first = 0;  // of the txn's first try
-  int number = 0, request_class = 0, tenant = 0, umpire = 0;
+  int number = 0, request_class = 0, tenant = 0, proxy = 0;
   Span at{}, until{};  // sent, and when its client gives this try up
   Span leaves{};       // 0, or when it hangs up before
   Span work{};
@@ -59,7 +59,7 @@
 };
 
 enum class End { succeeded, rejected, failed, rejected_before_routing, unreached, broken, timed_out, left };
-const char* word(End end);
+const char* to_string(End end);
 
 class Load {
  public:
@@ -73,11 +73,11 @@
   std::size_t open() const { return open_.size(); }
 
   // Umpires that die and come back; the front layer learns of it late.
-  void umpire(int number, bool up, Span now);
+  void proxy(int number, bool up, Span now);
 
   // Troubles.
   void burst(double times) { burst_ = times; }
-  void hot(std::vector<int> umpires, double share);
+  void hot(std::vector<int> proxies, double share);
   void poison(int tenant, double share);                         // on top of the usual; 0: over
   void abuse(int tenant, int tries, double patience_of_deadline);  // 0 tries: over
 
@@ -88,14 +88,14 @@
     Try one;
     bool operator>(const Later& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
   };
-  double draw();
+  double uniform_sample();
   double rate_at(Span now) const;
   void plan_arrival(Span from);
   Try fresh(Span now);
   void address(Try& one, Span now);
 
   Settings settings_;
-  std::minstd_rand chance_;
+  std::minstd_rand random_;
   Span arrival_at_{};
   bool arrivals_over_ = false;
   std::priority_queue<Later, std::vector<Later>, std::greater<>> due_{};
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 EndpointSet::EndpointSet(const EndpointSettings& settings, const std::vector<RequestClass>& request_classes)
-    : settings_(settings), request_classes_(request_classes), took_(request_classes.size(), Spread(took_kept)), per_hint_(took_),
+    : settings_(settings), request_classes_(request_classes), took_(request_classes.size(), QuantileWindow(took_kept)), per_hint_(took_),
       sent_(sent_kept), refused_(sent_kept), ask_pause_(ask_pause_least) {}
 
 void EndpointSet::news(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, Span now) {
@@ -45,8 +45,8 @@
     EndpointState& endpoint = endpoints_[entry.endpoint];
     // A new start or another build is another process: what was known of the old one says nothing.
     if (!endpoint.listed || endpoint.started != entry.started || endpoint.build != entry.build) {
-      endpoint.results = Samples<Result>(results_kept);
-      endpoint.lately.reset();
+      endpoint.results = SlidingWindow<Result>(results_kept);
+      endpoint.recent.reset();
       endpoint.dead_run = endpoint.full_run = 0;
       endpoint.heard_at = endpoint.full_at = endpoint.back_at = endpoint.cold_sent = long_ago;
       endpoint.told = now;
@@ -74,7 +74,7 @@
   const EndpointState& endpoint = endpoints_[n];
   Span started = std::max(endpoint.started == Span{} ? long_ago : endpoint.started, endpoint.back_at);
   if (now >= started + settings_.cold_for) return 1;
-  double age = std::max(0.0, seconds(now - started) / seconds(settings_.cold_for));
+  double age = std::max(0.0, to_seconds(now - started) / to_seconds(settings_.cold_for));
   return settings_.cold_from + (1 - settings_.cold_from) * age;
 }
 
@@ -112,7 +112,7 @@
   bool well = outcome == Outcome::ok || (outcome == Outcome::timeout && endpoint.heard_at >= attempt.sent);
   endpoint.results.push({now, well, ratio(request.request_class, took, request.cost_hint_ms), took, attempt.in_hand,
                      outcome != Outcome::error});
-  endpoint.lately.reset();
+  endpoint.recent.reset();
   if (outcome != Outcome::ok) return;
   // What one warm node carries: those gone since count too, else a fleet being swapped looks far more able.
   if (warmth(attempt.endpoint, attempt.sent) < 1) return;
@@ -136,20 +136,20 @@
 }
 
 void EndpointSet::learn(int request_class, Span took, double cost_hint_ms) {
-  took_[request_class].push(millis(took));
-  if (cost_hint_ms > 0) per_hint_[request_class].push(millis(took) / cost_hint_ms);
+  took_[request_class].push(to_millis(took));
+  if (cost_hint_ms > 0) per_hint_[request_class].push(to_millis(took) / cost_hint_ms);
 }
 
 double EndpointSet::usual_ms(int request_class, double part) {
-  return took_[request_class].empty() ? millis(request_classes_[request_class].latency_objective) / 4 : took_[request_class].at(part);
+  return took_[request_class].empty() ? to_millis(request_classes_[request_class].latency_objective) / 4 : took_[request_class].at(part);
 }
 
 double EndpointSet::ratio(int request_class, Span took, double cost_hint_ms) {
-  if (cost_hint_ms <= 0 || per_hint_[request_class].empty()) return millis(took) / usual_ms(request_class, 0.5);
-  return millis(took) / cost_hint_ms / per_hint_[request_class].at(0.5);
+  if (cost_hint_ms <= 0 || per_hint_[request_class].empty()) return to_millis(took) / usual_ms(request_class, 0.5);
+  return to_millis(took) / cost_hint_ms / per_hint_[request_class].at(0.5);
 }
 
-double EndpointSet::objective_ratio(int request_class, Span took) const { return millis(took) / millis(request_classes_[request_class].latency_objective); }
+double EndpointSet::objective_ratio(int request_class, Span took) const { return to_millis(took) / to_millis(request_classes_[request_class].latency_objective); }
 void EndpointSet::report(int n, const Load& load, Span now) {
   if (load.held || load.busy) endpoints_[n].load = load, endpoints_[n].load_at = now;
 }
@@ -158,7 +158,7 @@
 Span EndpointSet::patience() {
   double most = 0;
   for (int p = 0; p < static_cast<int>(request_classes_.size()); ++p)
-    most = std::max(most, std::max(2 * usual_ms(p, 0.95), millis(request_classes_[p].latency_objective) / 2));
+    most = std::max(most, std::max(2 * usual_ms(p, 0.95), to_millis(request_classes_[p].latency_objective) / 2));
   return from_millis(most);
 }
 
@@ -174,11 +174,11 @@
   double reached_by = std::min(1.0, reach(now) / std::max(1.0, ring));
   double most = cold_margin * settings_.fall_multiple * then * endpoint.size * successes_.size() /
                 (std::max(1, warm()) * reached_by);
-  most = std::max(most, std::min(1.0, cold_least / (settings_.umpires * reached_by)));
+  most = std::max(most, std::min(1.0, cold_least / (settings_.proxies * reached_by)));
   if (most >= 1) return endpoint.sends.size() + 1 <= most;
-  Span gap = from_millis(millis(settings_.fall_window) / most);
+  Span gap = from_millis(to_millis(settings_.fall_window) / most);
   return now >=
-         std::max(endpoint.cold_sent + gap, endpoint.told + from_millis(millis(gap) * golden_part(settings_.me + n)));
+         std::max(endpoint.cold_sent + gap, endpoint.told + from_millis(to_millis(gap) * golden_part(settings_.me + n)));
 }
 
 // A node that lost two in a row, without a word between, rests; then one txn at a time tries it.
@@ -190,22 +190,22 @@
 }
 
 // Of the last results those that are young enough to tell of the node's health.
-const Lately& EndpointSet::lately(int n, Span now) {
+const RecentResults& EndpointSet::recent_results(int n, Span now) {
   EndpointState& endpoint = endpoints_[n];
-  if (endpoint.lately && now <= endpoint.lately->until) return *endpoint.lately;
-  Lately sum{.last_failed = long_ago, .until = Span::max()};
+  if (endpoint.recent && now <= endpoint.recent->until) return *endpoint.recent;
+  RecentResults sum{.last_failed = long_ago, .until = Span::max()};
   for (std::size_t i = 0; i < endpoint.results.size() && endpoint.results.back(i).at >= now - result_life; ++i) {
     const Result& result = endpoint.results.back(i);
     ++sum.young;
     sum.until = result.at + result_life;
     sum.ratios += result.timed ? std::clamp(result.ratio, 0.3, 8.0) : 1;  // a quick error is no sign of speed
-    sum.took += result.timed ? seconds(result.took) : 0;
+    sum.took += result.timed ? to_seconds(result.took) : 0;
     sum.in_hand += result.timed ? result.in_hand : 0;
     if (result.ok) continue;
     ++sum.failed;
     sum.last_failed = std::max(sum.last_failed, result.at);
   }
-  return endpoint.lately.emplace(sum);
+  return endpoint.recent.emplace(sum);
 }
 
 // Guards against nodes that swallow, fail or turn away work; when all are poorly the least bad serve.
@@ -215,7 +215,7 @@
     return false;
   if (!endpoint.out.empty() && endpoint.heard_at < endpoint.out.front() && now - endpoint.out.front() > patience())
     return false;
-  const Lately& sum = lately(n, now);
+  const RecentResults& sum = recent_results(n, now);
   if (sum.failed >= 3 && sum.failed * 4 >= sum.young)
     return now > sum.last_failed + failing_rest && endpoint.out.empty();
   return true;
@@ -232,7 +232,7 @@
 // Own txns in flight, weighed by size, warmth and how slow the node's last answers were.
 double EndpointSet::cost(int n, Span now) {
   const EndpointState& endpoint = endpoints_[n];
-  const Lately& sum = lately(n, now);
+  const RecentResults& sum = recent_results(n, now);
   double slow = std::max(1.0, (3 + sum.ratios) / (3 + static_cast<double>(sum.young)) / 1.3);
   // A fresh report tells of others' work there; half of it counts, as all umpires hear the same and late.
   double own = static_cast<double>(endpoint.out.size());
@@ -246,18 +246,18 @@
 // against queues that no answer survives, whatever fills them. It may shed too early on few answers.
 Span EndpointSet::wait(int n, Span now) {
   const EndpointState& endpoint = endpoints_[n];
-  const Lately& sum = lately(n, now);
+  const RecentResults& sum = recent_results(n, now);
   if (sum.in_hand < results_kept / 4 && (sum.in_hand == 0 || endpoint.results.back(0).at < now - thin_life))
     return Span{};
   return from_millis(1e3 * (endpoint.out.size() + 1) * sum.took / sum.in_hand);
 }
 
-int EndpointSet::better_of_two(const std::vector<int>& among, Span now, RandomGenerator& chance) {
+int EndpointSet::better_of_two(const std::vector<int>& among, Span now, RandomGenerator& random) {
   if (among.empty()) return -1;
-  int a = among[static_cast<std::size_t>(draw(chance) * among.size())];
+  int a = among[static_cast<std::size_t>(uniform_sample(random) * among.size())];
   if (among.size() == 1) return a;
   int b = a;
-  while (b == a) b = among[static_cast<std::size_t>(draw(chance) * among.size())];
+  while (b == a) b = among[static_cast<std::size_t>(uniform_sample(random) * among.size())];
   return cost(b, now) < cost(a, now) ? b : a;
 }
 
@@ -273,7 +273,7 @@
 // where that is clearly better. All umpires see the nodes in the same order and begin at points spread
 // evenly (golden section), so that the stretches load all nodes alike; what rests is stepped over.
 int EndpointSet::choose(bool young, const std::function<bool(int)>& may, bool careful, Span longest, Span now,
-                  RandomGenerator& chance) {
+                  RandomGenerator& random) {
   std::vector<int> found[2], poorly;
   std::size_t usable = 0;
   const std::size_t most = reach(now);
@@ -285,7 +285,7 @@
     // grow with the fleet.
     const std::size_t length = std::min(most, ring.size());
     for (std::size_t i = 0; length > draw_from && i < draws_most && poor < 2; ++i) {
-      int n = ring[(start + static_cast<std::size_t>(draw(chance) * length)) % ring.size()];
+      int n = ring[(start + static_cast<std::size_t>(uniform_sample(random) * length)) % ring.size()];
       if (!may(n) || !has_room(n, now) || resting(n, now)) continue;
       if (!well(n, now) || (careful && endpoints_[n].dead_run > 0)) ++poor;
       else if (wait(n, now) <= longest && (found[close].empty() || found[close][0] != n))
@@ -307,17 +307,17 @@
     }
     usable += used;
   }
-  if (poorly.size() > 2 * usable) return better_of_two(poorly, now, chance);
-  int a = better_of_two(found[1], now, chance), b = better_of_two(found[0], now, chance);
+  if (poorly.size() > 2 * usable) return better_of_two(poorly, now, random);
+  int a = better_of_two(found[1], now, random), b = better_of_two(found[0], now, random);
   if (a < 0 || b < 0) return a < 0 ? b : a;
   return cost(a, now) > 1.3 * cost(b, now) + 1 ? b : a;
 }
 
 // Where the list must be asked for: subscribe at once, again after a failure with growing pauses.
-std::optional<Decision> EndpointSet::next(Span now, RandomGenerator& chance) {
+std::optional<Decision> EndpointSet::next(Span now, RandomGenerator& random) {
   if (!settings_.must_ask || asked_ || now < ask_at_) return {};
   asked_ = true;
-  ask_pause_ += from_millis(draw(chance) * 200);
+  ask_pause_ += from_millis(uniform_sample(random) * 200);
   return Decision{.action = Action::subscribe};
 }
 
@@ -383,7 +383,7 @@
 constexpr Span least_window = 4s;      // from the latest start in the stage
 constexpr double failure_threshold = 0.03, flood_threshold = 0.2,
                  flood_least = 8;                           // beside older ones, and without
-constexpr double beyond_chance = 0.001, level_most = 0.03;  // of failures: for one vote, and at most for many
+constexpr double false_alarm_rate = 0.001, max_significance = 0.03;  // of failures: for one vote, and at most for many
 constexpr double aged_slow = 1.6;                           // times the older build's latency
 constexpr double machine_spread = 0.22;  // of the logarithm of a machine's latency, load included
 // How much slower the whole fleet must be, for twice so long, at what load, and than what it may be before.
@@ -399,11 +399,11 @@
 
 CanaryAnalysis::CanaryAnalysis(const AnalysisSettings& settings, int request_classes)
     : settings_(settings), request_classes_(request_classes), fresh_(fresh_kept), older_(older_kept),
-      level_(beyond_chance) {
+      significance_(false_alarm_rate) {
   // Where many votes must stand, one umpire may be less sure: their number guards against a false alarm. It
   // would not if all erred alike, so there is a most.
-  while (level_ < level_most && tail(settings_.votes_to_roll_back, 8 * settings_.umpires * level_) < 4 * beyond_chance)
-    level_ *= 2;
+  while (significance_ < max_significance && poisson_upper_tail(settings_.votes_to_roll_back, 8 * settings_.proxies * significance_) < 4 * false_alarm_rate)
+    significance_ *= 2;
 }
 
 void CanaryAnalysis::news(const ReleaseUpdate& release, Span now) {
@@ -438,7 +438,7 @@
 
 void CanaryAnalysis::noted(int build, const Sample& sample) { (watched(build) ? fresh_ : older_).push(sample); }
 
-void CanaryAnalysis::tally(Arm& arm, const Samples<Sample>& samples, Span from,
+void CanaryAnalysis::tally(Arm& arm, const SlidingWindow<Sample>& samples, Span from,
                   const std::function<bool(const Sample&)>& skip, Arm* beside) const {
   arm.by_request_class.resize(request_classes_);
   for (std::size_t i = 0; i < samples.size(); ++i) {
@@ -493,17 +493,17 @@
   const int all = static_cast<int>(seen.size());
   int bad = 0, both = 0;
   for (auto& [started, is_bad] : seen) bad += is_bad;
-  double chance = 1;
+  double p_value = 1;
   for (int i = 0; i + 1 < all; ++i) {
     both += seen[i].second;
     if (seen[i + 1].first - seen[i].first < stage_start_gap || both < 2 || 4 * both < 3 * (i + 1)) continue;
-    chance = std::min(chance, picked(all, i + 1, bad, both));
+    p_value = std::min(p_value, hypergeometric_upper_tail(all, i + 1, bad, both));
   }
-  return chance;
+  return p_value;
 }
 
 // From when on the fleet is looked at: a short while, or longer where answers are few.
-Span CanaryAnalysis::since(const Samples<Sample>& of, Span now) const {
+Span CanaryAnalysis::since(const SlidingWindow<Sample>& of, Span now) const {
   Span enough = !many_votes() ? now : of.size() < fleet_enough ? long_ago : of.back(fleet_enough - 1).at;
   return std::clamp(enough, now - fleet_most, now - shared_window);
 }
@@ -553,7 +553,7 @@
   tally(young, fresh_, counted_from_, skip, &old);
 
   const double aging = aged(endpoints, young);
-  if (aging < level_) return condemn(figures("early machines alone are poorly, by chance", aging, level_));
+  if (aging < significance_) return condemn(figures("early machines alone are poorly, by chance", aging, significance_));
   // Trouble of a machine is not the build's: where older machines are poorly too, or the trial has many, a
   // small part of its own that is poorly is left out. It hurts where a bad build and machine trouble meet.
   auto poorly_in = [&](const Arm& arm) {
@@ -580,14 +580,14 @@
     bool beside = compared && 2 * c.near >= c.n;
     double failed = c.failed + beside * c.lost;
     double usual = std::max(0.01, (base.failed + beside * base.lost + 0.5) / (base.n + 25));
-    double luck = tail(failed, std::max(usual * c.n, beside * c.due));
-    doubtful |= failed >= 2 && luck < 0.03;
+    double p_value = poisson_upper_tail(failed, std::max(usual * c.n, beside * c.due));
+    doubtful |= failed >= 2 && p_value < 0.03;
     // Before the minimum only failures far beyond chance: the routing would soon leave such a build alone.
-    double chance = c.n >= min_attempts ? level_ : level_ / 10;
+    double significance = c.n >= min_attempts ? significance_ : significance_ / 10;
     bool many =
         beside ? failed >= 3 && failed > failure_threshold * c.n
                : wide && failed >= flood_least && failed > flood_threshold / (many_votes() ? 2 : 1) * c.n;
-    return many && luck < chance;
+    return many && p_value < significance;
   };
   if (failing(young.all, old.all))
     return condemn(figures("failures", young.all.failed + young.all.lost, young.all.n));
@@ -604,10 +604,10 @@
     old_given += counts.first;
     old_wrong += counts.second;
   }
-  double luck = tail(wrong, given * (old_wrong + 1) / (old_given + 250));
-  doubtful |= wrong >= 1 && luck < 0.1;
+  double p_value = poisson_upper_tail(wrong, given * (old_wrong + 1) / (old_given + 250));
+  doubtful |= wrong >= 1 && p_value < 0.1;
   bool many = wrong > 0.5 * failure_threshold * settings_.wrong_answer_report_share * given;
-  if (wrong >= (many_votes() ? 1 : 3) && many && luck < std::max(0.002, level_))
+  if (wrong >= (many_votes() ? 1 : 3) && many && p_value < std::max(0.002, significance_))
     return condemn(figures("wrong answers", wrong, given));
 
   Span latest = stage_at_;
@@ -646,7 +646,7 @@
     // Machines differ among themselves: few machines tell little, however many answers they gave.
     double machines = machine_spread * machine_spread * (1 / young.machines(few) + 1 / old.machines(few));
     double error = std::sqrt(young.all.doubt() + old.all.doubt() + machines);
-    const double sure = std::sqrt(std::log(level_) / std::log(beyond_chance));
+    const double sure = std::sqrt(std::log(significance_) / std::log(false_alarm_rate));
     // A p99 of so few answers is one machine's bad second; the middle must have moved too.
     if (young.all.timed >= 100 && young_p99 > 1 && young_p99 > 2 * old_p99 && apart > 0.42 && window &&
         most_slow)
@@ -686,12 +686,12 @@
 }
 
 // A decided umpire draws once per vote life, in the time of twice the votes needed; a hold ends at once.
-void VoteScheduler::wants(Verdict verdict, Span now, RandomGenerator& chance) {
+void VoteScheduler::wants(Verdict verdict, Span now, RandomGenerator& random) {
   if (verdict == want_) return;
   want_ = verdict;
   const int needed[] = {0, settings_.votes_to_promote, settings_.votes_to_hold, settings_.votes_to_roll_back};
-  const int voters = std::min(settings_.umpires, 2 * needed[static_cast<int>(verdict)]);
-  draw_at_ = now + from_millis(1e3 * draw(chance) * voters / std::max(1.0, settings_.votes_per_s));
+  const int voters = std::min(settings_.proxies, 2 * needed[static_cast<int>(verdict)]);
+  draw_at_ = now + from_millis(1e3 * uniform_sample(random) * voters / std::max(1.0, settings_.votes_per_s));
 }
 
 void VoteScheduler::answered(Outcome outcome, Span now) {
@@ -704,14 +704,14 @@
   }
 }
 
-std::optional<Decision> VoteScheduler::next(Span now, RandomGenerator& chance) {
+std::optional<Decision> VoteScheduler::next(Span now, RandomGenerator& random) {
   // An answer that never came: twice the longest wait is enough.
   if (waiting_ && now < asked_at_ + 2 * settings_.call_timeout) return {};
   if (now >= stands_until_) stands_ = Verdict::none;
   bool renew = stands_ == want_ && want_ != Verdict::none && now >= stands_until_ - settings_.vote_lifetime / 4;
   if ((stands_ == want_ && !renew) || now < draw_at_ || now < retry_at_) return {};
-  double chosen = settings_.votes_per_s * seconds(settings_.vote_lifetime) / std::max(1, settings_.umpires);
-  if (want_ != Verdict::none && chosen < 1 && draw(chance) >= chosen) {
+  double chosen = settings_.votes_per_s * to_seconds(settings_.vote_lifetime) / std::max(1, settings_.proxies);
+  if (want_ != Verdict::none && chosen < 1 && uniform_sample(random) >= chosen) {
     draw_at_ = now + settings_.vote_lifetime;
     return {};
   }
@@ -734,8 +734,8 @@
 constexpr double jam_part = 0.75, jam_falls = 1.25, jam_rises = 0.25, least_pace = 16;
 }  // namespace
 
-RequestScheduler::RequestScheduler(const RequestSettings& settings, EndpointSet& endpoints, CanaryQuota& canary_quota, RandomGenerator& chance)
-    : settings_(settings), endpoints_(endpoints), canary_quota_(canary_quota), chance_(chance), again_(again_kept),
+RequestScheduler::RequestScheduler(const RequestSettings& settings, EndpointSet& endpoints, CanaryQuota& canary_quota, RandomGenerator& random)
+    : settings_(settings), endpoints_(endpoints), canary_quota_(canary_quota), random_(random), again_(again_kept),
       rejections_(again_kept), tenants_(tenants_kept), slow_(slow_kept) {}
 
 void RequestScheduler::arrived(const RequestInfo& info) {
@@ -770,7 +770,7 @@
   // Where answers are few it rises by the clock: guards against an umpire that lets in little, hears little
   // of it and so stays shut.
   const double pace = endpoints_.pace(now), step = 1 / std::max(least_pace, pace);
-  const double rise = pace < least_pace ? std::min(1.0, seconds(now - felt_at_)) : step;
+  const double rise = pace < least_pace ? std::min(1.0, to_seconds(now - felt_at_)) : step;
   felt_at_ = now;
   open_ =
       jam ? std::max(open_least, open_ * (1 - jam_falls * step)) : std::min(1.0, open_ + jam_rises * rise);
@@ -888,7 +888,7 @@
   double part = wait_least + wait_more * (most > 0 ? request_class.priority_weight / most : 1);
   // In an overload what a tenant sends beyond its share is worth little: it joins shorter queues.
   if (count(rejections_) > few_rejections && over_share(request.info.tenant)) part *= 0.7;
-  return std::min(from_millis(part * millis(latency_objective)), request.info.deadline - now);
+  return std::min(from_millis(part * to_millis(latency_objective)), request.info.deadline - now);
 }
 
 // Whether a tenant takes more of our txns than its part of all allowances: only meant for an overload.
@@ -906,7 +906,7 @@
   const RequestClass& request_class = settings_.request_classes[request.info.request_class];
   const int newest = endpoints_.newest();
   // A repeat goes to the older build where there is one: the trial's allowance is for first attempts.
-  bool young = request.attempts.empty() && draw(chance_) < canary_share(now);
+  bool young = request.attempts.empty() && uniform_sample(random_) < canary_share(now);
   for (bool arm : {young, !young}) {
     // What the older build has no room for is not heaped on a trial: its machines would look slow.
     if (arm && !young && canary_quota_.is_canary(newest)) continue;
@@ -918,7 +918,7 @@
              (arm || canary_quota_.allows(request.info, endpoints_.all()[n].build, request_class.idempotency, now));
     };
     int endpoint =
-        endpoints_.choose(arm, may, request_class.idempotency == Idempotency::non_idempotent, longest_wait(request, now), now, chance_);
+        endpoints_.choose(arm, may, request_class.idempotency == Idempotency::non_idempotent, longest_wait(request, now), now, random_);
     if (endpoint >= 0) return endpoint;
   }
   return -1;
@@ -965,12 +965,12 @@
     if (!settings_.hedging || request_class.idempotency == Idempotency::non_idempotent || request_class.stream) return {};
     if (request.attempts.size() > 1 || !more) return {};
     const Attempt& one = request.attempts.back();
-    Span late = from_millis(std::max(endpoints_.usual_ms(request.info.request_class, 0.95), 0.35 * millis(request_class.latency_objective)));
+    Span late = from_millis(std::max(endpoints_.usual_ms(request.info.request_class, 0.95), 0.35 * to_millis(request_class.latency_objective)));
     // A node that goes on answering others works on it: a copy would only do long work twice.
     Span heard = endpoints_.all()[one.endpoint].heard_at;
     Span due = heard > one.sent ? std::max(one.sent + late, heard + late / 2) : one.sent + late;
     if (now < due) return look(id, request, due), std::nullopt;
-    if (count(again_) >= max_hedges || millis(left) < endpoints_.usual_ms(request.info.request_class, 0.5)) return {};
+    if (count(again_) >= max_hedges || to_millis(left) < endpoints_.usual_ms(request.info.request_class, 0.5)) return {};
     int endpoint = place(request, now);
     return endpoint < 0 ? std::nullopt : forward(id, request, endpoint, now);
   }
@@ -979,7 +979,7 @@
   bool worth_it = request.attempts.empty()
                       ? let_in(request.info, now)
                       : (request.attempts.back().unreached || count(again_) < again_most * open_) &&
-                            millis(left) > 0.5 * endpoints_.usual_ms(request.info.request_class, 0.5);
+                            to_millis(left) > 0.5 * endpoints_.usual_ms(request.info.request_class, 0.5);
   int endpoint = more && worth_it ? place(request, now) : -1;
   return endpoint >= 0 ? forward(id, request, endpoint, now) : finish(id, request, settings_.max_pause, now);
 }
@@ -990,8 +990,8 @@
   double mean = 0;
   for (const RequestClass& each : settings_.request_classes) mean += each.priority_weight / settings_.request_classes.size();
   double power = mean / std::max(0.1, settings_.request_classes[info.request_class].priority_weight);
-  bool hasty = millis(info.deadline - now) < endpoints_.usual_ms(info.request_class, 0.9);
-  return draw(chance_) <=
+  bool hasty = to_millis(info.deadline - now) < endpoints_.usual_ms(info.request_class, 0.9);
+  return uniform_sample(random_) <=
          std::pow(open_, hasty || over_share(info.tenant) ? power * over_share_power : power);
 }
 
@@ -1001,20 +1001,20 @@
 constexpr std::size_t firsts_kept = 40;
 }  // namespace
 
-Umpire::Umpire(unsigned salt, const EndpointSettings& endpoints, const CanaryQuotaSettings& canary_quota,
+DecisionEngine::DecisionEngine(unsigned salt, const EndpointSettings& endpoints, const CanaryQuotaSettings& canary_quota,
                const AnalysisSettings& analysis, const RequestSettings& requests)
-    : chance_(salt), endpoints_(endpoints, requests.request_classes),
+    : random_(salt), endpoints_(endpoints, requests.request_classes),
       canary_quota_(canary_quota, static_cast<int>(requests.request_classes.size()), requests.tick),
       analysis_(analysis, static_cast<int>(requests.request_classes.size())), vote_scheduler_(analysis),
-      requests_(requests, endpoints_, canary_quota_, chance_), firsts_(firsts_kept) {}
+      requests_(requests, endpoints_, canary_quota_, random_), firsts_(firsts_kept) {}
 
-void Umpire::request_arrived(const RequestInfo& request, Span now) {
+void DecisionEngine::request_arrived(const RequestInfo& request, Span now) {
   canary_quota_.taken(request.request_class, now);
   if (!request.is_retry) firsts_.push(now);
   requests_.arrived(request);
 }
 
-void Umpire::attempt_ended(int id, int index, Outcome outcome, bool succeeded, const Load& load, Span now) {
+void DecisionEngine::attempt_ended(int id, int index, Outcome outcome, bool succeeded, const Load& load, Span now) {
   const ScheduledRequest* request = requests_.find(id);
   if (!request || index >= static_cast<int>(request->attempts.size())) return;
   const Attempt one = request->attempts[index];
@@ -1047,18 +1047,18 @@
   requests_.ended(id, index, outcome, succeeded, now);
 }
 
-void Umpire::release_updated(const ReleaseUpdate& release, Span now) {
+void DecisionEngine::release_updated(const ReleaseUpdate& release, Span now) {
   canary_quota_.news(release);
   analysis_.news(release, now);
   vote_scheduler_.news(release);
 }
 
-std::optional<Decision> Umpire::next(Span now) {
+std::optional<Decision> DecisionEngine::next(Span now) {
   if (now >= judged_at_ + judge_every) {
     judged_at_ = now;
-    const double pace = pace_of(firsts_, now), load = pace / std::max(0.1, endpoints_.able(now));
+    const double pace = rate_of(firsts_, now), load = pace / std::max(0.1, endpoints_.able(now));
     AnalysisResult found = analysis_.judge(endpoints_.all(), pace * requests_.canary_share(now), load, now);
-    vote_scheduler_.wants(found.verdict, now, chance_);
+    vote_scheduler_.wants(found.verdict, now, random_);
     std::string mode = mode_text(found.verdict, analysis_.release());
     if (mode != mode_) log_.push_back(mode + (found.why.empty() ? "" : ": " + found.why));
     mode_ = mode;
@@ -1068,8 +1068,8 @@
     log_.pop_front();
     return decision;
   }
-  if (auto decision = endpoints_.next(now, chance_)) return decision;
-  if (auto decision = vote_scheduler_.next(now, chance_)) return decision;
+  if (auto decision = endpoints_.next(now, random_)) return decision;
+  if (auto decision = vote_scheduler_.next(now, random_)) return decision;
   if (auto decision = requests_.next(now)) return decision;
   Span due = now + look_every;
   if (auto look = requests_.next_look()) due = std::min(due, *look);
--- a/src/logic.h
+++ b/src/logic.h
@@ -8,7 +8,7 @@
 #include <random>
 #include <unordered_map>
 
-#include "figures.h"
+#include "statistics.h"
 
 namespace robinhoist {
 
@@ -37,29 +37,29 @@
   double able(Span now) const;
   double cost(int endpoint, Span now);
   Span wait(int endpoint, Span now);
-  double pace(Span now) const { return pace_of(sent_, now); }
+  double pace(Span now) const { return rate_of(sent_, now); }
   int choose(bool young, const std::function<bool(int)>& may, bool careful, Span longest, Span now,
-             RandomGenerator& chance);
-  std::optional<Decision> next(Span now, RandomGenerator& chance);
+             RandomGenerator& random);
+  std::optional<Decision> next(Span now, RandomGenerator& random);
   const std::vector<EndpointState>& all() const { return endpoints_; }
 
  private:
   std::size_t reach(Span now) const;
-  int better_of_two(const std::vector<int>& among, Span now, RandomGenerator& chance);
+  int better_of_two(const std::vector<int>& among, Span now, RandomGenerator& random);
   Span patience();
-  const Lately& lately(int endpoint, Span now);
+  const RecentResults& recent_results(int endpoint, Span now);
   int warm();
 
   EndpointSettings settings_;
   std::vector<RequestClass> request_classes_;
   std::vector<EndpointState> endpoints_{};
-  std::vector<Spread> took_, per_hint_;  // how long answers took: ms, and for each ms of hinted work
+  std::vector<QuantileWindow> took_, per_hint_;  // how long answers took: ms, and for each ms of hinted work
   std::deque<std::pair<Span, int>> successes_{};
   int warm_ = 0, newest_ = -1;
   std::optional<Span> warm_asked_{};
   std::vector<int> rings_[2][2]{};  // open nodes by order: of the newest build or not, near or not
-  Samples<Span> sent_;
-  Samples<char> refused_;
+  SlidingWindow<Span> sent_;
+  SlidingWindow<char> refused_;
   bool squeezed_ = false;  // connections are refused right and left
   bool asked_ = false;
   Span ask_at_{}, ask_pause_{};
@@ -119,8 +119,8 @@
   AnalysisResult condemn(const std::string& why);
   double aged(const std::vector<EndpointState>& endpoints, const Arm& young) const;
   bool shared_harm(double load, bool compared, Span now) const;
-  Span since(const Samples<Sample>& of, Span now) const;
-  void tally(Arm& arm, const Samples<Sample>& samples, Span from,
+  Span since(const SlidingWindow<Sample>& of, Span now) const;
+  void tally(Arm& arm, const SlidingWindow<Sample>& samples, Span from,
              const std::function<bool(const Sample&)>& skip, Arm* beside = nullptr) const;
 
   AnalysisSettings settings_;
@@ -129,8 +129,8 @@
   bool seen_as_canary_ = false;
   AnalysisResult condemned_{};
   Span stage_at_{}, counted_from_{}, held_from_ = long_ago;
-  Samples<Sample> fresh_, older_;
-  double level_;                        // of chance, at which one umpire's figures speak
+  SlidingWindow<Sample> fresh_, older_;
+  double significance_;                        // of chance, at which one umpire's figures speak
   bool look_at_fleet_ = false;          // a stage has begun
   std::optional<double> usual_part_{};  // the fleet before the offer: mean log of latency over SLA time,
   double usual_load_ = 1;               // and submissions for each node's worth of capacity
@@ -143,9 +143,9 @@
  public:
   explicit VoteScheduler(const AnalysisSettings& settings);
   void news(const ReleaseUpdate& release);
-  void wants(Verdict verdict, Span now, RandomGenerator& chance);
+  void wants(Verdict verdict, Span now, RandomGenerator& random);
   void answered(Outcome outcome, Span now);
-  std::optional<Decision> next(Span now, RandomGenerator& chance);
+  std::optional<Decision> next(Span now, RandomGenerator& random);
 
  private:
   AnalysisSettings settings_;
@@ -159,7 +159,7 @@
 // Txns: submissions, repeats, time-outs, declines and final answers.
 class RequestScheduler {
  public:
-  RequestScheduler(const RequestSettings& settings, EndpointSet& endpoints, CanaryQuota& canary_quota, RandomGenerator& chance);
+  RequestScheduler(const RequestSettings& settings, EndpointSet& endpoints, CanaryQuota& canary_quota, RandomGenerator& random);
   void arrived(const RequestInfo& request);
   void streaming(int request_id);
   void ended(int request_id, int attempt, Outcome outcome, bool succeeded, Span now);
@@ -189,24 +189,24 @@
   RequestSettings settings_;
   EndpointSet& endpoints_;
   CanaryQuota& canary_quota_;
-  RandomGenerator& chance_;
+  RandomGenerator& random_;
   std::unordered_map<int, ScheduledRequest> requests_{};
   std::deque<int> ready_{};
   std::deque<std::pair<int, int>> cancels_{};
   std::priority_queue<std::pair<Span, int>, std::vector<std::pair<Span, int>>, std::greater<>> looks_{};
-  Samples<char> again_, rejections_;
-  Samples<int> tenants_;
-  Samples<char> slow_;
+  SlidingWindow<char> again_, rejections_;
+  SlidingWindow<int> tenants_;
+  SlidingWindow<char> slow_;
   Span felt_at_{};
   double open_ = 1;  // the part of txns that is let in
 };
 
-class Umpire {
+class DecisionEngine {
  public:
-  Umpire(unsigned salt, const EndpointSettings& endpoints, const CanaryQuotaSettings& canary_quota, const AnalysisSettings& analysis,
+  DecisionEngine(unsigned salt, const EndpointSettings& endpoints, const CanaryQuotaSettings& canary_quota, const AnalysisSettings& analysis,
          const RequestSettings& requests);
-  Umpire(const Umpire&) = delete;
-  Umpire& operator=(const Umpire&) = delete;
+  DecisionEngine(const DecisionEngine&) = delete;
+  DecisionEngine& operator=(const DecisionEngine&) = delete;
 
   void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, Span now) {
     endpoints_.news(kind, entries, now);
@@ -226,13 +226,13 @@
   bool knows(int request_id) const { return requests_.knows(request_id); }
 
  private:
-  RandomGenerator chance_;
+  RandomGenerator random_;
   EndpointSet endpoints_;
   CanaryQuota canary_quota_;
   CanaryAnalysis analysis_;
   VoteScheduler vote_scheduler_;
   RequestScheduler requests_;
-  Samples<Span> firsts_;
+  SlidingWindow<Span> firsts_;
   Span judged_at_ = long_ago, wake_at_ = long_ago;
   std::string mode_{};
   std::deque<std::string> log_{};
--- a/src/machine/machine.cpp
+++ b/src/machine/machine.cpp
@@ -26,10 +26,10 @@
 
 Machine::Machine(const Capacity& capacity, const Build& build, unsigned salt, Span started, Marks* marks,
                  const SharedHarm* harm)
-    : capacity_(capacity), build_(build), chance_(salt), started_(started), marks_(marks), harm_(harm) {}
+    : capacity_(capacity), build_(build), random_(salt), started_(started), marks_(marks), harm_(harm) {}
 
-bool Machine::draw(double share) {
-  return share > 0 && std::uniform_real_distribution<double>(0, 1)(chance_) < share;
+bool Machine::uniform_sample(double share) {
+  return share > 0 && std::uniform_real_distribution<double>(0, 1)(random_) < share;
 }
 
 double Machine::warmth(Span now) const {
@@ -83,11 +83,11 @@
   const bool bad_now = (build_.flaw == Flaw::late && now >= started_ + build_.after) ||
                        (build_.flaw == Flaw::load && busy() > build_.busy);
   if (!work.key.empty() && marks_ && marks_->known(work.key, now)) job.how = Ran::repeat;
-  else if (draw(failing_) || (build_.flaw == Flaw::errors && draw(build_.strength)) ||
-           (build_.flaw == Flaw::request_class && work.request_class == build_.request_class && draw(build_.strength)) ||
-           (bad_now && draw(build_.failing)))
+  else if (uniform_sample(failing_) || (build_.flaw == Flaw::errors && uniform_sample(build_.strength)) ||
+           (build_.flaw == Flaw::request_class && work.request_class == build_.request_class && uniform_sample(build_.strength)) ||
+           (bad_now && uniform_sample(build_.failing)))
     job.how = Ran::failed;
-  else if (build_.flaw == Flaw::wrong && draw(build_.strength)) job.how = Ran::wrong;
+  else if (build_.flaw == Flaw::wrong && uniform_sample(build_.strength)) job.how = Ran::wrong;
   job.quick = job.how == Ran::repeat || job.how == Ran::failed;
   if (static_cast<int>(running_.size()) < capacity_.slots || job.quick) {
     begin(std::move(job), now);
@@ -145,7 +145,7 @@
   return done;
 }
 
-const char* word(Ran how) {
+const char* to_string(Ran how) {
   static const char* const words[] = {"well", "failed", "wrong", "repeat"};
   return words[static_cast<int>(how)];
 }
--- a/src/machine/machine.h
+++ b/src/machine/machine.h
@@ -55,7 +55,7 @@
 // What a server stops when its client has left.
 enum class Cancelled { nothing, queued, all };
 enum class Ran { well, failed, wrong, repeat };
-const char* word(Ran how);
+const char* to_string(Ran how);
 
 struct Done {
   std::int64_t id;
@@ -120,14 +120,14 @@
     Span arrived{}, done{};
     bool quick = false;
   };
-  bool draw(double share);
+  bool uniform_sample(double share);
   void begin(Job job, Span now);
   void fill(Span now);
   double slowness(Span now) const;
 
   Capacity capacity_;
   Build build_;
-  std::minstd_rand chance_;
+  std::minstd_rand random_;
   Span started_;
   Marks* marks_;
   const SharedHarm* harm_;
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -86,7 +86,7 @@
   return at != members_.end() && at->second.live && at->second.session == session;
 }
 
-const char* word(Heard heard) {
+const char* to_string(Heard heard) {
   static const char* const words[] = {"new", "renewed", "restarted", "superseded"};
   return words[static_cast<int>(heard)];
 }
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -79,6 +79,6 @@
   bool canary_running_ = false;
 };
 
-const char* word(Heard heard);
+const char* to_string(Heard heard);
 
 }  // namespace robinhoist::membership
--- a/src/params/params.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -1,8 +1,8 @@
-#include "params/params.h"
+#include "module_settings/module_settings.h"
 
 #include <algorithm>
 
-namespace robinhoist::params {
+namespace robinhoist::module_settings {
 namespace {
 
 using namespace json;
@@ -19,7 +19,7 @@
   return value;
 }
 
-void request_settings(const Json& params, Params& to) {
+void request_settings(const Json& params, ModuleSettings& to) {
   RequestSettings& settings = to.requests;
   for (const Json& entry : array(params, "classes").GetArray()) {
     if (!entry.IsObject()) mistyped("classes", "an array of objects");
@@ -27,11 +27,11 @@
     request_class.latency_objective = span(positive(entry, "goal_time_ms"));
     request_class.deadline = span(positive(entry, "deadline_ms"));
     request_class.dedup_window = span(not_negative(entry, "dedup_window_ms"));
-    request_class.idempotency = word<Idempotency>(
+    request_class.idempotency = enumerator<Idempotency>(
         entry, "effect",
         {{"free", Idempotency::idempotent}, {"guarded", Idempotency::idempotent_with_key}, {"single_shot", Idempotency::non_idempotent}});
     request_class.dedup_scope =
-        word<DedupScope>(entry, "group", {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
+        enumerator<DedupScope>(entry, "group", {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
     request_class.priority_weight = not_negative(entry, "worth");
     request_class.late_weight_share = not_negative(entry, "late_share");
     request_class.stream = truth(entry, "streaming");
@@ -46,7 +46,7 @@
   }
   const Json& bounds = inner(params, "bounds");
   settings.max_attempts = whole(bounds, "max_attempts", 1);
-  settings.umpires = whole(params, "balancers", 1);
+  settings.proxies = whole(params, "balancers", 1);
   settings.hedging = truth(bounds, "second_copies");
   settings.cancelling = truth(bounds, "cancelling");
   settings.advice = truth(bounds, "retry_after");
@@ -61,19 +61,19 @@
   EndpointSettings settings{};
   settings.zone = whole(params, "zone");
   settings.me = whole(params, "me");
-  settings.umpires = whole(params, "balancers", 1);
+  settings.proxies = whole(params, "balancers", 1);
   settings.cold_for = time_of(safety, "cold_ms");
   settings.fall_window = span(positive(safety, "fall_ms"));
   settings.ask_within = span(not_negative(safety, "ask_within_ms"));
   settings.cold_from = positive(safety, "cold_from");
   if (settings.cold_from > 1) throw BadInput("setting cold_from must not be above 1");
   settings.fall_multiple = positive(safety, "fall_multiple");
-  settings.must_ask = word<bool>(params, "registry_mode", {{"automatic", false}, {"subscribe", true}});
+  settings.must_ask = enumerator<bool>(params, "registry_mode", {{"automatic", false}, {"subscribe", true}});
   settings.sized =
-      word<bool>(params, "weights", {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
+      enumerator<bool>(params, "weights", {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
   settings.probes = truth(inner(params, "bounds"), "probes");
   settings.reports =
-      word<Reports>(inner(params, "load_report"), "source",
+      enumerator<Reports>(inner(params, "load_report"), "source",
                     {{"piggyback", Reports::answers}, {"pull", Reports::probes}, {"silent", Reports::none}});
   return settings;
 }
@@ -82,9 +82,9 @@
   CanaryQuotaSettings settings{};
   settings.window = span(positive(info, "window_ms"));
   settings.free = not_negative(info, "free");
-  settings.by_request_class = word<bool>(info, "counts", {{"all", false}, {"each_class", true}});
+  settings.by_request_class = enumerator<bool>(info, "counts", {{"all", false}, {"each_class", true}});
   settings.one_way = truth(info, "one_way");
-  settings.in_place = word<bool>(info, "replace_mode", {{"parallel", false}, {"replace", true}});
+  settings.in_place = enumerator<bool>(info, "replace_mode", {{"parallel", false}, {"replace", true}});
   settings.safe_only_stages = whole(info, "safe_only_stages");
   for (const Json& cap : array(info, "caps").GetArray()) {
     if (!cap.IsNumber() || cap.GetDouble() < 0) mistyped("caps", "an array of numbers from 0");
@@ -96,7 +96,7 @@
 AnalysisSettings analysis_settings(const Json& params, const Json& info) {
   AnalysisSettings settings{};
   settings.promotion_mode =
-      word<PromotionMode>(info, "gate_mode",
+      enumerator<PromotionMode>(info, "gate_mode",
                  {{"first_voice", PromotionMode::first_vote}, {"by_count", PromotionMode::count}, {"automatic", PromotionMode::clock}});
   settings.bake = span(not_negative(info, "bake_ms"));
   settings.step = span(not_negative(info, "moves_after_ms"));
@@ -104,7 +104,7 @@
   settings.call_timeout = span(positive(info, "call_timeout_ms"));
   settings.votes_per_s = not_negative(info, "calls_per_s");
   settings.wrong_answer_report_share = not_negative(info, "flag_share");
-  settings.umpires = whole(params, "balancers", 1);
+  settings.proxies = whole(params, "balancers", 1);
   settings.votes_to_promote = whole(info, "to_advance");
   settings.votes_to_hold = whole(info, "hold_votes");
   settings.votes_to_roll_back = whole(info, "votes_to_revert");
@@ -113,13 +113,13 @@
 
 }  // namespace
 
-int Params::index(const std::vector<std::string>& among, std::string_view name) {
+int ModuleSettings::index(const std::vector<std::string>& among, std::string_view name) {
   auto at = std::find(among.begin(), among.end(), name);
   return at == among.end() ? -1 : static_cast<int>(at - among.begin());
 }
 
-Params decode(const Json& object) {
-  Params to;
+ModuleSettings decode(const Json& object) {
+  ModuleSettings to;
   const Json& info = inner(object, "family_info");
   request_settings(object, to);
   to.endpoints = endpoint_settings(object);
@@ -136,7 +136,7 @@
   return to;
 }
 
-std::optional<double>* load_place(Load& load, std::string_view name) {
+std::optional<double>* load_field(Load& load, std::string_view name) {
   const std::pair<const char*, std::optional<double>*> places[] = {
       {"busy_reqs", &load.held},    {"pending", &load.waiting},     {"cpu_share", &load.busy},
       {"svc_ms", &load.service_ms}, {"served_ps", &load.served_ps}, {"failed_ps", &load.failed_ps}};
--- a/src/params/params.h
+++ b/src/module_settings/module_settings.h
@@ -8,9 +8,9 @@
 #include "json/fields.h"
 #include "state.h"
 
-namespace robinhoist::params {
+namespace robinhoist::module_settings {
 
-struct Params {
+struct ModuleSettings {
   EndpointSettings endpoints{};
   CanaryQuotaSettings canary_quota{};
   AnalysisSettings analysis{};
@@ -26,9 +26,9 @@
 };
 
 // Of the object that an instance gets; BadInput names the field and what is wrong with it.
-Params decode(const json::Json& object);
+ModuleSettings decode(const json::Json& object);
 
 // Where a value of a load report belongs, by the words of `load_report`; null: not one of them.
-std::optional<double>* load_place(Load& load, std::string_view name);
+std::optional<double>* load_field(Load& load, std::string_view name);
 
 }  // namespace robinhoist::params
--- a/src/objects/store.cpp
+++ b/src/objects/store.cpp
@@ -47,7 +47,7 @@
   return Change::modified;
 }
 
-const char* word(Change change) {
+const char* to_string(Change change) {
   static const char* const words[] = {"ADDED", "MODIFIED", "DELETED"};
   return words[static_cast<int>(change)];
 }
--- a/src/objects/store.h
+++ b/src/objects/store.h
@@ -63,6 +63,6 @@
 // the selection is added to it, one that leaves is deleted from it. With `brief` what changes elsewhere is
 // passed over.
 std::optional<Change> seen(const Event& event, const Selector& selector, bool brief);
-const char* word(Change change);
+const char* to_string(Change change);
 
 }  // namespace robinhoist::objects
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -59,7 +59,7 @@
     entry.zone = text_or(member, "locality", "");
     entry.cell = static_cast<int>(number_or(member, "cell", 0));
     entry.build = whole(member, "build", 0, 65535);
-    entry.phase = word<EndpointPhase>(
+    entry.phase = enumerator<EndpointPhase>(
         member, "phase", {{"ready", EndpointPhase::ready}, {"draining", EndpointPhase::draining}, {"gone", EndpointPhase::removed}});
     entry.size = number_or(member, "size", 1);
     entry.started = span(number_or(member, "up_since_ms", 0));
@@ -72,7 +72,7 @@
   ReleaseUpdate release{};
   release.build = whole(object, "Revision", 0, 65535);
   release.stage = whole(object, "Wave");
-  release.phase = word<ReleasePhase>(object, "State",
+  release.phase = enumerator<ReleasePhase>(object, "State",
                              {{"IN_PROGRESS", ReleasePhase::canary},
                               {"ROLLING_BACK", ReleasePhase::rolling_back},
                               {"COMPLETE", ReleasePhase::released},
@@ -104,7 +104,7 @@
     to.news = release_update_of(inner(api, "news"));
   });
   within("known", [&] { to.known = endpoints_of(inner(object, "known")); });
-  within("settings", [&] { to.params = params::decode(inner(object, "settings")); });
+  within("settings", [&] { to.module_settings = module_settings::decode(inner(object, "settings")); });
   return to;
 }
 
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -5,7 +5,7 @@
 #include <string_view>
 
 #include "registry/registry.h"
-#include "params/params.h"
+#include "module_settings/module_settings.h"
 
 namespace robinhoist::platform {
 
@@ -18,7 +18,7 @@
   std::string name{}, listen{}, discovery{}, release_api{};
   unsigned salt = 1;
   Limits limits{};
-  params::Params params{};
+  module_settings::ModuleSettings module_settings{};
   registry::Update known{};
   ReleaseUpdate news{};
 };
--- a/src/platform/process.cpp
+++ b/src/platform/process.cpp
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-umpire::RouterSettings router_settings(const Config& config) {
-  umpire::RouterSettings to;
+proxy::RouterSettings router_settings(const Config& config) {
+  proxy::RouterSettings to;
   to.name = config.name;
   to.salt = config.salt;
   const auto sockets = static_cast<std::size_t>(config.limits.sockets - own_sockets);
@@ -43,8 +43,8 @@
   to.server.stream_backlog = answer;
   to.endpoint.most_connections = sockets - clients;
   to.endpoint.budget = std::make_shared<http::Budget>(sockets - clients);
-  to.endpoint.connect_within = config.params.connect_within;
-  to.endpoint.keep_for = config.params.keep_idle * 4 / 5;  // before the node closes it
+  to.endpoint.connect_within = config.module_settings.connect_within;
+  to.endpoint.keep_for = config.module_settings.keep_idle * 4 / 5;  // before the node closes it
   to.endpoint.limits = {.header = most_head, .body = answer, .framed = true};
   return to;
 }
@@ -59,10 +59,10 @@
   net::Loop loop(net::steady_now());
   std::signal(SIGPIPE, SIG_IGN);
   Discovery endpoints(loop, config.discovery, config.known.version, Discovery::watching(config.salt + 1), log);
-  ReleaseApi releases(loop, config.release_api, config.news, config.params.analysis.call_timeout, config.salt + 2,
+  ReleaseApi releases(loop, config.release_api, config.news, config.module_settings.analysis.call_timeout, config.salt + 2,
                       log);
-  const PlatformProtocol protocol(config.params);
-  umpire::Router router(loop, router_settings(config), config.params, protocol, log, endpoints, releases);
+  const PlatformProtocol protocol(config.module_settings);
+  proxy::Router router(loop, router_settings(config), config.module_settings, protocol, log, endpoints, releases);
   releases.on_flagged([&](const std::string& endpoint, Span) { router.found_wrong(endpoint); });
 
   bool stopping = false;
@@ -92,7 +92,7 @@
                       {"memory_mb", log::text(config.limits.memory_mb)},
                       {"cores", log::text(config.limits.cores)}});
   const auto figures = [&](const char* what) {
-    const umpire::Counters& c = router.counters();
+    const proxy::Counters& c = router.counters();
     log.info(what, {{"taken", log::text(c.taken)},
                     {"not_taken", log::text(c.rejected_before_routing)},
                     {"settled", log::text(c.succeeded)},
--- a/src/platform/process.h
+++ b/src/platform/process.h
@@ -5,13 +5,13 @@
 #include <string>
 
 #include "platform/config.h"
-#include "umpire/router.h"
+#include "proxy/router.h"
 
 namespace robinhoist::platform {
 
 // From the told limits: descriptors for nodes and the platform before any for clients, buffers by the
 // protocol's sizes.
-umpire::RouterSettings router_settings(const Config& config);
+proxy::RouterSettings router_settings(const Config& config);
 
 // Runs until told to stop; returns the exit status. Throws json::BadInput where the file is no good.
 int run(const std::string& config_file);
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <cstdio>
 
-#include "figures.h"
+#include "statistics.h"
 #include "settings/form.h"
 
 namespace robinhoist::platform {
@@ -65,19 +65,19 @@
   return routes ? http::text_answer(200, "routes\n") : http::text_answer(503, "knows no nodes yet\n");
 }
 
-umpire::ParsedRequest PlatformProtocol::read(http::Exchange& exchange, int request_id) const {
+proxy::ParsedRequest PlatformProtocol::read(http::Exchange& exchange, int request_id) const {
   http::Request& request = exchange.request;
-  umpire::ParsedRequest parsed;
+  proxy::ParsedRequest parsed;
   auto refuse = [&](int status, const std::string& why) {
-    parsed.rejection = umpire::Rejection{status, why};
+    parsed.rejection = proxy::Rejection{status, why};
     return std::move(parsed);
   };
   std::string_view path = request.path();
   if (path.empty() || path.front() != '/') return refuse(400, "the target is no path");
   path.remove_prefix(1);
-  const int p = params_.request_class(path.substr(0, path.find('/')));
+  const int p = module_settings_.request_class(path.substr(0, path.find('/')));
   if (p < 0) return refuse(404, "no product of that name");
-  const RequestClass& request_class = params_.requests.request_classes[p];
+  const RequestClass& request_class = module_settings_.requests.request_classes[p];
   if (request.method != (request_class.idempotency == Idempotency::idempotent ? "GET" : "POST"))
     return refuse(405, "the product does not go by that method");
   if (request.method == "GET" && !request.body.empty()) return refuse(400, "a GET has no body");
@@ -98,12 +98,12 @@
     if (const auto metrics = figures_of(request.headers.get(info_header)))
       for (auto& [name, value] : *metrics) {
         if (name == "work_hint_ms" && value > 0) info.cost_hint_ms = value;
-        if (name == "org" && value >= 0 && value < static_cast<double>(params_.tenants.size()))
+        if (name == "org" && value >= 0 && value < static_cast<double>(module_settings_.tenants.size()))
           info.tenant = static_cast<int>(value);
       }
   info.is_retry = request.headers.get(repeat_header) == "1";
   // One tick is kept back for the answer's way.
-  info.deadline = exchange.at + from_millis(std::min(*remaining, millis(request_class.deadline))) - params_.requests.tick;
+  info.deadline = exchange.at + from_millis(std::min(*remaining, to_millis(request_class.deadline))) - module_settings_.requests.tick;
   parsed.id = *id;
   parsed.onward.method = request.method;
   parsed.onward.target = std::move(request.target);
@@ -116,21 +116,21 @@
   onward.headers.set(time_header, std::to_string(std::max<long>(1, within.count())) + "u");
 }
 
-umpire::AttemptResult PlatformProtocol::classify(http::Ended how, const http::Response& response) const {
+proxy::AttemptResult PlatformProtocol::classify(http::Ended how, const http::Response& response) const {
   const bool turned_away =
       (response.status == 503 || response.status == 504) && response.headers.get(not_run_header) == "1";
   const Outcome answered = response.status == 200 && !response.body.empty() ? Outcome::ok
                            : turned_away                                    ? Outcome::rejected
                                                                             : Outcome::error;
-  umpire::AttemptResult classify{umpire::outcome_of(how, answered)};
-  if (params_.endpoints.reports == Reports::none) return classify;
+  proxy::AttemptResult classify{proxy::outcome_of(how, answered)};
+  if (module_settings_.endpoints.reports == Reports::none) return classify;
   if (const auto load = figures_of(response.headers.get(load_header)))
     for (auto& [name, value] : *load)
-      if (auto* place = params::load_place(classify.load, name); place && value >= 0) *place = value;
+      if (auto* place = module_settings::load_field(classify.load, name); place && value >= 0) *place = value;
   return classify;
 }
 
-http::Response PlatformProtocol::rejected_before_routing(const umpire::Rejection& rejection) const {
+http::Response PlatformProtocol::rejected_before_routing(const proxy::Rejection& rejection) const {
   http::Response response = http::text_answer(rejection.status, rejection.why + "\n");
   response.keep_alive = false;
   return response;
@@ -150,7 +150,7 @@
   http::Response response = http::text_answer(503, "declined, it is safe to try again: " + why + "\n");
   if (pause > Span{}) {
     char text[32];
-    std::snprintf(text, sizeof text, "%.3f", seconds(pause));
+    std::snprintf(text, sizeof text, "%.3f", to_seconds(pause));
     response.headers.add("Retry-After", text);
   }
   return response;
--- a/src/platform/protocol.h
+++ b/src/platform/protocol.h
@@ -1,25 +1,25 @@
 // The operators' protocol, as clients and nodes speak it (they say boxes): a product is the path's first
 // part, the time left comes with each request, a node says itself whether it has begun a txn.
 #pragma once
-#include "params/params.h"
-#include "umpire/protocol.h"
+#include "module_settings/module_settings.h"
+#include "proxy/protocol.h"
 
 namespace robinhoist::platform {
 
-class PlatformProtocol : public umpire::Protocol {
+class PlatformProtocol : public proxy::Protocol {
  public:
-  explicit PlatformProtocol(const params::Params& params) : params_(params) {}
+  explicit PlatformProtocol(const module_settings::ModuleSettings& module_settings) : module_settings_(module_settings) {}
   std::optional<http::Response> admin_response(const http::Request& request, bool routes) const override;
-  umpire::ParsedRequest read(http::Exchange& exchange, int request_id) const override;
+  proxy::ParsedRequest read(http::Exchange& exchange, int request_id) const override;
   void prepare_attempt(http::Request& onward, std::size_t number, Span within) const override;
-  umpire::AttemptResult classify(http::Ended how, const http::Response& response) const override;
-  http::Response rejected_before_routing(const umpire::Rejection& rejection) const override;
+  proxy::AttemptResult classify(http::Ended how, const http::Response& response) const override;
+  http::Response rejected_before_routing(const proxy::Rejection& rejection) const override;
   http::Response succeeded(http::Response&& from, const std::string& endpoint, int build) const override;
   http::Response rejected(Span pause, const std::string& why) const override;
   http::Response failed(bool late, const std::string& why) const override;
 
  private:
-  params::Params params_;
+  module_settings::ModuleSettings module_settings_;
 };
 
 }  // namespace robinhoist::platform
--- a/src/platform/sources.h
+++ b/src/platform/sources.h
@@ -12,7 +12,7 @@
 #include "log/log.h"
 #include "platform/config.h"
 #include "retry/backoff.h"
-#include "umpire/sources.h"
+#include "proxy/sources.h"
 
 namespace robinhoist::platform {
 
@@ -55,7 +55,7 @@
   bool failing_ = false;
 };
 
-class Discovery : public umpire::EndpointSource {
+class Discovery : public proxy::EndpointSource {
  public:
   static Watch::Settings watching(unsigned salt);
   // From the version of a list that is known already.
@@ -75,7 +75,7 @@
   Watch watch_;
 };
 
-class ReleaseApi : public umpire::ReleaseSource {
+class ReleaseApi : public proxy::ReleaseSource {
  public:
   using Flagged = std::function<void(const std::string& endpoint, Span ago)>;
   static Watch::Settings watching(unsigned salt);
--- a/src/umpire/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -1,11 +1,11 @@
-#include "umpire/http_protocol.h"
+#include "proxy/http_protocol.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "figures.h"
+#include "statistics.h"
 
-namespace robinhoist::umpire {
+namespace robinhoist::proxy {
 namespace {
 
 double number(std::string_view text, double absent) {
@@ -70,7 +70,7 @@
     return refuse(400, "product " + all.request_classes[p].name + " needs the header " + names.key);
   std::string_view routing = request.headers.get(names.routing_key);
   info.key = routing.empty() ? parsed.mark : routing;
-  const double most_ms = millis(request_class.deadline);
+  const double most_ms = to_millis(request_class.deadline);
   const double remaining = number(request.headers.get(names.remaining), most_ms);
   if (!(remaining > 0)) return refuse(400, "header " + names.remaining + " is not a number above 0");
   info.cost_hint_ms = number(request.headers.get(names.cost), 0);
@@ -114,8 +114,8 @@
 http::Response HttpProtocol::rejected(Span pause, const std::string& why) const {
   http::Response response = http::text_answer(503, "declined: it is safe to try again\n");
   if (pause > Span{}) {
-    response.headers.add("Retry-After", std::to_string(static_cast<long>(std::ceil(seconds(pause)))));
-    response.headers.add("Robinhoist-Retry-After-Ms", std::to_string(static_cast<long>(millis(pause))));
+    response.headers.add("Retry-After", std::to_string(static_cast<long>(std::ceil(to_seconds(pause)))));
+    response.headers.add("Robinhoist-Retry-After-Ms", std::to_string(static_cast<long>(to_millis(pause))));
   }
   return worded(std::move(response), "declined", why);
 }
--- a/src/umpire/http_protocol.h
+++ b/src/proxy/http_protocol.h
@@ -1,10 +1,10 @@
 // The project's own protocol: products by method and path, figures in headers of our names, load in the
 // header that proxies of the field use.
 #pragma once
-#include "umpire/protocol.h"
-#include "umpire/settings.h"
+#include "proxy/protocol.h"
+#include "proxy/settings.h"
 
-namespace robinhoist::umpire {
+namespace robinhoist::proxy {
 
 class HttpProtocol : public Protocol {
  public:
--- a/src/umpire/process.cpp
+++ b/src/proxy/process.cpp
@@ -1,13 +1,13 @@
-#include "umpire/process.h"
+#include "proxy/process.h"
 
 #include <csignal>
 
 #include "json/fields.h"
 #include "net/signals.h"
-#include "umpire/http_protocol.h"
-#include "umpire/router.h"
+#include "proxy/http_protocol.h"
+#include "proxy/router.h"
 
-namespace robinhoist::umpire {
+namespace robinhoist::proxy {
 
 int run(const Settings& settings) {
   log::Log log(settings.name, settings.log_level);
@@ -16,13 +16,13 @@
   HttpEndpointSource endpoints(loop, settings.list_from, settings.name, settings.salt, log);
   WatchReleaseSource releases(loop,
                               {.from = settings.releases_from,
-                               .umpire = settings.name,
+                               .proxy = settings.name,
                                .token = settings.releases_token,
                                .vote_within = settings.deployment.vote_timeout,
                                .salt = settings.salt + 1},
                               log);
   const HttpProtocol protocol(settings);
-  Router router(loop, router_settings(settings), params_of(settings), protocol, log, endpoints, releases);
+  Router router(loop, router_settings(settings), module_settings_of(settings), protocol, log, endpoints, releases);
   std::unique_ptr<http::Server> admin;
   if (!settings.admin.empty()) {
     http::ServerSettings server;
--- a/src/umpire/process.h
+++ b/src/proxy/process.h
@@ -2,9 +2,9 @@
 //   GET  /status   counters and nodes as JSON       GET /health   200 once it routes
 //   POST /wrong    {node}: a client has found an answer of that node wrong
 #pragma once
-#include "umpire/settings.h"
+#include "proxy/settings.h"
 
-namespace robinhoist::umpire {
+namespace robinhoist::proxy {
 
 // Runs until told to stop; returns the exit status. `epoch` is the steady clock's zero for log figures, 0 for
 // the process's own start.
--- a/src/umpire/protocol.h
+++ b/src/proxy/protocol.h
@@ -9,7 +9,7 @@
 #include "http/server.h"
 #include "state.h"
 
-namespace robinhoist::umpire {
+namespace robinhoist::proxy {
 
 // A request that the module never hears of, and the status that says why.
 struct Rejection {
