--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -19,7 +19,6 @@
 
 using namespace robinhoist;
 using namespace std::chrono_literals;
-using net::Span;
 
 const char* const deployment_text = R"((deployment (zones here) (umpires 130)
   (product look (match GET /look) (sla 100ms) (expiry 300ms) (effect inquiry))
--- a/fuzz/api_fuzz.cpp
+++ b/fuzz/api_fuzz.cpp
@@ -38,7 +38,7 @@
   release::Follower follower;
   follower.begins(true);
   std::string in;
-  const robinhoist::Span now{1000000};
+  const robinhoist::TimePoint now{robinhoist::Duration(1000000)};
   for (const std::string& piece : {all.substr(0, size / 2), all.substr(size / 2)}) {
     in += piece;
     while (follower.take(in, now) != release::Follower::Line::none) {}
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -17,11 +17,11 @@
 
 // Clocks agree, but threads notice late: what nodes and clients saw is taken to be this uncertain. A rule
 // counts as broken only where it is so whichever way the uncertainty falls.
-constexpr Span unsure = 30ms;
+constexpr Duration unsure = 30ms;
 constexpr double no_cap = std::numeric_limits<double>::infinity();
 
 struct Try {
-  Span at, ended, until;
+  TimePoint at, ended, until;
   long id, first;
   std::string proxy, end;
   int request_class, tenant;
@@ -29,15 +29,15 @@
 };
 
 struct AttemptArrival {
-  Span at;
+  TimePoint at;
   std::string endpoint, proxy, what;
   int build, request_class;
   long id, attempt, client_request_id;  // client_request_id: the client's try
-  Span work;
+  Duration work;
 };
 
 struct Start {
-  Span at;
+  TimePoint at;
   std::string zone;
   int cell;
   long started;
@@ -49,7 +49,7 @@
 };
 
 struct Told {
-  Span at;
+  TimePoint at;
   bool news, whole = false;
   std::vector<NotifiedEndpoint> endpoints{};
   int build = 0, stage = 0;
@@ -58,37 +58,37 @@
 };
 
 struct Life {
-  Span from, to;
+  TimePoint from, to;
 };
 
 struct Record {
   std::vector<Try> tries{};
   std::vector<AttemptArrival> arrivals{};
   std::map<std::string, std::vector<Start>> starts{};
-  std::vector<std::pair<Span, std::string>> falls{};
+  std::vector<std::pair<TimePoint, std::string>> falls{};
   std::map<std::string, std::vector<Told>> told{};
   std::map<std::string, std::vector<Life>> lives{};
   struct Effect {
     std::string key;
-    Span at;
+    TimePoint at;
     long id;
   };
   std::map<long, long> arrival_of{};  // the node's id of the work: place among the arrivals
-  std::vector<std::pair<long, Span>> effects{};
+  std::vector<std::pair<long, TimePoint>> effects{};
   std::map<std::string, long> unasked{};
 };
 
-Span micros(const json::Json& line, const char* field) {
-  return Span(static_cast<long>(json::number(line, field)));
+TimePoint time_of(const json::Json& line, const char* field) {
+  return TimePoint(Duration(static_cast<long>(json::number(line, field))));
 }
 
 long whole_of(const std::string& text, long absent) {
   return text.empty() || text.find_first_not_of("0123456789") != std::string::npos ? absent : std::stol(text);
 }
 
-std::string at_s(Span at) {
+std::string at_s(TimePoint at) {
   char text[32];
-  std::snprintf(text, sizeof text, "%.3f s", std::chrono::duration<double>(at).count());
+  std::snprintf(text, sizeof text, "%.3f s", std::chrono::duration<double>(at.time_since_epoch()).count());
   return text;
 }
 
@@ -109,8 +109,8 @@
     cut += record::read(folder + "/umpires.jsonl", [&](const json::Json& line) {
       auto& lives = record.lives[json::text(line, "umpire")];
       const std::string what = json::text(line, "e");
-      if (what == "start") lives.push_back({micros(line, "t"), Span::max()});
-      else if (!lives.empty() && lives.back().to == Span::max()) lives.back().to = micros(line, "t");
+      if (what == "start") lives.push_back({time_of(line, "t"), TimePoint::max()});
+      else if (!lives.empty() && lives.back().to == TimePoint::max()) lives.back().to = time_of(line, "t");
     });
     if (cut > 0) report.notes.push_back(std::to_string(cut) + " of the files end in mid-line");
     std::stable_sort(record.arrivals.begin(), record.arrivals.end(),
@@ -123,9 +123,9 @@
       return;
     }
     Try one;
-    one.at = micros(line, "t");
-    one.ended = micros(line, "t1");
-    one.until = micros(line, "until");
+    one.at = time_of(line, "t");
+    one.ended = time_of(line, "t1");
+    one.until = time_of(line, "until");
     one.id = static_cast<long>(json::number(line, "id"));
     one.first = static_cast<long>(json::number(line, "first"));
     one.proxy = json::text(line, "umpire");
@@ -143,15 +143,15 @@
       if (json::text_or(line, "how", "") == "unready") {
         Rule& rule = report.steps;
         if (rule.broken++ == 0)
-          rule.first = json::text(line, "node") + " answered at " + at_s(micros(line, "t")) +
+          rule.first = json::text(line, "node") + " answered at " + at_s(time_of(line, "t")) +
                        " without the tables that its build needs";
       }
       if (json::truth(line, "effect"))
-        record.effects.emplace_back(static_cast<long>(json::number(line, "id")), micros(line, "t"));
+        record.effects.emplace_back(static_cast<long>(json::number(line, "id")), time_of(line, "t"));
       return;
     }
     const std::string endpoint = json::text(line, "node");
-    const Span at = micros(line, "t");
+    const TimePoint at = time_of(line, "t");
     if (what == "start") {
       record.starts[endpoint].push_back({at, json::text(line, "zone"), json::whole(line, "cell"),
                                      static_cast<long>(json::number(line, "started"))});
@@ -171,7 +171,7 @@
       one.proxy = request_name.substr(0, request_name.find('.'));
       one.attempt = whole_of(json::text(line, "submission"), 0);
       one.client_request_id = whole_of(json::text(line, "try"), -1);
-      one.work = Span(whole_of(json::text(line, "work"), 0));
+      one.work = Duration(whole_of(json::text(line, "work"), 0));
       record.arrivals.push_back(std::move(one));
     }
   }
@@ -179,7 +179,7 @@
   void read_told(const json::Json& line) {
     const std::string what = json::text(line, "e");
     if (what == "release") {
-      report.releases.push_back({micros(line, "t"), json::whole(line, "build"), json::whole(line, "stage"),
+      report.releases.push_back({time_of(line, "t"), json::whole(line, "build"), json::whole(line, "stage"),
                                  json::text(line, "phase"), json::text(line, "why")});
       return;
     }
@@ -187,7 +187,7 @@
       ++report.votes;
       return;
     }
-    Told told{.at = micros(line, "t"), .news = what == "news"};
+    Told told{.at = time_of(line, "t"), .news = what == "news"};
     if (told.news) {
       told.build = json::whole(line, "build");
       told.stage = json::whole(line, "stage");
@@ -203,7 +203,7 @@
   }
 
   // Whether the umpire was not running all the time from then to then.
-  bool interrupted(const std::string& proxy, Span from, Span to) const {
+  bool interrupted(const std::string& proxy, TimePoint from, TimePoint to) const {
     auto at = record.lives.find(proxy);
     if (at == record.lives.end()) return true;
     return std::none_of(at->second.begin(), at->second.end(),
@@ -211,8 +211,8 @@
   }
 
   // The told things of one life, those of the life in which `at` lies.
-  Span life_began(const std::string& proxy, Span at) const {
-    Span began{};
+  TimePoint life_began(const std::string& proxy, TimePoint at) const {
+    TimePoint began{};
     auto lives = record.lives.find(proxy);
     if (lives == record.lives.end()) return began;
     for (const Life& life : lives->second)
@@ -233,7 +233,7 @@
     record::read(folder + "/database.jsonl", [&](const json::Json& line) {
       const std::string mark = json::text(line, "mark"), build = mark.substr(0, mark.find('/'));
       const bool undo = json::truth(line, "undo"), done = json::text(line, "how") == "done";
-      const std::string at = " at " + at_s(micros(line, "t"));
+      const std::string at = " at " + at_s(time_of(line, "t"));
       ++rule.checked;
       auto found = place.find(mark);
       if (found == place.end()) return wrong(mark + " ran" + at + ", which is in no plan");
@@ -269,10 +269,10 @@
     for (auto& [proxy, count] : record.unasked)
       broken(1, proxy + " sent " + std::to_string(count) + " answers that no client waited for");
     // A mark is there against a second effect: none may have two while it holds.
-    std::map<std::string, Span> effect_at;
+    std::map<std::string, TimePoint> effect_at;
     std::unordered_map<long, const AttemptArrival*> by_work;
     for (const AttemptArrival& arrival : record.arrivals) by_work[arrival.id] = &arrival;
-    std::map<long, Span> once;
+    std::map<long, TimePoint> once;
     for (auto& [id, at] : record.effects) {
       auto arrival = by_work.find(id);
       if (arrival == by_work.end()) continue;
@@ -342,7 +342,7 @@
       broken(2, who(one) + " was declined though it may have run at " + ran->endpoint);
   }
 
-  const Start* start_of(const std::string& endpoint, Span at) const {
+  const Start* start_of(const std::string& endpoint, TimePoint at) const {
     auto starts = record.starts.find(endpoint);
     const Start* last = nullptr;
     if (starts != record.starts.end())
@@ -361,17 +361,17 @@
   // What an umpire knew of nodes, moved on in time.
   struct Known {
     std::size_t next = 0;
-    Span life{-1};
+    TimePoint life{Duration(-1)};
     struct Node {
       std::string phase;
-      Span since;
+      TimePoint since;
       long started;
     };
     std::map<std::string, Node> endpoints{};
   };
 
-  void move_on(Known& known, const std::string& proxy, Span to) const {
-    const Span began = life_began(proxy, to);
+  void move_on(Known& known, const std::string& proxy, TimePoint to) const {
+    const TimePoint began = life_began(proxy, to);
     if (began != known.life) {
       known.life = began;
       known.endpoints.clear();
@@ -413,7 +413,7 @@
     for (auto& [at, endpoint] : record.falls) {
       const Start* start = start_of(endpoint, at);
       std::map<std::string, Known> proxies;
-      Span all{}, knowing{};
+      Duration all{}, knowing{};
       for (const AttemptArrival& arrival : record.arrivals) {
         if (arrival.at > at) break;
         if (arrival.endpoint != endpoint || arrival.at <= at - report.meta.fall_window) continue;
@@ -435,7 +435,7 @@
   // The cap that binds an umpire for a build, as news moves on.
   struct Binding {
     double cap = no_cap, before = no_cap;
-    Span fell{-1};
+    TimePoint fell{Duration(-1)};
     int stage = 0;
   };
 
@@ -450,7 +450,7 @@
     Rule& rule = report.rules[4];
     const record::Meta& meta = report.meta;
     const int request_classes = static_cast<int>(meta.request_classes.size());
-    std::map<std::string, std::vector<std::vector<Span>>> taken;
+    std::map<std::string, std::vector<std::vector<TimePoint>>> taken;
     for (const Try& one : record.tries) {
       if (one.end == "unreached" || one.end == "not-taken") continue;
       auto& of = taken[one.proxy];
@@ -468,13 +468,13 @@
       const auto told = record.told.find(proxy);
       std::size_t next = 0;
       std::optional<Told> news;
-      Span life{-1};
+      TimePoint life{Duration(-1)};
       std::map<int, Binding> bindings;
-      std::map<std::pair<int, int>, std::vector<Span>> sent;  // by build and product
+      std::map<std::pair<int, int>, std::vector<TimePoint>> sent;  // by build and product
       auto& lists = taken[proxy];
       lists.resize(request_classes + 1);
       for (const AttemptArrival* arrival : arrivals) {
-        const Span began = life_began(proxy, arrival->at);
+        const TimePoint began = life_began(proxy, arrival->at);
         if (began != life) {
           life = began;
           news.reset();
@@ -487,7 +487,7 @@
           // The first word of a life is no fall: before it a build counts as in the first wave.
           if (cap < binding.cap && !first_word) {
             // A fall within the grace of another leaves the higher one standing as it was.
-            if (binding.fell < Span{} || news->at >= binding.fell + meta.drain_grace)
+            if (binding.fell < TimePoint{} || news->at >= binding.fell + meta.drain_grace)
               binding.before = binding.cap;
             binding.fell = news->at;
           }
@@ -504,7 +504,7 @@
         }
         if (!news) continue;
         const Binding& binding = bindings[arrival->build];
-        const bool grace = binding.fell >= Span{} && arrival->at <= binding.fell + meta.drain_grace + unsure;
+        const bool grace = binding.fell >= TimePoint{} && arrival->at <= binding.fell + meta.drain_grace + unsure;
         const double cap = grace ? std::max(binding.cap, binding.before) : binding.cap;
         if (cap == no_cap) continue;
         ++rule.checked;
@@ -515,8 +515,8 @@
             meta.request_classes[arrival->request_class].idempotency != Idempotency::idempotent)
           broken(5, proxy + " sent a txn with an effect to build " + std::to_string(arrival->build) +
                         " at " + at_s(arrival->at) + ", in wave " + std::to_string(binding.stage));
-        Span from = arrival->at - meta.window + unsure;
-        if (binding.fell >= Span{} && !grace) from = std::max(from, binding.fell + meta.drain_grace);
+        TimePoint from = arrival->at - meta.window + unsure;
+        if (binding.fell >= TimePoint{} && !grace) from = std::max(from, binding.fell + meta.drain_grace);
         const auto first = std::upper_bound(list.begin(), list.end(), from);
         const double count = static_cast<double>(list.end() - first);
         const auto& took = lists[request_class];
--- a/src/audit/audit.h
+++ b/src/audit/audit.h
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "record/meta.h"
+#include "time/time_types.h"
 
 namespace robinhoist::audit {
 
@@ -23,7 +24,7 @@
 };
 
 struct Release {
-  Span at;
+  TimePoint at;
   int build, stage;
   std::string phase, why;
 };
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -81,7 +81,7 @@
   try {
     if (name == "tick") {
       if (open_) throw BadInput("a batch is still open");
-      now_ = time_of(message.value, "time_ms");
+      now_ = TimePoint(duration_of(message.value, "time_ms"));
       open_ = true;
       return false;
     }
@@ -131,7 +131,7 @@
       news.phase = enumerator<EndpointPhase>(
           entry, "phase", {{"IN", EndpointPhase::ready}, {"LAME", EndpointPhase::draining}, {"OUT", EndpointPhase::removed}});
       news.size = number(entry, "share");
-      news.started = span(number_or(entry, "ready_at_ms", 0));
+      news.started = TimePoint(span(number_or(entry, "ready_at_ms", 0)));
       banks_[bank].push_back(news);
       bank_names_[bank].push_back(text(entry, "box"));
       banks_[bank].back().order = digest(bank_names_[bank].back());
@@ -183,7 +183,7 @@
     number_or(fields, "wait_time_ms", 0);
     number(fields, "since_ms");
   } else if (name == "flagged") {
-    time_of(fields, "since_ms");
+    duration_of(fields, "since_ms");
     engine.answer_found_wrong(named_endpoint(instance, fields));
   } else {
     throw BadInput("unknown message");
@@ -227,7 +227,7 @@
   double tenant = number_or(fields, "org", 0);
   if (tenant < 0 || (tenant > 0 && tenant >= instance.tenants)) mistyped("org", "a known tenant");
   request.tenant = static_cast<int>(tenant);
-  request.deadline = time_of(fields, "not_after_ms");
+  request.deadline = TimePoint(duration_of(fields, "not_after_ms"));
   request.cost_hint_ms = number_or(fields, "work_hint_ms", 0);
   auto key = fields.FindMember("subject");
   if (key != fields.MemberEnd() && !key->value.IsNull()) request.key = text(fields, "subject");
@@ -252,7 +252,7 @@
   release.stage = whole(fields, "step");
   release.phase = static_cast<ReleasePhase>(whole(fields, "where_at", 0, 3));
   release.cap = number(fields, "limit_share");
-  release.since = time_of(fields, "since_ms");
+  release.since = duration_of(fields, "since_ms");
   if (outcome == Outcome::ok || outcome == Outcome::obsolete) instance.engine->release_updated(release, now_);
 }
 
--- a/src/benchlink/wire.h
+++ b/src/benchlink/wire.h
@@ -8,6 +8,7 @@
 #include "json/fields.h"
 #include "logic.h"
 #include "module_settings/module_settings.h"
+#include "time/time_types.h"
 
 namespace robinhoist::benchlink {
 
@@ -44,7 +45,7 @@
   void write(const std::string& who, Instance& instance, const Decision& decision);
 
   bool open_ = false;
-  Span now_{};
+  TimePoint now_{};
   std::unordered_map<std::string, std::unique_ptr<Instance>> instances_;
   std::vector<std::string> touched_;
   std::vector<EndpointInfo> banks_[16];
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -53,7 +53,7 @@
     runner.stages = static_cast<int>(settings.rollout.stages.size());
     runner_ = std::make_unique<steps::Runner>(loop, runner, *journal_, *target_, log);
     runner_->changed = [this] {
-      if (tell_steps()) timers_.in(Span(0), [this] { pull(); });
+      if (tell_steps()) timers_.in(Duration(0), [this] { pull(); });
       keep_soon();  // objects show steps
     };
   }
@@ -77,7 +77,7 @@
 // What steps must know of releases, and what waves must know of steps; whether a gate has moved.
 bool Controller::tell_steps() {
   if (!runner_) return false;
-  const Span now = loop_.now();
+  const TimePoint now = loop_.now();
   const ReleaseUpdate news = core_->news(now);
   const int stages = static_cast<int>(settings_.rollout.stages.size());
   for (auto& [build, fate] : core_->fates()) {
@@ -106,7 +106,7 @@
 void Controller::pull() {
   loop_.cancel(look_);
   if (trouble_ != Trouble::none) return;  // it stands still
-  const Span now = loop_.now();
+  const TimePoint now = loop_.now();
   // A release that has just come up must find its gates as its steps stand.
   std::vector<rollout::Order> decided;
   do {
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -16,10 +16,10 @@
 #include "releases/catalog.h"
 #include "rollout/rollout.h"
 #include "steps/runner.h"
+#include "time/time_types.h"
 
 namespace robinhoist::controller {
 
-using net::Span;
 
 struct Settings {
   http::ServerSettings server{};
@@ -30,10 +30,10 @@
   WatchSettings watches{};
   std::vector<Token> tokens{};
   double requests_per_s = 0;               // of one client; 0: any number
-  Span keys_for = std::chrono::hours(24);  // Idempotency-Key of creations
+  Duration keys_for = std::chrono::hours(24);  // Idempotency-Key of creations
   std::string journal{};                   // a file; empty: nothing outlives the process
   std::string steps_target{};              // an address; empty: releases have no steps
-  Span lease{};
+  Duration lease{};
   bool throttle = true;  // backfills back off when patients fare poorly
   std::string who{"controller"};
   // Called between writing a change down and telling it, for tests that end the process there.
@@ -61,7 +61,7 @@
   // To be called after anything told to the core from outside.
   void pull();
   // News is told so much later from here on; the clock stands still while silent or failing.
-  void told_after(Span lag) { lag_ = lag; }
+  void told_after(Duration lag) { lag_ = lag; }
   void trouble(Trouble trouble, double half_count);
   void break_connections() { server_->cut(); }
   int port() const { return server_->port(); }
@@ -113,7 +113,7 @@
   bool tell_steps();
   // The objects as the rollout stands.
   void restore_objects();
-  releases::Status status_of(const releases::Release& release, Span now) const;
+  releases::Status status_of(const releases::Release& release, TimePoint now) const;
   std::vector<releases::Draft> observed(bool& urgent);
   void commit(std::vector<releases::Draft> drafts, std::optional<journal::RequestKey> key = {});
   void keep(bool all);
@@ -134,7 +134,8 @@
   std::vector<rollout::Order> untold_{};   // decided, but not yet on disk
   std::size_t seen_changes_ = 0;
   std::pair<int, int> seen_stage_{-1, -1};  // build and wave
-  Span lag_{}, last_due_{};
+  Duration lag_{};
+  TimePoint last_due_{};
   Trouble trouble_ = Trouble::none;
   double count_share_ = 0;
   std::minstd_rand random_{1};
--- a/src/controller/process.cpp
+++ b/src/controller/process.cpp
@@ -21,7 +21,7 @@
 }
 
 // A series of versions lives as long as the process does.
-std::string fresh_series() { return std::to_string(net::wall_now().count()); }
+std::string fresh_series() { return std::to_string(net::wall_now().time_since_epoch().count()); }
 
 template <class Make>
 int serve(const char* who, Make make) {
--- a/src/controller/releases.cpp
+++ b/src/controller/releases.cpp
@@ -14,10 +14,10 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr Span soon = 200ms;  // what only tells of votes and acknowledgements waits for more of it
+constexpr Duration soon = 200ms;  // what only tells of votes and acknowledgements waits for more of it
 constexpr int most_items = 500;
 
-std::int64_t wall_ms() { return net::wall_now().count() / 1000; }
+std::int64_t wall_ms() { return net::wall_now().time_since_epoch().count() / 1000; }
 
 struct Refused {
   http::Response response;
@@ -75,7 +75,7 @@
   }
 }
 
-http::Response retry_later(Span after, const std::string& what) {
+http::Response retry_later(Duration after, const std::string& what) {
   http::Response response = problem(429, "too many requests", what);
   response.headers.add("Retry-After", std::to_string((after.count() + 999999) / 1000000));
   return response;
@@ -126,7 +126,7 @@
   for (const releases::Release* one : pending) core_->offer(one->build, loop_.now());
 }
 
-releases::Status Controller::status_of(const releases::Release& release, Span now) const {
+releases::Status Controller::status_of(const releases::Release& release, TimePoint now) const {
   releases::Status status;
   const ReleaseUpdate news = core_->news(now);
   const auto& fates = core_->fates();
@@ -215,7 +215,7 @@
 // What the objects don't show yet. `urgent`: umpires go by some of it.
 std::vector<releases::Draft> Controller::observed(bool& urgent) {
   std::vector<releases::Draft> drafts;
-  const Span now = loop_.now();
+  const TimePoint now = loop_.now();
   const int build = core_->news(now).build;
   // One that is withdrawn and has no object has been deleted.
   if (!catalog_.of_build(build) && core_->news(now).phase != ReleasePhase::rolled_back)
@@ -241,7 +241,7 @@
   rollout::Kept kept = core_->kept(loop_.now());
   kept.since = kept.since / 1000000 * 1000000;  // to the second: time alone is no reason to write
   rollout::Kept timeless = kept;
-  timeless.since = Span{};
+  timeless.since = Duration{};
   const std::string text = rollout::encoded(timeless);
   const bool moved = text != kept_;
   if (!urgent && !drafts.empty()) {
@@ -299,7 +299,7 @@
 
 // Told after the lag that holds now, and never before what was said earlier.
 void Controller::publish(objects::Event event) {
-  const Span now = loop_.now();
+  const TimePoint now = loop_.now();
   last_due_ = std::max(last_due_, now + lag_);
   if (last_due_ <= now) {
     told_objects_.take(std::move(event));
@@ -483,7 +483,7 @@
     if (reason.empty() || author.empty()) json::mistyped(reason.empty() ? "reason" : "author", "a word");
     const releases::Reply may = catalog_.act(asked.name, believed_of(asked.exchange->request));
     if (may.status != 200) return reply(asked, may);
-    const Span now = loop_.now();
+    const TimePoint now = loop_.now();
     const std::string why = reason + " (" + author + ")";
     const bool present = catalog_.find(asked.name)->build == core_->news(now).build;
     if (dry(asked.exchange->request)) return reply(asked, may);
@@ -524,7 +524,7 @@
     const releases::Release* release = catalog_.find(asked.name);
     if (!release) return reply(asked, catalog_.act(asked.name, {}));
     const int build = release->build;
-    const Span now = loop_.now();
+    const TimePoint now = loop_.now();
     const bool counts =
         trouble_ == Trouble::none ||
         (trouble_ == Trouble::silent && std::uniform_real_distribution<double>(0, 1)(random_) < count_share_);
@@ -549,7 +549,7 @@
 }
 
 void Controller::look_at_members() {
-  const Span now = loop_.now();
+  const TimePoint now = loop_.now();
   members_.canary_running(core_->news(now).phase == ReleasePhase::canary);
   if (members_.tick(now))
     log_.info("umpires", {{"live", log::text(members_.live())},
@@ -572,7 +572,7 @@
     const auto body = body_of(asked.exchange->request);
     const std::string session = json::text(body, "session");
     if (!objects::label_value(asked.name) || session.empty()) json::mistyped("session", "a word");
-    const Span now = loop_.now();
+    const TimePoint now = loop_.now();
     const membership::Heard heard = members_.heard(asked.name, session, now);
     if (heard != membership::Heard::renewed)
       log_.info("umpire", {{"name", asked.name}, {"is", membership::to_string(heard)}});
@@ -608,7 +608,7 @@
 }
 
 void Controller::proxies(const Asked& asked) {
-  const Span now = loop_.now();
+  const TimePoint now = loop_.now();
   json::Out out;
   out.open().put("kind", "UmpireList").put("known", members_.known()).put("live", members_.live());
   out.put("countedToGoOn", members_.to_go_on()).put("countedToGoBack", members_.to_go_back());
--- a/src/controller/watches.cpp
+++ b/src/controller/watches.cpp
@@ -37,7 +37,7 @@
 }
 
 double Watches::age_ms(const objects::Snapshot& what) const {
-  const double age = static_cast<double>(net::wall_now().count()) / 1e3 - static_cast<double>(what.since_ms);
+  const double age = static_cast<double>(net::wall_now().time_since_epoch().count()) / 1e3 - static_cast<double>(what.since_ms);
   return age > 0 ? age : 0;
 }
 
@@ -78,7 +78,7 @@
     at->gone = true;
     remove(at);
   };
-  if (at->ask.within > net::Span{})
+  if (at->ask.within > Duration{})
     at->end = loop_.in(at->ask.within, [this, at] {
       at->end = net::Loop::no_timer;
       remove(at);
--- a/src/controller/watches.h
+++ b/src/controller/watches.h
@@ -13,12 +13,13 @@
 #include "http/server.h"
 #include "net/loop.h"
 #include "objects/store.h"
+#include "time/time_types.h"
 
 namespace robinhoist::controller {
 
 struct WatchSettings {
   std::size_t most = 5000;
-  net::Span bookmark_every = std::chrono::seconds(5);
+  Duration bookmark_every = std::chrono::seconds(5);
 };
 
 struct WatchAsk {
@@ -26,7 +27,7 @@
   bool brief = false;
   std::optional<std::int64_t> since{};  // none: all that there is first
   std::string proxy{};
-  net::Span within{};  // 0: without end
+  Duration within{};  // 0: without end
 };
 
 class Watches {
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -7,7 +7,7 @@
 namespace robinhoist::day {
 namespace {
 using namespace std::chrono_literals;
-Span seconds(double s) { return Span(static_cast<std::int64_t>(s * 1e6)); }
+Duration seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
 
 http::CallerSettings call_settings() {
   http::CallerSettings settings;
@@ -27,7 +27,7 @@
   }
 }
 
-void Clients::begin(Span from) {
+void Clients::begin(TimePoint from) {
   from_ = from;
   begun_ = true;
   for (const Trouble& trouble : day_.troubles)
@@ -70,7 +70,7 @@
   loop_.cancel(timer_);
   if (!begun_) return;
   while (auto one = load_.next(now())) send(*one);
-  if (auto at = load_.next_at()) timer_ = loop_.at(from_ + *at, [this] { pull(); });
+  if (auto at = load_.next_at()) timer_ = loop_.at(loop_time(*at), [this] { pull(); });
 }
 
 void Clients::send(const load::Try& one) {
@@ -81,9 +81,9 @@
   request.target = match.prefix ? match.path + "?n=" + std::to_string(one.id) : match.path;
   request.headers.add("X-Try", std::to_string(one.id));
   request.headers.add("X-Work-Us", std::to_string(one.work.count()));
-  const Span left = one.until - now();
+  const Duration left = one.until - now();
   request.headers.add("X-Remaining-Ms",
-                      std::to_string(static_cast<double>(std::max(Span(1), left).count()) / 1e3));
+                      std::to_string(static_cast<double>(std::max(Duration(1), left).count()) / 1e3));
   if (!day_.deployment.tenants.empty())
     request.headers.add("X-Tenant", day_.deployment.tenants[one.tenant].name);
   if (!one.key.empty()) request.headers.add("Idempotency-Key", one.key);
@@ -91,11 +91,11 @@
   if (request.method != "GET") request.body = "{\"txn\":" + std::to_string(one.first) + "}";
   // A client listens a little longer than it told, so that an answer that comes too late is seen to.
   const auto call = fronts_[one.proxy]->call(
-      request, std::max(Span(1), left) + 2 * day_.answer_slack,
+      request, std::max(Duration(1), left) + 2 * day_.answer_slack,
       [this, one](http::Ended how, http::Response&& response) { ended(one, how, response); });
   calls_[one.id] = {one.proxy, call};
-  if (one.leaves == Span{}) return;
-  loop_.at(from_ + one.leaves, [this, one] {
+  if (one.leaves == TimePoint{}) return;
+  loop_.at(loop_time(one.leaves), [this, one] {
     auto at = calls_.find(one.id);
     if (at == calls_.end()) return;
     fronts_[at->second.first]->cancel(at->second.second);
@@ -122,9 +122,9 @@
   const std::string proxy = "umpire-" + std::to_string(one.proxy);
   record::tried(
       record_,
-      {.from = from_ + one.at,
+      {.from = loop_time(one.at),
        .to = loop_.now(),
-       .until = from_ + one.until,
+       .until = loop_time(one.until),
        .id = one.id,
        .first = one.first,
        .number = one.number,
@@ -146,7 +146,7 @@
                                             (day_.reports_most - day_.reports_least).count() / 1e6),
                [this, proxy = one.proxy, node] { report(proxy, node); });
   }
-  load_.ended(one.id, end, pause ? seconds(*pause / 1e3) : Span{}, now());
+  load_.ended(one.id, end, pause ? seconds(*pause / 1e3) : Duration{}, now());
   pull();
 }
 
--- a/src/day/clients.h
+++ b/src/day/clients.h
@@ -7,6 +7,7 @@
 #include "day/notation.h"
 #include "http/caller.h"
 #include "record/record.h"
+#include "time/time_types.h"
 
 namespace robinhoist::day {
 
@@ -18,7 +19,7 @@
  public:
   Clients(net::Loop& loop, const Day& day, unsigned salt, const std::vector<ProxyPorts>& proxies,
           record::Writer& record);
-  void begin(Span from);
+  void begin(TimePoint from);
   bool over() const { return load_.over(); }
   std::size_t open() const { return load_.open(); }
   void proxy(int number, bool up);
@@ -31,7 +32,9 @@
   void ended(const load::Try& one, http::Ended how, const http::Response& response);
   void begin_trouble(const Trouble& trouble);
   void report(int proxy, const std::string& node);
-  Span now() const { return loop_.now() - from_; }
+  TimePoint now() const { return TimePoint(loop_.now() - from_); }
+  /// A point in time of the load as one of the loop.
+  TimePoint loop_time(TimePoint day_time) const { return from_ + day_time.time_since_epoch(); }
 
   net::Loop& loop_;
   const Day& day_;
@@ -41,7 +44,7 @@
   std::vector<std::unique_ptr<http::Caller>> fronts_{}, admins_{};
   std::map<std::int64_t, std::pair<int, http::Caller::Id>> calls_{};
   net::Loop::Timer timer_ = net::Loop::no_timer;
-  Span from_{};
+  TimePoint from_{};
   bool begun_ = false;
 };
 
--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -35,13 +35,13 @@
 };
 
 // (key LEAST MOST) or (key BOTH).
-std::pair<Span, Span> range(Form& form, const char* key, Span absent) {
+std::pair<Duration, Duration> range(Form& form, const char* key, Duration absent) {
   auto inner = form.maybe(key);
   if (!inner) return {absent, absent};
-  std::vector<Span> read;
+  std::vector<Duration> read;
   for (std::size_t i = 0; i < inner->own_words(); ++i) {
     auto one = settings::span_of(inner->own_word(i, ""));
-    if (!one || *one < Span{}) inner->problem(inner->own_word(i, "") + " is not a span such as 250ms");
+    if (!one || *one < Duration{}) inner->problem(inner->own_word(i, "") + " is not a span such as 250ms");
     else read.push_back(*one);
   }
   inner->finish();
--- a/src/day/notation.h
+++ b/src/day/notation.h
@@ -7,11 +7,10 @@
 #include "deployment/deployment.h"
 #include "load/load.h"
 #include "machine/machine.h"
+#include "time/time_types.h"
 
 namespace robinhoist::day {
 
-using Span = std::chrono::microseconds;
-
 enum class Kind {
   crash,
   vanish,
@@ -37,13 +36,13 @@
 
 struct Trouble {
   Kind kind;
-  Span at{}, lasts{};
+  Duration at{}, lasts{};
   double part = 0, size = 0, extra = 0;  // what they mean follows from the kind
   std::string how{}, zone{}, tenant{};
 };
 
 struct Offer {
-  Span at{};
+  Duration at{};
   machine::Build build{};
   std::string needs{};               // a query that says whether its tables are ready; empty: it needs none
   std::string plan{};                // its steps, as text
@@ -53,18 +52,18 @@
 struct Day {
   deployment::Deployment deployment{};
   std::string deployment_text{};  // where it came from, for the umpires' own files
-  Span length{};
+  Duration length{};
   int places = 1, cell_size = 4;
   machine::Build first{};
   machine::Capacity capacity{};
   double speed_spread = 0;
-  Span boot_least{}, boot_most{};
+  Duration boot_least{}, boot_most{};
   machine::Cancelled cancelled = machine::Cancelled::nothing;
-  Span list_least{}, list_most{}, silent_after{};  // how late the list is told, and of a silent node
-  Span news_least{}, news_most{};
-  Span reports_least{}, reports_most{};
+  Duration list_least{}, list_most{}, silent_after{};  // how late the list is told, and of a silent node
+  Duration news_least{}, news_most{};
+  Duration reports_least{}, reports_most{};
   double false_reports = 0;
-  Span answer_slack{};
+  Duration answer_slack{};
   bool database = false;
   std::string database_setup{};
   double batch_slows = 1;  // all nodes, by so many times while the database runs a batch
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -78,8 +78,8 @@
   }
   void term() { ::kill(pid_, SIGTERM); }
   // The exit status; -1 when it did not end in time and had to be killed.
-  int wait(Span most) {
-    for (Span waited{}; waited < most; waited += 10ms) {
+  int wait(Duration most) {
+    for (Duration waited{}; waited < most; waited += 10ms) {
       int status = 0;
       if (::waitpid(pid_, &status, WNOHANG) == pid_) {
         pid_ = 0;
@@ -104,7 +104,7 @@
 
 // A loop with its thread; ends with the object.
 struct Running {
-  explicit Running(Span epoch) : loop(epoch) {}
+  explicit Running(SteadyTime epoch) : loop(epoch) {}
   ~Running() { stop(); }
   void start() {
     thread = std::thread([this] { loop.run(); });
@@ -128,7 +128,7 @@
     files.rlim_cur = files.rlim_max;
     setrlimit(RLIMIT_NOFILE, &files);
   }
-  const Span epoch = net::steady_now();
+  const SteadyTime epoch = net::steady_now();
   log::Log log("day", "info", dir + "/day.log");
   record::write(dir + "/meta.json", meta_of(day, seed));
   record::Writer nodes(dir + "/nodes.jsonl"), told(dir + "/told.jsonl"),
@@ -175,7 +175,7 @@
     processes.push_back(std::make_unique<Process>(program, config, dir + "/" + name + ".log"));
   }
   auto life = [&](int u, const char* what) {
-    record::proxy_life(lives, net::steady_now() - epoch, "umpire-" + std::to_string(u), what);
+    record::proxy_life(lives, TimePoint(net::steady_now() - epoch), "umpire-" + std::to_string(u), what);
   };
   for (int u = 0; u < proxies; ++u) {
     life(u, "start");
@@ -198,11 +198,11 @@
 
   // What befalls umpires happens here, in the order of time.
   struct Event {
-    Span at;
+    TimePoint at;
     int proxy;
     bool up;
   };
-  const Span from = net::steady_now() - epoch + 50ms;
+  const TimePoint from = TimePoint(net::steady_now() - epoch) + 50ms;
   std::vector<Event> events;
   std::minstd_rand random(static_cast<unsigned>(seed + 5));
   for (const Trouble& trouble : day.troubles) {
@@ -215,9 +215,9 @@
     const int batch = roll ? std::max(1, static_cast<int>(trouble.size * proxies)) : proxies;
     const int batches = (static_cast<int>(order.size()) + batch - 1) / batch;
     for (std::size_t i = 0; i < order.size(); ++i) {
-      const Span begins =
-          from + trouble.at + (roll ? trouble.lasts * (static_cast<int>(i) / batch) / batches : Span{});
-      const Span down = roll ? Span(static_cast<long>(trouble.extra * 1e6)) : trouble.lasts;
+      const TimePoint begins =
+          from + trouble.at + (roll ? trouble.lasts * (static_cast<int>(i) / batch) / batches : Duration{});
+      const Duration down = roll ? Duration(static_cast<long>(trouble.extra * 1e6)) : trouble.lasts;
       events.push_back({begins, order[i], false});
       events.push_back({begins + down, order[i], true});
     }
@@ -226,7 +226,7 @@
   world_runs.loop.call([&] { world.begin(from); });
   clients_run.loop.call([&] { clients.begin(from); });
   Played played;
-  const auto now = [&] { return net::steady_now() - epoch; };
+  const auto now = [&] { return TimePoint(net::steady_now() - epoch); };
   std::size_t next = 0;
   std::vector<bool> up(proxies, true);
   for (bool over = false; !over; std::this_thread::sleep_for(2ms)) {
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -10,7 +10,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-Span seconds(double s) { return Span(static_cast<std::int64_t>(s * 1e6)); }
+Duration seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
 
 int number_of(const std::string& proxy) {
   const std::size_t dash = proxy.rfind('-');
@@ -88,7 +88,7 @@
 
 World::~World() = default;
 
-Span World::drawn(Span least, Span most) { return least + seconds(uniform_sample() * (most - least).count() / 1e6); }
+Duration World::drawn(Duration least, Duration most) { return least + seconds(uniform_sample() * (most - least).count() / 1e6); }
 
 bool World::all_up() const {
   return static_cast<int>(places_.size()) >= day_.places &&
@@ -190,7 +190,7 @@
 }
 
 void World::begin_trouble(const Trouble& trouble) {
-  const Span end = loop_.now() + trouble.lasts;
+  const TimePoint end = loop_.now() + trouble.lasts;
   // Acts on some nodes now, and undoes it at the end.
   auto on_nodes = [&](auto act, auto undo) {
     auto chosen = pick(trouble.part);
@@ -222,7 +222,7 @@
       break;
     case Kind::neighbour: {
       auto chosen = pick(trouble.part);
-      const Span every = std::max<Span>(10ms, seconds(trouble.extra));
+      const Duration every = std::max<Duration>(10ms, seconds(trouble.extra));
       for (int k = 0; every * k < trouble.lasts; ++k)
         loop_.in(every * k, [this, chosen, size, k] {
           each(chosen, [&](const std::string& n) { nodes_->neighbour(n, k % 2 == 0 ? size : 0); });
@@ -264,7 +264,7 @@
       loop_.at(end, [this] { start_controller(); });
       break;
     case Kind::watch_breaks:
-      for (Span at = seconds(std::max(0.02, size)); at < trouble.lasts; at += seconds(std::max(0.02, size)))
+      for (Duration at = seconds(std::max(0.02, size)); at < trouble.lasts; at += seconds(std::max(0.02, size)))
         loop_.in(at, [this] {
           if (controller_) controller_->break_connections();
         });
@@ -287,7 +287,7 @@
   log_.info("trouble", {{"is", to_string(trouble.kind)}});
 }
 
-void World::begin(Span from) {
+void World::begin(TimePoint from) {
   from_ = from;
   list_->told_after(drawn(day_.list_least, day_.list_most));
   controller_->told_after(drawn(day_.news_least, day_.news_most));
--- a/src/day/world.h
+++ b/src/day/world.h
@@ -11,6 +11,7 @@
 #include "record/record.h"
 #include "standin/database.h"
 #include "standin/nodes.h"
+#include "time/time_types.h"
 
 namespace robinhoist::day {
 
@@ -24,7 +25,7 @@
   int list_port() const { return list_->port(); }
   int controller_port() const { return controller_port_; }
   // Plans what falls due in the day; `from` is when the day starts.
-  void begin(Span from);
+  void begin(TimePoint from);
   bool all_up() const;
   const standin::Nodes& nodes() const { return *nodes_; }
 
@@ -43,7 +44,7 @@
   void begin_trouble(const Trouble& trouble);
   void each(const std::vector<int>& machines, const std::function<void(const std::string&)>& act);
   double uniform_sample() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  Span drawn(Span least, Span most);
+  Duration drawn(Duration least, Duration most);
   void told_list(const std::string& proxy, const registry::Update& news);
   void told_news(const std::string& proxy, const objects::Snapshot& what);
   void watch_changes();
@@ -66,12 +67,12 @@
   std::map<int, Place> places_{};
   std::map<int, double> speeds_{};  // by place
   std::size_t changes_ = 0;
-  std::deque<Span> busy_{};  // of the database, the last few readings
+  std::deque<Duration> busy_{};  // of the database, the last few readings
   std::map<std::string, int> newest_told_{};  // build, by umpire
   std::string cut_zone_{}, slow_zone_{};
-  Span link_by_{};
+  Duration link_by_{};
   double link_lost_ = 0;
-  Span from_{};
+  TimePoint from_{};
 };
 
 // The umpire's zone follows from its number.
--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -25,7 +25,7 @@
   request_class.dedup_window = form.span("memory", 0ms, 24h, 0ms);
   request_class.stream = false;
   if (request_class.deadline < request_class.latency_objective) form.problem("expiry", "is shorter than the SLA time");
-  if (request_class.idempotency == Idempotency::idempotent_with_key && request_class.dedup_window == Span{})
+  if (request_class.idempotency == Idempotency::idempotent_with_key && request_class.dedup_window == Duration{})
     form.problem("memory is missing: a referenced product needs the time for which nodes drop its repeats");
   if (request_class.idempotency != Idempotency::idempotent_with_key && form.has("memory"))
     form.problem("memory", "has a meaning for a referenced product only");
@@ -78,7 +78,7 @@
       "gate", {{"first-vote", PromotionMode::first_vote}, {"count", PromotionMode::count}, {"clock", PromotionMode::clock}});
   rollout.bake = form.span("bake", 0ms, 24h);
   rollout.step = form.span("step", 0ms, 24h, 0ms);
-  if (rollout.promotion_mode == PromotionMode::clock && rollout.step == Span{})
+  if (rollout.promotion_mode == PromotionMode::clock && rollout.step == Duration{})
     form.problem("step is missing: the clock needs it");
   rollout.settle = form.span("settle", 0ms, 1h, 1s);
   rollout.launch_most = form.span("launch-within", 1ms, 24h, 8s);
@@ -196,7 +196,7 @@
           votes(d.rollout.votes_to_roll_back)};
 }
 
-RequestSettings request_settings(const Deployment& d, Span tick) {
+RequestSettings request_settings(const Deployment& d, Duration tick) {
   RequestSettings to{};
   for (auto& request_class : d.request_classes) to.request_classes.push_back(request_class.request_class);
   for (auto& tenant : d.tenants) to.tenants.push_back(tenant.tenant);
@@ -206,7 +206,7 @@
   to.cancelling = true;
   to.advice = d.advice;
   to.max_pause = d.max_pause;
-  to.slack = Span{};
+  to.slack = Duration{};
   to.tick = tick;
   to.over_quota_weight = d.over_quota_weight;
   return to;
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -7,6 +7,7 @@
 #include "rollout/rollout.h"
 #include "settings/form.h"
 #include "state.h"
+#include "time/time_types.h"
 
 namespace robinhoist::deployment {
 
@@ -33,14 +34,14 @@
   std::vector<std::string> zones{};
   int proxies = 1;
   // Figures of the rules.
-  Span drain_grace{}, cold_for{}, fall_window{}, window{};
+  Duration drain_grace{}, cold_for{}, fall_window{}, window{};
   double cold_from = 0, fall_multiple = 0, free = 0;
   bool by_request_class = false, one_way = false;
   int safe_only_stages = 0;
   // What is allowed.
   int max_attempts = 0;
   bool hedging = false, sized = false, advice = false;
-  Span max_pause{}, vote_timeout{};
+  Duration max_pause{}, vote_timeout{};
   double wrong_answer_report_share = 0, over_quota_weight = 0;
   Reports reports = Reports::none;
   rollout::Settings rollout{};
@@ -59,6 +60,6 @@
 EndpointSettings endpoint_settings(const Deployment& deployment, int zone, int number);
 CanaryQuotaSettings canary_quota_settings(const Deployment& deployment);
 AnalysisSettings analysis_settings(const Deployment& deployment);
-RequestSettings request_settings(const Deployment& deployment, Span tick);
+RequestSettings request_settings(const Deployment& deployment, Duration tick);
 
 }  // namespace robinhoist::deployment
--- a/src/emulator/engine.h
+++ b/src/emulator/engine.h
@@ -11,9 +11,9 @@
 #include <utility>
 #include <vector>
 
-namespace robinhoist::emulator {
+#include "time/time_types.h"
 
-using Span = std::chrono::microseconds;
+namespace robinhoist::emulator {
 
 class Engine {
  public:
@@ -29,13 +29,13 @@
   Engine(const Engine&) = delete;
   Engine& operator=(const Engine&) = delete;
 
-  Span now() const { return now_; }
+  TimePoint now() const { return now_; }
   std::uint64_t events() const { return events_; }
   std::size_t planned() const { return heap_.size(); }
 
   // A time that has passed is now.
   template <class Task>
-  Id at(Span when, Task task) {
+  Id at(TimePoint when, Task task) {
     // Guards against captures that would need memory of their own for each event.
     static_assert(sizeof(Task) <= room && alignof(Task) <= alignof(std::max_align_t));
     std::uint32_t index;
@@ -55,7 +55,7 @@
     return {index, slot.use};
   }
   template <class Task>
-  Id in(Span wait, Task task) {
+  Id in(Duration wait, Task task) {
     return at(now_ + wait, std::move(task));
   }
 
@@ -65,7 +65,7 @@
   }
 
   // Runs the next task that is due by `until`; false when there is none.
-  bool step(Span until) {
+  bool step(TimePoint until) {
     while (!heap_.empty()) {
       const Entry next = heap_.front();
       if (next.at > until) return false;
@@ -84,7 +84,7 @@
     }
     return false;
   }
-  void run(Span until) {
+  void run(TimePoint until) {
     while (step(until)) {}
     now_ = std::max(now_, until);
   }
@@ -99,7 +99,7 @@
     std::uint32_t use = 0;
   };
   struct Entry {
-    Span at;
+    TimePoint at;
     std::uint64_t order;
     std::uint32_t slot, use;
   };
@@ -113,7 +113,7 @@
     free_.push_back(index);
   }
 
-  Span now_{};
+  TimePoint now_{};
   std::uint64_t next_ = 0, events_ = 0;
   std::uint32_t running_ = none;
   std::vector<Entry> heap_{};
--- a/src/emulator/fleet.cpp
+++ b/src/emulator/fleet.cpp
@@ -6,21 +6,21 @@
 
 namespace robinhoist::emulator {
 namespace {
-constexpr Span lately_most = std::chrono::seconds(1);
+constexpr Duration lately_most = std::chrono::seconds(1);
 // Wall clock of the record: any time will do that is not 'long ago'.
 constexpr std::int64_t wall_us = 1'700'000'000'000'000;
 }  // namespace
 
-Fleet::Fleet(Engine& engine, const deployment::Deployment& deployment, Span memory,
+Fleet::Fleet(Engine& engine, const deployment::Deployment& deployment, Duration memory,
              machine::Cancelled cancelled, unsigned salt, record::Writer* record)
     : engine_(engine), deployment_(deployment), cancelled_(cancelled), random_(salt), record_(record),
       marks_(memory) {}
 
 int Fleet::start(const ServerSpec& spec) {
-  const Span started = spec.cold ? engine_.now() : long_ago;
+  const TimePoint started = spec.cold ? engine_.now() : long_ago;
   servers_.push_back(std::make_unique<Server>(spec, static_cast<unsigned>(random_()), started, &marks_, &harm_));
   Server& server = *servers_.back();
-  if (spec.cold) server.started = engine_.now() + Span(wall_us);
+  if (spec.cold) server.started = WallTime(engine_.now().time_since_epoch() + Duration(wall_us));
   if (record_)
     record::node_started(*record_, engine_.now(),
                          {spec.name, deployment_.zones[spec.zone], spec.cell, spec.build.number, server.started,
@@ -63,7 +63,7 @@
   const std::int64_t id = next_work_++;
   const auto swallow = [&](const char* why) {
     note(server, why, sent, id);
-    server.open[id] = {sent.id, -1, Span{}};
+    server.open[id] = {sent.id, -1, Duration{}};
     server.work_of[sent.id] = id;
   };
   if (server.silent) return swallow("silent");
@@ -95,7 +95,7 @@
     return answered(sent.id, {.is = Answer::Is::full});
   }
   note(server, "taken", sent, id);
-  server.open[id] = {sent.id, sent.request_class, there.by + (sent.first ? server.handshake : Span{})};
+  server.open[id] = {sent.id, sent.request_class, there.by + (sent.first ? server.handshake : Duration{})};
   server.work_of[sent.id] = id;
   plan(index);
 }
@@ -133,7 +133,7 @@
     server.open.erase(at);
     const Answer answer{done->how == machine::Ran::failed ? Answer::Is::failed : Answer::Is::well,
                         done->how != machine::Ran::wrong, server.machine.busy(), server.machine.held()};
-    if (open.by == Span{}) {
+    if (open.by == Duration{}) {
       server.work_of.erase(open.id);
       answered(open.id, answer);
     } else {
@@ -146,7 +146,7 @@
   plan(index);
 }
 
-double Fleet::share_of_traffic(int build, Span window) {
+double Fleet::share_of_traffic(int build, Duration window) {
   while (!lately_.empty() && lately_.front().first < engine_.now() - window) lately_.pop_front();
   const auto its =
       std::count_if(lately_.begin(), lately_.end(), [&](auto& one) { return one.second == build; });
--- a/src/emulator/fleet.h
+++ b/src/emulator/fleet.h
@@ -12,6 +12,7 @@
 #include "emulator/engine.h"
 #include "machine/machine.h"
 #include "record/record.h"
+#include "time/time_types.h"
 
 namespace robinhoist::emulator {
 
@@ -21,7 +22,7 @@
   int proxy = 0, request_class = 0, attempt = 0;
   long request_id = 0;
   std::int64_t try_id = 0;
-  Span work{};
+  Duration work{};
   std::string key{};
   bool poison = false, first = false;  // first: on its connection
 };
@@ -44,14 +45,14 @@
 class Fleet {
  public:
   using Answered = std::function<void(std::uint64_t attempt, const Answer& answer)>;
-  Fleet(Engine& engine, const deployment::Deployment& deployment, Span memory, machine::Cancelled cancelled,
+  Fleet(Engine& engine, const deployment::Deployment& deployment, Duration memory, machine::Cancelled cancelled,
         unsigned salt, record::Writer* record);
 
   int start(const ServerSpec& spec);  // its index, never used again
   void kill(int server);
   bool runs(int server) const { return servers_[server]->runs; }
   const ServerSpec& spec(int server) const { return servers_[server]->spec; }
-  Span started(int server) const { return servers_[server]->started; }  // 0: long ago
+  WallTime started(int server) const { return servers_[server]->started; }  // 0: long ago
   // Arrives there now. The answer leaves through `answered`, the way back not included; a box that is gone is
   // a matter for whoever connects.
   void arrive(int server, const Sent& sent);
@@ -66,15 +67,15 @@
   void fail(int server, double share) { servers_[server]->machine.failing(share); }
   void neighbour(int server, double share) { servers_[server]->machine.neighbour(share); }
   void squeeze(int server, int most) { servers_[server]->most = most; }
-  void slow_handshake(int server, Span by) { servers_[server]->handshake = by; }
+  void slow_handshake(int server, Duration by) { servers_[server]->handshake = by; }
   void harm_all(double factor) { harm_.factor = factor; }
-  double share_of_traffic(int build, Span window);
+  double share_of_traffic(int build, Duration window);
   int size() const { return static_cast<int>(servers_.size()); }
 
   // The way between an umpire and a zone.
   struct Way {
     bool cut = false;
-    Span by{};
+    Duration by{};
     double lost = 0;
   };
   std::function<Way(int proxy, int zone)> way{};
@@ -86,20 +87,20 @@
   struct Open {
     std::uint64_t id;
     int request_class;
-    Span by;
+    Duration by;
   };
   struct Server {
-    Server(const ServerSpec& given, unsigned salt, Span started, machine::Marks* marks,
+    Server(const ServerSpec& given, unsigned salt, TimePoint started, machine::Marks* marks,
         const machine::SharedHarm* harm)
         : spec(given), machine(given.capacity, given.build, salt, started, marks, harm) {}
     ServerSpec spec;
     machine::Machine machine;
-    Span started{};
+    WallTime started{};
     std::unordered_map<std::int64_t, Open> open{};              // by work
     std::unordered_map<std::uint64_t, std::int64_t> work_of{};  // by submission
     Engine::Id timer{};
     int connections = 0, most = 0;
-    Span handshake{};
+    Duration handshake{};
     bool runs = true, silent = false;
   };
   void note(const Server& server, const char* what, const Sent& sent, std::int64_t id);
@@ -114,7 +115,7 @@
   machine::Marks marks_;
   machine::SharedHarm harm_{};
   std::vector<std::unique_ptr<Server>> servers_{};
-  std::deque<std::pair<Span, int>> lately_{};
+  std::deque<std::pair<TimePoint, int>> lately_{};
   std::int64_t next_work_ = 1;
 };
 
--- a/src/emulator/network.h
+++ b/src/emulator/network.h
@@ -4,21 +4,22 @@
 #include <random>
 
 #include "emulator/engine.h"
+#include "time/time_types.h"
 
 namespace robinhoist::emulator {
 
 struct NetworkSettings {
-  Span delay = std::chrono::microseconds(60);  // one way, as over loopback
+  Duration delay = std::chrono::microseconds(60);  // one way, as over loopback
   double jitter = 0.3;                         // of the delay, up and down
 };
 
 class Network {
  public:
   Network(const NetworkSettings& settings, unsigned salt) : settings_(settings), random_(salt) {}
-  Span way() {
+  Duration way() {
     const double factor =
         1 + settings_.jitter * (2 * std::uniform_real_distribution<double>(0, 1)(random_) - 1);
-    return Span(static_cast<std::int64_t>(static_cast<double>(settings_.delay.count()) * factor));
+    return Duration(static_cast<std::int64_t>(static_cast<double>(settings_.delay.count()) * factor));
   }
 
  private:
--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -13,19 +13,19 @@
   Module(unsigned salt, const EndpointSettings& endpoints, const CanaryQuotaSettings& canary_quota, const AnalysisSettings& analysis,
          const RequestSettings& requests)
       : policy_(salt, endpoints, canary_quota, analysis, requests) {}
-  void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, Span now) override {
+  void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, TimePoint now) override {
     policy_.endpoints_updated(kind, entries, now);
   }
-  void request_arrived(const RequestInfo& request, Span now) override { policy_.request_arrived(request, now); }
+  void request_arrived(const RequestInfo& request, TimePoint now) override { policy_.request_arrived(request, now); }
   void attempt_ended(int request, int attempt, Outcome outcome, bool succeeded, const Load& load,
-                        Span now) override {
+                        TimePoint now) override {
     policy_.attempt_ended(request, attempt, outcome, succeeded, load, now);
   }
   void client_disconnected(int request) override { policy_.client_disconnected(request); }
-  void release_updated(const ReleaseUpdate& release, Span now) override { policy_.release_updated(release, now); }
-  void vote_answered(Outcome outcome, Span now) override { policy_.vote_answered(outcome, now); }
+  void release_updated(const ReleaseUpdate& release, TimePoint now) override { policy_.release_updated(release, now); }
+  void vote_answered(Outcome outcome, TimePoint now) override { policy_.vote_answered(outcome, now); }
   void answer_found_wrong(int endpoint) override { policy_.answer_found_wrong(endpoint); }
-  std::optional<Decision> next(Span now) override { return policy_.next(now); }
+  std::optional<Decision> next(TimePoint now) override { return policy_.next(now); }
   bool knows(int request) const override { return policy_.knows(request); }
 
  private:
@@ -39,7 +39,7 @@
  public:
   Baseline(const PolicySpec& spec, unsigned salt) : spec_(spec), random_(salt) {}
 
-  void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, Span) override {
+  void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, TimePoint) override {
     if (kind == EndpointUpdateKind::failed) return;
     if (kind != EndpointUpdateKind::incremental) endpoints_.clear();
     for (const EndpointInfo& one : entries) {
@@ -47,11 +47,11 @@
       else endpoints_.erase(one.endpoint);
     }
   }
-  void request_arrived(const RequestInfo& request, Span) override {
+  void request_arrived(const RequestInfo& request, TimePoint) override {
     requests_[request.request_id] = {.asked = request};
     ready_.push_back(request.request_id);
   }
-  void attempt_ended(int request, int, Outcome outcome, bool succeeded, const Load&, Span now) override {
+  void attempt_ended(int request, int, Outcome outcome, bool succeeded, const Load&, TimePoint now) override {
     auto at = requests_.find(request);
     if (at == requests_.end()) return;
     --out_[at->second.endpoint];
@@ -66,18 +66,18 @@
     if (at->second.endpoint < 0) requests_.erase(at);
     else at->second.left = true;
   }
-  void release_updated(const ReleaseUpdate& release, Span) override {
+  void release_updated(const ReleaseUpdate& release, TimePoint) override {
     if (!release_ || release_->build != release.build) {
       trial_.clear();
       voted_ = false;
     }
     release_ = release;
   }
-  void vote_answered(Outcome outcome, Span) override { voted_ = voted_ && outcome == Outcome::ok; }
+  void vote_answered(Outcome outcome, TimePoint) override { voted_ = voted_ && outcome == Outcome::ok; }
   void answer_found_wrong(int) override {}
   bool knows(int request) const override { return requests_.count(request) > 0; }
 
-  std::optional<Decision> next(Span now) override {
+  std::optional<Decision> next(TimePoint now) override {
     while (!ready_.empty()) {
       const int id = ready_.front();
       ready_.pop_front();
@@ -108,7 +108,7 @@
     int endpoint = -1, build = -1;
     bool left = false;
   };
-  static constexpr Span window = 5s;
+  static constexpr Duration window = 5s;
   static constexpr std::size_t enough = 20;
   static constexpr double failed_most = 0.1;
 
@@ -131,7 +131,7 @@
     return *std::min_element(among.begin(), among.end(), [&](int a, int b) { return out_[a] < out_[b]; });
   }
 
-  std::optional<Decision> vote(Span now) {
+  std::optional<Decision> vote(TimePoint now) {
     if (!release_ || release_->phase != ReleasePhase::canary || voted_ || spec_.votes == Votes::never) return {};
     while (!trial_.empty() && trial_.front().first < now - window) trial_.pop_front();
     const auto failed = std::count_if(trial_.begin(), trial_.end(), [](auto& one) { return one.second; });
@@ -150,7 +150,7 @@
   std::map<int, int> out_{};
   std::unordered_map<int, Held> requests_{};
   std::deque<int> ready_{}, ended_{};
-  std::deque<std::pair<Span, bool>> trial_{};
+  std::deque<std::pair<TimePoint, bool>> trial_{};
   std::optional<ReleaseUpdate> release_{};
   std::size_t turn_ = 0;
   bool voted_ = false;
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -5,21 +5,22 @@
 #include <string>
 
 #include "logic.h"
+#include "time/time_types.h"
 
 namespace robinhoist::emulator {
 
 class Policy {
  public:
   virtual ~Policy() = default;
-  virtual void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, Span now) = 0;
-  virtual void request_arrived(const RequestInfo& request, Span now) = 0;
+  virtual void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, TimePoint now) = 0;
+  virtual void request_arrived(const RequestInfo& request, TimePoint now) = 0;
   virtual void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded, const Load& load,
-                                Span now) = 0;
+                                TimePoint now) = 0;
   virtual void client_disconnected(int request_id) = 0;
-  virtual void release_updated(const ReleaseUpdate& release, Span now) = 0;
-  virtual void vote_answered(Outcome outcome, Span now) = 0;
+  virtual void release_updated(const ReleaseUpdate& release, TimePoint now) = 0;
+  virtual void vote_answered(Outcome outcome, TimePoint now) = 0;
   virtual void answer_found_wrong(int endpoint) = 0;
-  virtual std::optional<Decision> next(Span now) = 0;
+  virtual std::optional<Decision> next(TimePoint now) = 0;
   virtual bool knows(int request_id) const = 0;
 };
 
--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -14,13 +14,13 @@
 using day::Kind;
 using day::Trouble;
 
-constexpr Span settles_in = 2s;  // from the start of the processes to the day's own start
-constexpr Span gather = 2ms;     // as the list service gathers changes
-constexpr Span beat_every = 1s, lease = 3s, memory = std::chrono::minutes(10);
-constexpr Span front_refused = 1ms;  // a client learns so that nobody listens
-constexpr Span over_most = 30s;      // after the day's end
+constexpr Duration settles_in = 2s;  // from the start of the processes to the day's own start
+constexpr Duration gather = 2ms;     // as the list service gathers changes
+constexpr Duration beat_every = 1s, lease = 3s, memory = std::chrono::minutes(10);
+constexpr Duration front_refused = 1ms;  // a client learns so that nobody listens
+constexpr Duration over_most = 30s;      // after the day's end
 
-Span seconds(double s) { return Span(static_cast<std::int64_t>(s * 1e6)); }
+Duration seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
 
 std::string name_of(int proxy) { return "umpire-" + std::to_string(proxy); }
 
@@ -89,10 +89,12 @@
     engine_.in(trouble.lasts, [kept, each, undo]() mutable { each(*kept, undo); });
   }
   double uniform_sample() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  Span drawn(Span least, Span most) {
+  Duration drawn(Duration least, Duration most) {
     return least + seconds(uniform_sample() * static_cast<double>((most - least).count()) / 1e6);
   }
-  Span day_now() const { return engine_.now() - from_; }
+  TimePoint day_now() const { return TimePoint(engine_.now() - from_); }
+  /// A point in time of the load as one of the engine.
+  TimePoint engine_time(TimePoint day_time) const { return from_ + day_time.time_since_epoch(); }
 
   const day::Day& day_;
   std::unique_ptr<record::Writer> nodes_, told_, clients_, lives_;
@@ -109,15 +111,17 @@
   // The list.
   std::map<std::string, registry::Endpoint> listed_{};
   std::map<std::string, registry::Endpoint> changed_{};  // since the last telling
-  Span list_lag_{}, list_due_{};
+  Duration list_lag_{};
+  TimePoint list_due_{};
   bool telling_ = false;
   // The controller.
   std::unique_ptr<rollout::Rollout> core_{};
   rollout::Kept kept_{};
   membership::Members members_;
   ReleaseUpdate published_{};
-  Span published_at_{};
-  Span news_lag_{}, news_due_{};
+  TimePoint published_at_{};
+  Duration news_lag_{};
+  TimePoint news_due_{};
   int seen_version_ = 0;
   std::size_t seen_changes_ = 0;
   bool silent_ = false, errors_ = false;
@@ -127,9 +131,9 @@
   std::unordered_map<std::int64_t, Open> open_{};
   Engine::Id load_timer_{};
   std::string cut_zone_{}, slow_zone_{};
-  Span link_by_{};
+  Duration link_by_{};
   double link_lost_ = 0;
-  Span from_{};
+  TimePoint from_{};
   Summary summary_{};
 };
 
@@ -145,13 +149,13 @@
       fleet_(
           engine_, day.deployment,
           [&] {
-            Span most{};
+            Duration most{};
             for (auto& request_class : day.deployment.request_classes) most = std::max(most, request_class.request_class.dedup_window);
             return most;
           }(),
           day.cancelled, static_cast<unsigned>(seed * 2 + 2), nodes_.get()),
       load_(day.load, static_cast<unsigned>(seed * 2 + 101)),
-      members_({day.deployment.proxies, lease, memory}), from_(settles_in) {
+      members_({day.deployment.proxies, lease, memory}), from_(TimePoint(settles_in)) {
   const auto& d = day.deployment;
   fleet_.answered = [this](std::uint64_t id, const Answer& answer) {
     const int u = static_cast<int>(id >> 40);
@@ -370,7 +374,7 @@
 
 void Run::pull_controller() {
   if (!core_ || silent_ || errors_) return;
-  const Span now = engine_.now();
+  const TimePoint now = engine_.now();
   core_->proxies(members_.to_go_on(), members_.to_go_back());
   while (auto one = core_->next(now)) {
     order(*one);
@@ -418,7 +422,7 @@
 void Run::vote(int u, int build, int stage, Verdict verdict) {
   ++summary_.votes;
   const int life = proxies_[u]->life();
-  const auto back = [this, u, life](Span after, Outcome outcome) {
+  const auto back = [this, u, life](Duration after, Outcome outcome) {
     engine_.in(after, [this, u, life, outcome] {
       if (proxies_[u]->life() == life) proxies_[u]->vote_answered(outcome);
     });
@@ -463,7 +467,7 @@
 void Run::pull_load() {
   engine_.cancel(load_timer_);
   while (auto one = load_.next(day_now())) send(*one);
-  if (auto at = load_.next_at()) load_timer_ = engine_.at(from_ + *at, [this] { pull_load(); });
+  if (auto at = load_.next_at()) load_timer_ = engine_.at(engine_time(*at), [this] { pull_load(); });
 }
 
 void Run::send(const load::Try& one) {
@@ -474,7 +478,7 @@
   }
   Open& open = open_[one.id];
   open.one = one;
-  const Span until = from_ + one.until;
+  const TimePoint until = engine_time(one.until);
   SimulatedProxy& proxy = *proxies_[one.proxy];
   open.life = proxy.life();
   if (!proxy.up()) {
@@ -491,8 +495,8 @@
     proxies_[gone.proxy]->left(id);
     ended(gone, load::End::timed_out, {.status = 0});
   });
-  if (one.leaves > Span{})
-    open.leaves = engine_.at(from_ + one.leaves, [this, id = one.id] {
+  if (one.leaves > TimePoint{})
+    open.leaves = engine_.at(engine_time(one.leaves), [this, id = one.id] {
       auto at = open_.find(id);
       if (at == open_.end()) return;
       const load::Try gone = at->second.one;
@@ -506,8 +510,8 @@
     SimulatedProxy& to = *proxies_[still.one.proxy];
     if (!to.up() || to.life() != still.life) return ended(still.one, load::End::broken, {.status = 0});
     load::Try taken = still.one;
-    taken.at += from_;
-    to.take(taken, from_ + still.one.until);
+    taken.at = engine_time(taken.at);
+    to.take(taken, engine_time(still.one.until));
   });
 }
 
@@ -525,7 +529,7 @@
   engine_.cancel(at->second.leaves);
   open_.erase(at);
   const auto& request_class = day_.deployment.request_classes[one.request_class].request_class;
-  const Span took = engine_.now() - from_ - one.at;
+  const Duration took = engine_.now() - engine_time(one.at);
   switch (end) {
     case load::End::succeeded:
       ++summary_.succeeded;
@@ -555,9 +559,9 @@
       break;
   }
   if (clients_)
-    record::tried(*clients_, {.from = from_ + one.at,
+    record::tried(*clients_, {.from = engine_time(one.at),
                               .to = engine_.now(),
-                              .until = from_ + one.until,
+                              .until = engine_time(one.until),
                               .id = one.id,
                               .first = one.first,
                               .number = one.number,
@@ -640,7 +644,7 @@
       break;
     case Kind::neighbour: {
       auto chosen = std::make_shared<std::vector<int>>(pick(trouble.part));
-      const Span every = std::max<Span>(10ms, seconds(trouble.extra));
+      const Duration every = std::max<Duration>(10ms, seconds(trouble.extra));
       const auto all = [this, chosen](double share) {
         for (int id : *chosen)
           if (auto at = places_.find(id); at != places_.end() && at->second.server >= 0)
@@ -723,8 +727,8 @@
       const int batch = roll ? std::max(1, static_cast<int>(size * proxies)) : proxies;
       const int batches = (static_cast<int>(chosen.size()) + batch - 1) / batch;
       for (std::size_t i = 0; i < chosen.size(); ++i) {
-        const Span begins = roll ? trouble.lasts * (static_cast<int>(i) / batch) / batches : Span{};
-        const Span gone = roll ? seconds(trouble.extra) : trouble.lasts;
+        const Duration begins = roll ? trouble.lasts * (static_cast<int>(i) / batch) / batches : Duration{};
+        const Duration gone = roll ? seconds(trouble.extra) : trouble.lasts;
         engine_.in(begins, [this, u = chosen[i]] { kill_proxy(u); });
         engine_.in(begins + gone, [this, u = chosen[i]] { start_proxy(u); });
       }
@@ -749,7 +753,7 @@
   for (const day::Offer& offer : day_.offers)
     engine_.at(from_ + offer.at, [this, &offer] { this->offer(offer); });
   pull_load();
-  const Span end = from_ + day_.length;
+  const TimePoint end = from_ + day_.length;
   engine_.run(end);
   while (!load_.over() && engine_.now() < end + over_most && engine_.step(end + over_most)) {}
   for (std::size_t u = 0; u < proxies_.size(); ++u) {
--- a/src/emulator/run.h
+++ b/src/emulator/run.h
@@ -10,6 +10,7 @@
 #include "emulator/simulated_proxy.h"
 #include "membership/members.h"
 #include "rollout/rollout.h"
+#include "time/time_types.h"
 
 namespace robinhoist::emulator {
 
@@ -20,7 +21,7 @@
   double priority_weight = 0, max_weight = 0;  // in time and right, of all that was asked
   std::vector<double> took_ms{};         // of settled tries, all
   struct Verdict {
-    Span at;
+    TimePoint at;
     int build, stage;
     std::string phase, why;
   };
--- a/src/emulator/simulated_proxy.cpp
+++ b/src/emulator/simulated_proxy.cpp
@@ -8,8 +8,8 @@
 namespace robinhoist::emulator {
 namespace {
 using namespace std::chrono_literals;
-constexpr Span tick = 1ms;  // as the router tells the module
-constexpr Span wall_base = Span(1'700'000'000'000'000);
+constexpr Duration tick = 1ms;  // as the router tells the module
+constexpr WallTime wall_base{Duration(1'700'000'000'000'000)};
 
 std::uint64_t order_of(const std::string& name) {
   // Any digest will do that is the same at every umpire.
@@ -57,13 +57,13 @@
   policy_.reset();
 }
 
-void SimulatedProxy::take(const load::Try& one, Span until) {
+void SimulatedProxy::take(const load::Try& one, TimePoint until) {
   const auto& request_class = deployment_.request_classes[one.request_class].request_class;
   RequestInfo request{};
   request.request_class = one.request_class;
   request.tenant = deployment_.tenants.empty() ? 0 : one.tenant;
   request.key = one.key;
-  const Span remaining = std::min(std::max(Span(1), until - one.at), request_class.deadline);
+  const Duration remaining = std::min(std::max(Duration(1), until - one.at), request_class.deadline);
   request.deadline = local() + remaining - settings_.reserve;
   request.request_id = last_request_id_ = last_request_id_ + 1;
   InFlightRequest in_flight;
@@ -120,8 +120,8 @@
     endpoint.build = entry.build;
     endpoint.phase = entry.phase;
     endpoint.size = entry.size;
-    if (entry.started != Span{}) endpoint.started = entry.started - wall_base - born_;
-    if (entry.started != Span{} && endpoint.started == Span{}) endpoint.started = Span(1);
+    if (entry.started != WallTime{}) endpoint.started = TimePoint(entry.started - wall_base - born_.time_since_epoch());
+    if (entry.started != WallTime{} && endpoint.started == TimePoint{}) endpoint.started = TimePoint(Duration(1));
     endpoint.order = order_of(entry.name);
     news.push_back(endpoint);
   }
@@ -136,7 +136,7 @@
   if (!heard_release_ && !listed_.empty()) {
     int lowest = listed_.begin()->second.build;
     for (auto& [name, entry] : listed_) lowest = std::min(lowest, entry.build);
-    policy_->release_updated(ReleaseUpdate{lowest, 0, ReleasePhase::released, 1, Span{}}, local());
+    policy_->release_updated(ReleaseUpdate{lowest, 0, ReleasePhase::released, 1, Duration{}}, local());
   }
   policy_->endpoints_updated(saved ? EndpointUpdateKind::cached : whole ? EndpointUpdateKind::complete : EndpointUpdateKind::incremental, news, local());
   pull();
@@ -203,7 +203,7 @@
       out.cancelled = true;
       engine_.cancel(out.timer);
       engine_.in(network_.way(), [this, server = out.server, id = out.id] { fleet_.gone(server, id); });
-      engine_.in(Span{}, [this, id = out.id, life = life_] {
+      engine_.in(Duration{}, [this, id = out.id, life = life_] {
         if (life == life_ && up()) ended(id, Outcome::cancelled, {});
       });
       break;
@@ -242,9 +242,9 @@
   const std::uint64_t id = ++next_attempt_id_;
   in_flight.attempts.push_back({id, upstream.server, decision.endpoint});
   attempt_of_[id] = {decision.request_id, index};
-  Span within = std::max(Span(1), in_flight.deadline - local());
-  if (decision.span > Span{}) within = std::min(within, decision.span);
-  const auto fails = [&](Span after, Outcome outcome) {
+  Duration within = std::max(Duration(1), in_flight.deadline - local());
+  if (decision.span > Duration{}) within = std::min(within, decision.span);
+  const auto fails = [&](Duration after, Outcome outcome) {
     engine_.in(after, [this, id, outcome, life = life_] {
       if (life == life_ && up()) ended(id, outcome, {});
     });
@@ -258,14 +258,14 @@
             .work = in_flight.one.work,
             .key = in_flight.one.key,
             .poison = in_flight.one.poison};
-  const Span there = network_.way();
+  const Duration there = network_.way();
   if (upstream.idle > 0) {
     --upstream.idle;
     ++upstream.busy;
   } else {
     if (upstream.busy >= settings_.connections_per_server) {
       in_flight.attempts[index].upstream = -1;
-      return fails(Span{}, Outcome::connect_failure);
+      return fails(Duration{}, Outcome::connect_failure);
     }
     // A new one: refused where nobody listens, closed at once where there are too many.
     if (!fleet_.runs(upstream.server)) {
--- a/src/emulator/simulated_proxy.h
+++ b/src/emulator/simulated_proxy.h
@@ -12,6 +12,7 @@
 #include "emulator/policy.h"
 #include "registry/registry.h"
 #include "load/load.h"
+#include "time/time_types.h"
 
 namespace robinhoist::emulator {
 
@@ -21,13 +22,13 @@
   const char* why = "";
   int server = -1;
   bool right = true;
-  Span stay_away{};
+  Duration stay_away{};
 };
 
 struct SimulatedProxySettings {
   int number = 0, zone = 0;
   unsigned salt = 1;
-  Span reserve = std::chrono::milliseconds(5);
+  Duration reserve = std::chrono::milliseconds(5);
   int connections_per_server = 256;
   PolicySpec policy{};
 };
@@ -49,7 +50,7 @@
   bool up() const { return policy_ != nullptr; }
   int life() const { return life_; }  // grows with each start: what is meant for an earlier one is lost
 
-  void take(const load::Try& one, Span until);
+  void take(const load::Try& one, TimePoint until);
   void left(std::int64_t try_id);
   void list(const std::vector<registry::Endpoint>& entries, bool whole, bool saved = false);
   void release(const ReleaseUpdate& release);  // since: its age now
@@ -72,7 +73,7 @@
   };
   struct InFlightRequest {
     load::Try one{};
-    Span deadline{}, until{};
+    TimePoint deadline{}, until{};
     std::vector<InFlightAttempt> attempts{};
     bool answered = false;
     Outcome last = Outcome::obsolete;
@@ -83,7 +84,7 @@
     int idle = 0;  // connections kept open
     int busy = 0;
   };
-  Span local() const { return engine_.now() - born_; }
+  TimePoint local() const { return TimePoint(engine_.now() - born_); }
   void pull();
   void carry_out(const Decision& decision);
   void forward(const Decision& decision);
@@ -99,7 +100,7 @@
   Network& network_;
   Ways ways_;
   std::unique_ptr<Policy> policy_{};
-  Span born_{};
+  TimePoint born_{};
   int life_ = 0;
   std::vector<Upstream> upstreams_{};
   std::map<std::string, int> upstream_of_{};
--- a/src/http/caller.cpp
+++ b/src/http/caller.cpp
@@ -25,7 +25,7 @@
     });
   }
 
-  void carry(Caller::Id id, Request request, net::Span within, Caller::Done done, Caller::Word word) {
+  void carry(Caller::Id id, Request request, Duration within, Caller::Done done, Caller::Word word) {
     id_ = id;
     done_ = std::move(done);
     request_ = std::move(request);
@@ -98,7 +98,7 @@
     if (idle_at_) budget_->idle_.erase(*idle_at_);
     idle_at_.reset();
   }
-  net::Span idle() const { return caller_->loop_.now() - idle_from_; }
+  Duration idle() const { return caller_->loop_.now() - idle_from_; }
   void reused() { reused_after_ = idle(); }
 
  private:
@@ -112,7 +112,7 @@
 
   void send() {
     written_ = true;
-    if (word_) word_(request_, std::max(net::Span(1), until_ - caller_->loop_.now()));
+    if (word_) word_(request_, std::max(Duration(1), until_ - caller_->loop_.now()));
     std::string out;
     put(out, request_, caller_->host_);
     request_ = {};  // not kept: nodes are many, and requests may be large
@@ -166,12 +166,12 @@
   Request request_{};  // until it is written
   Caller::Word word_{};
   net::Loop::Timer timer_ = net::Loop::no_timer, connect_timer_ = net::Loop::no_timer;
-  net::Span until_{}, idle_from_{};
-  std::optional<net::Span> reused_after_{};  // of the call that is out, if it found the connection open
+  TimePoint until_{}, idle_from_{};
+  std::optional<Duration> reused_after_{};  // of the call that is out, if it found the connection open
   bool written_ = false, shut_ = false;
 };
 
-bool Budget::stale(net::Span idle) const {
+bool Budget::stale(Duration idle) const {
   int alike = 0, broke = 0;
   for (std::size_t i = 0; i < reuses_.size(); ++i) {
     const Reuse& reuse = reuses_.back(i);
@@ -195,7 +195,7 @@
   for (auto& connection : connections) connection->abandon();
 }
 
-Caller::Id Caller::call(Request request, net::Span within, Done done, Word word) {
+Caller::Id Caller::call(Request request, Duration within, Done done, Word word) {
   const Id id = next_++;
   while (!idle_.empty()) {
     Connection* last = idle_.back();
@@ -211,7 +211,7 @@
     return id;
   }
   if (connections_.size() >= settings_.most_connections || (settings_.budget && !settings_.budget->room())) {
-    loop_.in(net::Span(0), [done = std::move(done)] { done(Ended::withheld, {}); });
+    loop_.in(Duration(0), [done = std::move(done)] { done(Ended::withheld, {}); });
     return 0;
   }
   ++opened_;
--- a/src/http/caller.h
+++ b/src/http/caller.h
@@ -12,6 +12,7 @@
 #include "http/message.h"
 #include "net/stream.h"
 #include "sliding_window.h"
+#include "time/time_types.h"
 
 namespace robinhoist::http {
 
@@ -34,13 +35,13 @@
   friend class Connection;
   friend class Caller;
   struct Reuse {
-    net::Span idle;
+    Duration idle;
     bool broke;
   };
   bool room();
   // Whether connections that stood idle for about so long have lately broken under the next request: peers
   // and what lies between may drop them without a word, long before any time agreed on.
-  bool stale(net::Span idle) const;
+  bool stale(Duration idle) const;
   std::size_t most_, open_ = 0;
   SlidingWindow<Reuse> reuses_{256};
   std::list<Connection*> idle_{};  // the longest idle first
@@ -48,8 +49,8 @@
 
 struct CallerSettings {
   std::size_t most_connections = 64;
-  net::Span connect_within = std::chrono::milliseconds(250);
-  net::Span keep_for = std::chrono::seconds(30);  // an idle connection
+  Duration connect_within = std::chrono::milliseconds(250);
+  Duration keep_for = std::chrono::seconds(30);  // an idle connection
   Limits limits{};
   std::shared_ptr<Budget> budget{};  // none: `most_connections` is the only bound
 };
@@ -58,7 +59,7 @@
  public:
   using Done = std::function<void(Ended, Response&&)>;
   // The last word on a request, when it is written: how much of its time is left by then.
-  using Word = std::function<void(Request& request, net::Span left)>;
+  using Word = std::function<void(Request& request, Duration left)>;
   // Names a call for cancel(); 0 is none.
   using Id = std::uint64_t;
 
@@ -68,7 +69,7 @@
   Caller& operator=(const Caller&) = delete;
 
   // `done` runs later, never from inside call(), and not after cancel().
-  Id call(Request request, net::Span within, Done done, Word word = {});
+  Id call(Request request, Duration within, Done done, Word word = {});
   // Closes the connection that carries it: there is no other way to call off HTTP/1.1.
   void cancel(Id id);
   // Takes a call back that has not been written yet; `done` does not run. False: it has been.
--- a/src/http/long_poll.cpp
+++ b/src/http/long_poll.cpp
@@ -4,7 +4,7 @@
 
 namespace robinhoist::http {
 namespace {
-constexpr net::Span most_wait = std::chrono::seconds(60);
+constexpr Duration most_wait = std::chrono::seconds(60);
 
 std::int64_t whole_or(const std::string& text, std::int64_t absent) {
   if (text.empty() || text.size() > 15 || text.find_first_not_of("0123456789") != std::string::npos)
@@ -23,7 +23,7 @@
 LongPoll::Asked LongPoll::read(const ExchangePtr& exchange) {
   const Request& request = exchange->request;
   const auto wait =
-      std::min<net::Span>(most_wait, std::chrono::milliseconds(whole_or(request.query("wait_ms"), 0)));
+      std::min<Duration>(most_wait, std::chrono::milliseconds(whole_or(request.query("wait_ms"), 0)));
   return {exchange, request.query("umpire"), request.query("series"), whole_or(request.query("since"), 0),
           wait};
 }
--- a/src/http/long_poll.h
+++ b/src/http/long_poll.h
@@ -7,6 +7,7 @@
 #include <string>
 
 #include "http/server.h"
+#include "time/time_types.h"
 
 namespace robinhoist::http {
 
@@ -16,7 +17,7 @@
     ExchangePtr exchange;
     std::string proxy, series;
     std::int64_t since;
-    net::Span wait;  // zero: answered at once
+    Duration wait;  // zero: answered at once
   };
   using Answer = std::function<void(const Asked&)>;
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -6,12 +6,12 @@
 
 namespace robinhoist::http {
 namespace {
-constexpr net::Span asking_for = std::chrono::milliseconds(50);
+constexpr Duration asking_for = std::chrono::milliseconds(50);
 // How soon a client's close is seen behind bytes that we don't read: an attempt may begin 100 ms after it at
 // most.
-constexpr net::Span gone_seen = std::chrono::milliseconds(50);
+constexpr Duration gone_seen = std::chrono::milliseconds(50);
 // For a client to end its side too after its last answer.
-constexpr net::Span lingers = std::chrono::seconds(1);
+constexpr Duration lingers = std::chrono::seconds(1);
 constexpr int tries_for_room = 8;  // clients looked at that turn out to have just asked
 }  // namespace
 
@@ -26,15 +26,15 @@
 
   void start() {
     since_ = server_->loop_.now();
-    const net::Span first = server_->settings_.first_within;
-    wait(first > net::Span{} ? first : server_->settings_.idle_for);
+    const Duration first = server_->settings_.first_within;
+    wait(first > Duration{} ? first : server_->settings_.idle_for);
   }
 
   // What closing it would cost, the least first.
   enum class Spare { lingers, idle, half_asked };
   // Nothing is owed to one that lingers or is idle, and no answer yet to one whose request is not whole.
   // None: it has a request open, or an answer that is not written.
-  std::optional<std::pair<Spare, net::Span>> spare() const {
+  std::optional<std::pair<Spare, TimePoint>> spare() const {
     if (open_ || stream_->unwritten() > 0) return {};
     return std::pair(closing_ ? Spare::lingers : reader_.begun() ? Spare::half_asked : Spare::idle, since_);
   }
@@ -159,7 +159,7 @@
       if (read == Read::bad) return refuse(reader_.fault().status, reader_.fault().why);
       if (reader_.wants_continue()) stream_->write("HTTP/1.1 100 Continue\r\n\r\n");
       if (read == Read::more) {
-        if (reader_.begun() && !had_begun && !(first_ && server_->settings_.first_within > net::Span{}))
+        if (reader_.begun() && !had_begun && !(first_ && server_->settings_.first_within > Duration{}))
           wait(server_->settings_.head_within);
         return stream_->read(true);
       }
@@ -189,7 +189,7 @@
     });
   }
 
-  void wait(net::Span span) {
+  void wait(Duration span) {
     server_->loop_.cancel(timer_);
     timer_ = server_->loop_.in(span, [this] {
       timer_ = net::Loop::no_timer;
@@ -206,7 +206,7 @@
   RequestReader reader_;
   ExchangePtr open_{};
   net::Loop::Timer timer_ = net::Loop::no_timer;
-  net::Span since_{};
+  TimePoint since_{};
   std::string out_{};
   bool keep_alive_ = true, head_only_ = false, closing_ = false, in_handler_ = false, first_ = true;
 };
@@ -274,7 +274,7 @@
   if (!settings_.make_room) return false;
   for (int tries = 0; tries < tries_for_room && clients_.size() >= settings_.most_clients; ++tries) {
     std::shared_ptr<Client> first;
-    std::optional<std::pair<Client::Spare, net::Span>> least;
+    std::optional<std::pair<Client::Spare, TimePoint>> least;
     for (auto& client : clients_)
       if (auto spare = client->spare(); spare && (!least || *spare < *least)) first = client, least = spare;
     if (!first) return false;
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -9,6 +9,7 @@
 
 #include "http/message.h"
 #include "net/stream.h"
+#include "time/time_types.h"
 
 namespace robinhoist::http {
 
@@ -16,9 +17,9 @@
   std::string listen{"127.0.0.1:0"};
   Limits limits{};
   std::size_t most_clients = 10000;
-  net::Span head_within = std::chrono::seconds(10);  // for a request to have come whole, once begun
-  net::Span idle_for = std::chrono::seconds(60);     // between two requests
-  net::Span first_within{};  // for the first to have come whole since the connection; 0: as any other
+  Duration head_within = std::chrono::seconds(10);  // for a request to have come whole, once begun
+  Duration idle_for = std::chrono::seconds(60);     // between two requests
+  Duration first_within{};  // for the first to have come whole since the connection; 0: as any other
   bool make_room = false;    // at the most, the client that has been idle for longest makes room for another
   std::size_t stream_backlog = 256 * 1024;  // bytes unread by a client of a stream before it is cut
 };
@@ -29,7 +30,7 @@
 // One request and its answer. Holding it costs nothing but memory; dropping it unanswered answers 500.
 class Exchange {
  public:
-  Exchange(std::weak_ptr<Client> client, Request request, net::Span at)
+  Exchange(std::weak_ptr<Client> client, Request request, TimePoint at)
       : request(std::move(request)), at(at), client_(std::move(client)) {}
   ~Exchange();
   void answer(Response response);
@@ -44,7 +45,7 @@
   bool gone() const { return client_.expired(); }
 
   Request request;
-  net::Span at;                     // when it had come whole
+  TimePoint at;                     // when it had come whole
   std::function<void()> on_gone{};  // the client has left before the answer, or the stream has ended
   bool first = false;               // the first on its connection
 
--- a/src/http/stream_caller.cpp
+++ b/src/http/stream_caller.cpp
@@ -26,7 +26,7 @@
   if (auto stream = std::exchange(stream_, nullptr)) stream->drop();
 }
 
-void StreamCaller::watch_silence(net::Span most) {
+void StreamCaller::watch_silence(Duration most) {
   loop_.cancel(timer_);
   timer_ = loop_.in(most, [this] {
     timer_ = net::Loop::no_timer;
--- a/src/http/stream_caller.h
+++ b/src/http/stream_caller.h
@@ -7,6 +7,7 @@
 
 #include "http/message.h"
 #include "net/stream.h"
+#include "time/time_types.h"
 
 namespace robinhoist::http {
 
@@ -19,7 +20,7 @@
   using Piece = std::function<bool(std::string& body)>;
   // How long no sign of life may come: from the start, and from one to the next.
   struct Silence {
-    net::Span first, most;
+    Duration first, most;
   };
 
   StreamCaller(net::Loop& loop, Poco::Net::SocketAddress peer, Limits limits);
@@ -39,7 +40,7 @@
   void on_bytes(net::Stream&) override;
   void on_closed(net::Stream&, net::Closed how) override;
   void end();
-  void watch_silence(net::Span most);
+  void watch_silence(Duration most);
 
   net::Loop& loop_;
   Poco::Net::SocketAddress peer_;
@@ -48,7 +49,7 @@
   std::shared_ptr<net::Stream> stream_{};
   std::unique_ptr<StreamReader> reader_{};
   std::string out_{};
-  net::Span silent_most_{};  // between two signs
+  Duration silent_most_{};  // between two signs
   net::Loop::Timer timer_ = net::Loop::no_timer;
   Piece piece_{};
   Ended ended_{};
--- a/src/json/fields.h
+++ b/src/json/fields.h
@@ -14,11 +14,11 @@
 #include <string_view>
 #include <utility>
 
+#include "time/time_types.h"
+
 namespace robinhoist::json {
 
 using Json = rapidjson::Value;
-using Span = std::chrono::microseconds;
-
 // What is wrong with the input; the caller adds the place.
 struct BadInput : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -85,8 +85,8 @@
   return value;
 }
 
-inline Span span(double ms) { return Span(std::llround(ms * 1e3)); }
-inline Span time_of(const Json& object, const char* field) { return span(number(object, field)); }
+inline Duration span(double ms) { return Duration(std::llround(ms * 1e3)); }
+inline Duration duration_of(const Json& object, const char* field) { return span(number(object, field)); }
 
 template <class T>
 T enumerator(const Json& object, const char* field, std::initializer_list<std::pair<const char*, T>> words) {
@@ -134,7 +134,7 @@
     else writer_.Null();
     return *this;
   }
-  Out& put_ms(const char* key, Span value) { return put(key, static_cast<double>(value.count()) / 1e3); }
+  Out& put_ms(const char* key, Duration value) { return put(key, static_cast<double>(value.count()) / 1e3); }
   Out& put(const char* key, const Json& value) { return name(key), value.Accept(writer_), *this; }
   Out& put_null(const char* key) { return name(key), writer_.Null(), *this; }
   std::string text() const { return {buffer_.GetString(), buffer_.GetSize()}; }
--- a/src/lab/hunt.cpp
+++ b/src/lab/hunt.cpp
@@ -58,7 +58,7 @@
   double part() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
   double between(double least, double most) { return least + part() * (most - least); }
   int below(std::size_t count) { return static_cast<int>(part() * static_cast<double>(count)); }
-  Span within(Span least, Span most) {
+  Duration within(Duration least, Duration most) {
     return std::chrono::milliseconds(
         static_cast<long>(between(static_cast<double>(least / 1ms), static_cast<double>(most / 1ms))));
   }
@@ -83,9 +83,9 @@
       Trouble& one = all[static_cast<std::size_t>(below(all.size()))];
       if (how < 0.5) one = trouble();
       else if (how < 0.7)
-        one.at = std::clamp<Span>(one.at + within(0ms, 3s) - 1500ms, 0ms, base_.length * 9 / 10);
+        one.at = std::clamp<Duration>(one.at + within(0ms, 3s) - 1500ms, 0ms, base_.length * 9 / 10);
       else if (how < 0.85)
-        one.lasts = std::clamp<Span>(one.lasts * (50 + below(150)) / 100, 100ms, base_.length);
+        one.lasts = std::clamp<Duration>(one.lasts * (50 + below(150)) / 100, 100ms, base_.length);
       else if (range_of(one.kind).part)
         one.part = std::clamp(one.part + between(-0.3, 0.3), part_least, part_most);
     }
@@ -128,7 +128,7 @@
   return found;
 }
 
-std::string spoken(Span span) { return std::to_string(span / 1ms) + "ms"; }
+std::string spoken(Duration span) { return std::to_string(span / 1ms) + "ms"; }
 
 std::string number(double value) {
   std::ostringstream out;
@@ -230,10 +230,10 @@
     if (range.part) added += " (part " + number(one.part) + ")";
     if (range.size_word)
       added += " (" + std::string(range.size_word) + " " +
-               (range.spans ? spoken(Span(static_cast<long>(one.size * 1e6))) : number(one.size)) + ")";
+               (range.spans ? spoken(Duration(static_cast<long>(one.size * 1e6))) : number(one.size)) + ")";
     if (range.extra_word)
       added +=
-          " (" + std::string(range.extra_word) + " " + spoken(Span(static_cast<long>(one.extra * 1e6))) + ")";
+          " (" + std::string(range.extra_word) + " " + spoken(Duration(static_cast<long>(one.extra * 1e6))) + ")";
     added += ")";
   }
   text.insert(end, added);
--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -186,7 +186,7 @@
     values["p50"] = quantile(summary.took_ms, 0.5);
     values["p99"] = quantile(summary.took_ms, 0.99);
   }
-  std::map<int, Span> begun, back;
+  std::map<int, TimePoint> begun, back;
   for (const auto& verdict : summary.verdicts) {
     if (verdict.phase == "trial") begun.emplace(verdict.build, verdict.at);
     // Sent away by the next release is no verdict on it.
--- a/src/limits/bucket.h
+++ b/src/limits/bucket.h
@@ -8,9 +8,9 @@
 #include <optional>
 #include <string>
 
-namespace robinhoist::limits {
+#include "time/time_types.h"
 
-using Span = std::chrono::microseconds;
+namespace robinhoist::limits {
 
 class Buckets {
  public:
@@ -18,7 +18,7 @@
   Buckets(double rate, double most) : rate_(rate), most_(std::max(1.0, most)) {}
 
   // Nothing when it is let through; else when to come back.
-  std::optional<Span> take(const std::string& who, Span now) {
+  std::optional<Duration> take(const std::string& who, TimePoint now) {
     if (rate_ <= 0) return {};
     forget(now);
     auto [at, fresh] = buckets_.try_emplace(who, Bucket{most_, now});
@@ -29,25 +29,25 @@
       bucket.held -= 1;
       return {};
     }
-    return Span(static_cast<std::int64_t>(std::ceil((1 - bucket.held) / rate_ * 1e6)));
+    return Duration(static_cast<std::int64_t>(std::ceil((1 - bucket.held) / rate_ * 1e6)));
   }
   std::size_t known() const { return buckets_.size(); }
 
  private:
   struct Bucket {
     double held;
-    Span at;
+    TimePoint at;
   };
-  static double seconds(Span span) { return static_cast<double>(span.count()) / 1e6; }
-  void forget(Span now) {
-    const Span fills(static_cast<std::int64_t>(most_ / rate_ * 1e6));
+  static double seconds(Duration span) { return static_cast<double>(span.count()) / 1e6; }
+  void forget(TimePoint now) {
+    const Duration fills(static_cast<std::int64_t>(most_ / rate_ * 1e6));
     if (now < forgot_at_ + fills) return;
     forgot_at_ = now;
     std::erase_if(buckets_, [&](auto& each) { return now >= each.second.at + fills; });
   }
   double rate_, most_;
   std::map<std::string, Bucket> buckets_{};
-  Span forgot_at_{};
+  TimePoint forgot_at_{};
 };
 
 }  // namespace robinhoist::limits
--- a/src/load/load.cpp
+++ b/src/load/load.cpp
@@ -5,8 +5,8 @@
 
 namespace robinhoist::load {
 namespace {
-double seconds(Span s) { return std::chrono::duration<double>(s).count(); }
-Span span(double s) { return Span(static_cast<std::int64_t>(s * 1e6)); }
+double seconds(Duration s) { return std::chrono::duration<double>(s).count(); }
+Duration span(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
 constexpr double wave_s = 20, burst_s = 2;  // the periods of two shapes
 }  // namespace
 
@@ -17,15 +17,16 @@
 }
 
 Load::Load(const Settings& settings, unsigned salt)
-    : settings_(settings), random_(salt), dead_since_(settings.proxies, Span(-1)),
+    : settings_(settings), random_(salt), dead_since_(settings.proxies, TimePoint(Duration(-1))),
       up_(settings.proxies, true) {
-  plan_arrival(Span{});
+  plan_arrival(TimePoint{});
 }
 
 double Load::uniform_sample() { return boost::random::uniform_real_distribution<double>(0, 1)(random_); }
 
-double Load::rate_at(Span now) const {
-  const double s = seconds(now), length = std::max(1e-6, seconds(settings_.length));
+double Load::rate_at(TimePoint now) const {
+  const double s = seconds(now.time_since_epoch());
+  const double length = std::max(1e-6, seconds(settings_.length));
   double factor = burst_ / std::max(0.01, 1 - poison_share_);
   switch (settings_.shape) {
     case Shape::steady:
@@ -43,13 +44,13 @@
   return std::max(0.1, settings_.rate * factor);
 }
 
-void Load::plan_arrival(Span from) {
+void Load::plan_arrival(TimePoint from) {
   const double wait = boost::random::exponential_distribution<double>(rate_at(from))(random_);
-  arrival_at_ = from + std::max(Span(1), span(wait));
-  if (arrival_at_ >= settings_.length) arrivals_over_ = true;
+  arrival_at_ = from + std::max(Duration(1), span(wait));
+  if (arrival_at_ >= TimePoint(settings_.length)) arrivals_over_ = true;
 }
 
-Try Load::fresh(Span now) {
+Try Load::fresh(TimePoint now) {
   Try one;
   one.id = one.first = next_id_++;
   one.at = now;
@@ -81,7 +82,7 @@
 }
 
 // Over which umpire it goes, how long its client waits, and whether it leaves before.
-void Load::address(Try& one, Span now) {
+void Load::address(Try& one, TimePoint now) {
   std::vector<int> known;
   for (int u = 0; u < settings_.proxies; ++u)
     if (up_[u] || now < dead_since_[u] + settings_.notice) known.push_back(u);
@@ -93,10 +94,10 @@
   double part = settings_.patience_least + uniform_sample() * (settings_.patience_most - settings_.patience_least);
   if (one.tenant == abuse_tenant_ && abuse_tries_ > 0) part = abuse_patience_;
   one.until = now + span(seconds(request_class.deadline) * part);
-  one.leaves = uniform_sample() < settings_.leaves ? now + span(seconds(one.until - now) * uniform_sample()) : Span{};
+  one.leaves = uniform_sample() < settings_.leaves ? now + span(seconds(one.until - now) * uniform_sample()) : TimePoint{};
 }
 
-std::optional<Try> Load::next(Span now) {
+std::optional<Try> Load::next(TimePoint now) {
   Try one;
   if (!due_.empty() && due_.top().at <= now && (arrivals_over_ || due_.top().at <= arrival_at_)) {
     one = due_.top().one;
@@ -115,14 +116,14 @@
   return one;
 }
 
-std::optional<Span> Load::next_at() const {
-  std::optional<Span> at;
+std::optional<TimePoint> Load::next_at() const {
+  std::optional<TimePoint> at;
   if (!arrivals_over_) at = arrival_at_;
   if (!due_.empty()) at = at ? std::min(*at, due_.top().at) : due_.top().at;
   return at;
 }
 
-void Load::ended(std::int64_t id, End end, Span stay_away, Span now) {
+void Load::ended(std::int64_t id, End end, Duration stay_away, TimePoint now) {
   auto found = open_.find(id);
   if (found == open_.end()) return;
   const Open open = found->second;
@@ -135,19 +136,19 @@
     // A referenced txn may come again while its repeats are dropped, counted from its first try.
     if (request_class.repeats == Repeats::only_rejected) again = false;
     if (request_class.repeats == Repeats::within_memory)
-      again = request_class.dedup_window > Span{} && now + request_class.deadline < open.first_at + request_class.dedup_window;
+      again = request_class.dedup_window > Duration{} && now + request_class.deadline < open.first_at + request_class.dedup_window;
   }
   const bool abused = open.one.tenant == abuse_tenant_ && abuse_tries_ > 0;
-  Span wait{};
+  Duration wait{};
   if (!abused) {
-    const Span drawn =
+    const Duration drawn =
         settings_.pause_least + span(uniform_sample() * seconds(settings_.pause_most - settings_.pause_least));
     if (settings_.pause == Pause::fixed) wait = drawn;
     if (settings_.pause == Pause::growing) wait = drawn * (1 << std::min(open.one.number, 6));
-    if (stay_away > Span{} && uniform_sample() < settings_.heeds) wait = std::max(wait, stay_away);
+    if (stay_away > Duration{} && uniform_sample() < settings_.heeds) wait = std::max(wait, stay_away);
   }
   // A client has only so much time over all its tries, and a keyed one only while the mark holds.
-  const Span at = now + wait;
+  const TimePoint at = now + wait;
   if (!again ||
       (request_class.repeats == Repeats::within_memory && at + request_class.deadline >= open.first_at + request_class.dedup_window) ||
       (!abused && at >= open.first_at + request_class.deadline * (1 + open.retries))) {
@@ -160,7 +161,7 @@
   due_.push({at, next.id, next});
 }
 
-void Load::proxy(int number, bool up, Span now) {
+void Load::proxy(int number, bool up, TimePoint now) {
   up_[number] = up;
   if (!up) dead_since_[number] = now;
 }
--- a/src/load/load.h
+++ b/src/load/load.h
@@ -14,9 +14,9 @@
 #include <unordered_map>
 #include <vector>
 
-namespace robinhoist::load {
+#include "time/time_types.h"
 
-using Span = std::chrono::microseconds;
+namespace robinhoist::load {
 
 enum class Shape { steady, wave, ramp, bursty };
 enum class Spread { exponential, lognormal };
@@ -25,7 +25,7 @@
 
 struct RequestClass {
   double share = 1;
-  Span work{}, deadline{}, dedup_window{};
+  Duration work{}, deadline{}, dedup_window{};
   Spread spread = Spread::exponential;
   double cv = 1;  // of a lognormal spread
   Repeats repeats = Repeats::always;
@@ -36,24 +36,24 @@
   double rate = 100;  // txns a second, first tries
   Shape shape = Shape::steady;
   double swing = 0;  // of the rate, up and down
-  Span length{};
+  Duration length{};
   std::vector<RequestClass> request_classes{};
   std::vector<double> tenants{1};  // shares
   int proxies = 1, retries = 0;
   double patience_least = 1, patience_most = 1;  // of the expiry, for one try
   Pause pause = Pause::fixed;
-  Span pause_least{}, pause_most{};
+  Duration pause_least{}, pause_most{};
   double heeds = 1;   // share of clients that stay away as long as they are told
   double leaves = 0;  // share of tries that their client gives up in the middle
-  Span notice{};      // the front layer goes on with a dead umpire for so long
+  Duration notice{};      // the front layer goes on with a dead umpire for so long
 };
 
 struct Try {
   std::int64_t id = 0, first = 0;  // of the txn's first try
   int number = 0, request_class = 0, tenant = 0, proxy = 0;
-  Span at{}, until{};  // sent, and when its client gives this try up
-  Span leaves{};       // 0, or when it hangs up before
-  Span work{};
+  TimePoint at{}, until{};  // sent, and when its client gives this try up
+  TimePoint leaves{};       // 0, or when it hangs up before
+  Duration work{};
   std::string key{};
   bool poison = false;  // fails wherever it goes
 };
@@ -65,15 +65,15 @@
  public:
   Load(const Settings& settings, unsigned salt);
 
-  std::optional<Try> next(Span now);
-  std::optional<Span> next_at() const;
+  std::optional<Try> next(TimePoint now);
+  std::optional<TimePoint> next_at() const;
   // `stay_away`: as a decline told.
-  void ended(std::int64_t id, End end, Span stay_away, Span now);
+  void ended(std::int64_t id, End end, Duration stay_away, TimePoint now);
   bool over() const { return arrivals_over_ && due_.empty() && open_.empty(); }
   std::size_t open() const { return open_.size(); }
 
   // Umpires that die and come back; the front layer learns of it late.
-  void proxy(int number, bool up, Span now);
+  void proxy(int number, bool up, TimePoint now);
 
   // Troubles.
   void burst(double times) { burst_ = times; }
@@ -83,30 +83,30 @@
 
  private:
   struct Later {
-    Span at;
+    TimePoint at;
     std::int64_t order;
     Try one;
     bool operator>(const Later& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
   };
   double uniform_sample();
-  double rate_at(Span now) const;
-  void plan_arrival(Span from);
-  Try fresh(Span now);
-  void address(Try& one, Span now);
+  double rate_at(TimePoint now) const;
+  void plan_arrival(TimePoint from);
+  Try fresh(TimePoint now);
+  void address(Try& one, TimePoint now);
 
   Settings settings_;
   std::minstd_rand random_;
-  Span arrival_at_{};
+  TimePoint arrival_at_{};
   bool arrivals_over_ = false;
   std::priority_queue<Later, std::vector<Later>, std::greater<>> due_{};
   struct Open {
     Try one;
-    Span first_at;
+    TimePoint first_at;
     int retries;
   };
   std::unordered_map<std::int64_t, Open> open_{};
-  std::unordered_map<std::int64_t, Span> first_at_{};
-  std::vector<Span> dead_since_;
+  std::unordered_map<std::int64_t, TimePoint> first_at_{};
+  std::vector<TimePoint> dead_since_;
   std::vector<bool> up_;
   std::vector<int> hot_{};
   double hot_share_ = 0, burst_ = 1, poison_share_ = 0, abuse_patience_ = 1;
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -13,23 +13,23 @@
 
 // Nodes
 constexpr std::size_t results_kept = 16, took_kept = 64, sent_kept = 40;
-constexpr Span result_life = 5s;     // health goes by results no older than this
-constexpr Span first_bench = 500ms;  // a node that lost two in a row rests so long, then doubling
-constexpr Span failing_rest = 2s, full_rest = 100ms;  // after a failure; after work turned away, doubling
+constexpr Duration result_life = 5s;     // health goes by results no older than this
+constexpr Duration first_bench = 500ms;  // a node that lost two in a row rests so long, then doubling
+constexpr Duration failing_rest = 2s, full_rest = 100ms;  // after a failure; after work turned away, doubling
 constexpr double cold_margin = 0.6, cold_least = 8;   // part of what may be sent; txns a window of all
-constexpr Span report_life = 1s, thin_life = 1s;      // how long a load report tells, and one answer alone
+constexpr Duration report_life = 1s, thin_life = 1s;      // how long a load report tells, and one answer alone
 constexpr double reach_pace = 2;  // submissions a second that an umpire's node should get from it,
 constexpr std::size_t reach_least = 4, reach_refused = 2;  // but so many nodes at least, or so few
 constexpr double refused_part = 0.15;                      // when this part of all connections is refused
 constexpr std::size_t draw_from = 64, draws_most = 16;     // drawn one by one: of more nodes than this
-constexpr Span ask_pause_least = 400ms, ask_pause_most = 3s;
+constexpr Duration ask_pause_least = 400ms, ask_pause_most = 3s;
 }  // namespace
 
 EndpointSet::EndpointSet(const EndpointSettings& settings, const std::vector<RequestClass>& request_classes)
     : settings_(settings), request_classes_(request_classes), took_(request_classes.size(), QuantileWindow(took_kept)), per_hint_(took_),
       sent_(sent_kept), refused_(sent_kept), ask_pause_(ask_pause_least) {}
 
-void EndpointSet::news(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, Span now) {
+void EndpointSet::news(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, TimePoint now) {
   if (kind == EndpointUpdateKind::failed) {
     asked_ = false;
     ask_at_ = now + ask_pause_;
@@ -70,15 +70,15 @@
 
 // A node that answers again after it was lost has probably started anew, whatever the list still says: guards
 // against pushing over machines whose restart is told late. After a mere cut it costs some seconds of care.
-double EndpointSet::warmth(int n, Span now) const {
+double EndpointSet::warmth(int n, TimePoint now) const {
   const EndpointState& endpoint = endpoints_[n];
-  Span started = std::max(endpoint.started == Span{} ? long_ago : endpoint.started, endpoint.back_at);
+  TimePoint started = std::max(endpoint.started == TimePoint{} ? long_ago : endpoint.started, endpoint.back_at);
   if (now >= started + settings_.cold_for) return 1;
   double age = std::max(0.0, to_seconds(now - started) / to_seconds(settings_.cold_for));
   return settings_.cold_from + (1 - settings_.cold_from) * age;
 }
 
-void EndpointSet::sent(int n, Span now) {
+void EndpointSet::sent(int n, TimePoint now) {
   endpoints_[n].out.push_back(now);
   sent_.push(now);
   if (warmth(n, now) >= 1) return;
@@ -86,11 +86,11 @@
   endpoints_[n].cold_sent = now;
 }
 
-void EndpointSet::ended(const Attempt& attempt, Outcome outcome, const RequestInfo& request, Span now) {
+void EndpointSet::ended(const Attempt& attempt, Outcome outcome, const RequestInfo& request, TimePoint now) {
   EndpointState& endpoint = endpoints_[attempt.endpoint];
   auto at = std::find(endpoint.out.begin(), endpoint.out.end(), attempt.sent);
   if (at != endpoint.out.end()) endpoint.out.erase(at);
-  Span took = now - attempt.sent;
+  Duration took = now - attempt.sent;
   bool unheard = endpoint.heard_at < attempt.sent && took > patience();
   if (outcome == Outcome::obsolete || (outcome == Outcome::cancelled && !unheard)) return;
   // A connection that broke is no silence: something there has ended it. A dead process refuses the next.
@@ -135,7 +135,7 @@
   return warm_;
 }
 
-void EndpointSet::learn(int request_class, Span took, double cost_hint_ms) {
+void EndpointSet::learn(int request_class, Duration took, double cost_hint_ms) {
   took_[request_class].push(to_millis(took));
   if (cost_hint_ms > 0) per_hint_[request_class].push(to_millis(took) / cost_hint_ms);
 }
@@ -144,18 +144,18 @@
   return took_[request_class].empty() ? to_millis(request_classes_[request_class].latency_objective) / 4 : took_[request_class].at(part);
 }
 
-double EndpointSet::ratio(int request_class, Span took, double cost_hint_ms) {
+double EndpointSet::ratio(int request_class, Duration took, double cost_hint_ms) {
   if (cost_hint_ms <= 0 || per_hint_[request_class].empty()) return to_millis(took) / usual_ms(request_class, 0.5);
   return to_millis(took) / cost_hint_ms / per_hint_[request_class].at(0.5);
 }
 
-double EndpointSet::objective_ratio(int request_class, Span took) const { return to_millis(took) / to_millis(request_classes_[request_class].latency_objective); }
-void EndpointSet::report(int n, const Load& load, Span now) {
+double EndpointSet::objective_ratio(int request_class, Duration took) const { return to_millis(took) / to_millis(request_classes_[request_class].latency_objective); }
+void EndpointSet::report(int n, const Load& load, TimePoint now) {
   if (load.held || load.busy) endpoints_[n].load = load, endpoints_[n].load_at = now;
 }
 
 // The longest that an answer may keep us waiting before its node is taken to be silent.
-Span EndpointSet::patience() {
+Duration EndpointSet::patience() {
   double most = 0;
   for (int p = 0; p < static_cast<int>(request_classes_.size()); ++p)
     most = std::max(most, std::max(2 * usual_ms(p, 0.95), to_millis(request_classes_[p].latency_objective) / 2));
@@ -165,7 +165,7 @@
 // Rule 4. Each umpire keeps to its own part: what its warm nodes carry, times what a cold one may be sent. A
 // short ring is reached by more of the umpires than a long one. Where the part is less than one txn a window,
 // it waits longer between two, from a point of its own: guards against the sum of many small allowances.
-bool EndpointSet::has_room(int n, Span now) {
+bool EndpointSet::has_room(int n, TimePoint now) {
   EndpointState& endpoint = endpoints_[n];
   if (warmth(n, now) >= 1) return true;
   while (!endpoint.sends.empty() && endpoint.sends.front() < now - settings_.fall_window) endpoint.sends.pop_front();
@@ -176,24 +176,24 @@
                 (std::max(1, warm()) * reached_by);
   most = std::max(most, std::min(1.0, cold_least / (settings_.proxies * reached_by)));
   if (most >= 1) return endpoint.sends.size() + 1 <= most;
-  Span gap = from_millis(to_millis(settings_.fall_window) / most);
+  Duration gap = from_millis(to_millis(settings_.fall_window) / most);
   return now >=
          std::max(endpoint.cold_sent + gap, endpoint.told + from_millis(to_millis(gap) * golden_part(settings_.me + n)));
 }
 
 // A node that lost two in a row, without a word between, rests; then one txn at a time tries it.
-bool EndpointSet::resting(int n, Span now) const {
+bool EndpointSet::resting(int n, TimePoint now) const {
   const EndpointState& endpoint = endpoints_[n];
   if (endpoint.dead_run < 2) return false;
-  Span rest = first_bench * (1 << std::min(endpoint.dead_run - 2, 3));
+  Duration rest = first_bench * (1 << std::min(endpoint.dead_run - 2, 3));
   return now < endpoint.dead_at + rest || !endpoint.out.empty();
 }
 
 // Of the last results those that are young enough to tell of the node's health.
-const RecentResults& EndpointSet::recent_results(int n, Span now) {
+const RecentResults& EndpointSet::recent_results(int n, TimePoint now) {
   EndpointState& endpoint = endpoints_[n];
   if (endpoint.recent && now <= endpoint.recent->until) return *endpoint.recent;
-  RecentResults sum{.last_failed = long_ago, .until = Span::max()};
+  RecentResults sum{.last_failed = long_ago, .until = TimePoint::max()};
   for (std::size_t i = 0; i < endpoint.results.size() && endpoint.results.back(i).at >= now - result_life; ++i) {
     const Result& result = endpoint.results.back(i);
     ++sum.young;
@@ -209,7 +209,7 @@
 }
 
 // Guards against nodes that swallow, fail or turn away work; when all are poorly the least bad serve.
-bool EndpointSet::well(int n, Span now) {
+bool EndpointSet::well(int n, TimePoint now) {
   EndpointState& endpoint = endpoints_[n];
   if (endpoint.full_run > 0 && now < endpoint.full_at + full_rest * (1 << std::min(endpoint.full_run - 1, 4)))
     return false;
@@ -222,7 +222,7 @@
 }
 
 // What the nodes in use are able to do, in usual nodes.
-double EndpointSet::able(Span now) const {
+double EndpointSet::able(TimePoint now) const {
   double sum = 0;
   for (int n = 0; n < static_cast<int>(endpoints_.size()); ++n)
     if (open(n) && !resting(n, now)) sum += endpoints_[n].size * warmth(n, now);
@@ -230,7 +230,7 @@
 }
 
 // Own txns in flight, weighed by size, warmth and how slow the node's last answers were.
-double EndpointSet::cost(int n, Span now) {
+double EndpointSet::cost(int n, TimePoint now) {
   const EndpointState& endpoint = endpoints_[n];
   const RecentResults& sum = recent_results(n, now);
   double slow = std::max(1.0, (3 + sum.ratios) / (3 + static_cast<double>(sum.young)) / 1.3);
@@ -244,15 +244,15 @@
 
 // How long one more txn would take there: by Little's law, own txns in hand over the pace of late. Guards
 // against queues that no answer survives, whatever fills them. It may shed too early on few answers.
-Span EndpointSet::wait(int n, Span now) {
+Duration EndpointSet::wait(int n, TimePoint now) {
   const EndpointState& endpoint = endpoints_[n];
   const RecentResults& sum = recent_results(n, now);
   if (sum.in_hand < results_kept / 4 && (sum.in_hand == 0 || endpoint.results.back(0).at < now - thin_life))
-    return Span{};
+    return Duration{};
   return from_millis(1e3 * (endpoint.out.size() + 1) * sum.took / sum.in_hand);
 }
 
-int EndpointSet::better_of_two(const std::vector<int>& among, Span now, RandomGenerator& random) {
+int EndpointSet::better_of_two(const std::vector<int>& among, TimePoint now, RandomGenerator& random) {
   if (among.empty()) return -1;
   int a = among[static_cast<std::size_t>(uniform_sample(random) * among.size())];
   if (among.size() == 1) return a;
@@ -264,7 +264,7 @@
 // How many nodes this umpire spreads over. One of many umpires that sent everywhere would know nothing young
 // of any node and open a connection for nearly every txn; so each keeps to a few, more the more it sends,
 // and to two where connections are refused right and left: then nodes take only so many umpires.
-std::size_t EndpointSet::reach(Span now) const {
+std::size_t EndpointSet::reach(TimePoint now) const {
   return std::max(squeezed_ ? reach_refused : reach_least,
                   static_cast<std::size_t>(std::ceil(pace(now) / reach_pace / (squeezed_ ? 5 : 1))));
 }
@@ -272,7 +272,7 @@
 // Two random choices among the well nodes of the umpire's own stretch of the ring, in the own zone, or abroad
 // where that is clearly better. All umpires see the nodes in the same order and begin at points spread
 // evenly (golden section), so that the stretches load all nodes alike; what rests is stepped over.
-int EndpointSet::choose(bool young, const std::function<bool(int)>& may, bool careful, Span longest, Span now,
+int EndpointSet::choose(bool young, const std::function<bool(int)>& may, bool careful, Duration longest, TimePoint now,
                   RandomGenerator& random) {
   std::vector<int> found[2], poorly;
   std::size_t usable = 0;
@@ -314,7 +314,7 @@
 }
 
 // Where the list must be asked for: subscribe at once, again after a failure with growing pauses.
-std::optional<Decision> EndpointSet::next(Span now, RandomGenerator& random) {
+std::optional<Decision> EndpointSet::next(TimePoint now, RandomGenerator& random) {
   if (!settings_.must_ask || asked_ || now < ask_at_) return {};
   asked_ = true;
   ask_pause_ += from_millis(uniform_sample(random) * 200);
@@ -323,7 +323,7 @@
 
 // Exposure
 
-CanaryQuota::CanaryQuota(const CanaryQuotaSettings& settings, int request_classes, Span tick)
+CanaryQuota::CanaryQuota(const CanaryQuotaSettings& settings, int request_classes, Duration tick)
     : settings_(settings), tick_(tick), counts_(settings.by_request_class ? request_classes : 1) {}
 
 void CanaryQuota::news(const ReleaseUpdate& release) {
@@ -334,13 +334,13 @@
 CanaryQuota::Count& CanaryQuota::count(int request_class) { return counts_[settings_.by_request_class ? request_class : 0]; }
 
 // Sends are kept a tick longer than txns taken, so that either way of reading the window's ends holds.
-void CanaryQuota::trim(Count& count, Span now) const {
+void CanaryQuota::trim(Count& count, TimePoint now) const {
   while (!count.taken.empty() && count.taken.front() <= now - settings_.window + tick_)
     count.taken.pop_front();
   while (!count.sent.empty() && count.sent.front() < now - settings_.window - tick_) count.sent.pop_front();
 }
 
-void CanaryQuota::taken(int request_class, Span now) {
+void CanaryQuota::taken(int request_class, TimePoint now) {
   count(request_class).taken.push_back(now);
   trim(count(request_class), now);
 }
@@ -359,7 +359,7 @@
   return release_->phase == ReleasePhase::canary ? release_->cap : 0;
 }
 
-bool CanaryQuota::allows(const RequestInfo& request, int build, Idempotency idempotency, Span now) {
+bool CanaryQuota::allows(const RequestInfo& request, int build, Idempotency idempotency, TimePoint now) {
   if (settings_.one_way && !request.key.empty()) {
     auto moved = moved_keys_.find(request.key);
     if (moved != moved_keys_.end() && build < moved->second) return false;
@@ -379,8 +379,8 @@
 constexpr std::size_t fresh_kept = 600, older_kept = 800, fleet_enough = 30;
 constexpr double min_attempts = 10;  // the source's minimum before a stage is judged
 constexpr double most_compared = 0.9;  // of the cap: beyond, the older machines are idle or on their way out
-constexpr Span same_time = 2s;         // outcomes of both builds are compared in spans of this
-constexpr Span least_window = 4s;      // from the latest start in the stage
+constexpr Duration same_time = 2s;         // outcomes of both builds are compared in spans of this
+constexpr Duration least_window = 4s;      // from the latest start in the stage
 constexpr double failure_threshold = 0.03, flood_threshold = 0.2,
                  flood_least = 8;                           // beside older ones, and without
 constexpr double false_alarm_rate = 0.001, max_significance = 0.03;  // of failures: for one vote, and at most for many
@@ -388,11 +388,11 @@
 constexpr double machine_spread = 0.22;  // of the logarithm of a machine's latency, load included
 // How much slower the whole fleet must be, for twice so long, at what load, and than what it may be before.
 constexpr double shared_slow = 1.7, shared_load = 1.3, shared_before = 1.4;
-constexpr Span shared_window = 1500ms, fleet_most = 8s;
-constexpr Span clock_lag = 500ms;    // a step is near its end so long after latest start and step time
-constexpr Span stage_start_gap = 1s;      // machines of two waves start so far apart
-constexpr Span poorly_memory = 10s;  // machines of the older build that were poorly so lately
-constexpr Span hold_few = 1s, hold_most = 4s;  // the longest hold, for few figures and for doubtful ones
+constexpr Duration shared_window = 1500ms, fleet_most = 8s;
+constexpr Duration clock_lag = 500ms;    // a step is near its end so long after latest start and step time
+constexpr Duration stage_start_gap = 1s;      // machines of two waves start so far apart
+constexpr Duration poorly_memory = 10s;  // machines of the older build that were poorly so lately
+constexpr Duration hold_few = 1s, hold_most = 4s;  // the longest hold, for few figures and for doubtful ones
 bool nobody(const Sample&) { return false; }
 bool poorly(const Counts& c) { return c.n >= 3 && c.failed + c.lost >= std::max(2.0, 0.12 * c.n); }
 }  // namespace
@@ -406,7 +406,7 @@
     significance_ *= 2;
 }
 
-void CanaryAnalysis::news(const ReleaseUpdate& release, Span now) {
+void CanaryAnalysis::news(const ReleaseUpdate& release, TimePoint now) {
   bool moved = !release_ || release_->build != release.build || release_->stage != release.stage || release_->phase != release.phase;
   if (!release_ || release_->build != release.build) {
     seen_as_canary_ = false;
@@ -438,7 +438,7 @@
 
 void CanaryAnalysis::noted(int build, const Sample& sample) { (watched(build) ? fresh_ : older_).push(sample); }
 
-void CanaryAnalysis::tally(Arm& arm, const SlidingWindow<Sample>& samples, Span from,
+void CanaryAnalysis::tally(Arm& arm, const SlidingWindow<Sample>& samples, TimePoint from,
                   const std::function<bool(const Sample&)>& skip, Arm* beside) const {
   arm.by_request_class.resize(request_classes_);
   for (std::size_t i = 0; i < samples.size(); ++i) {
@@ -446,7 +446,7 @@
     if (sample.at < from) break;
     if (skip(sample)) continue;
     // By when it was sent: errors come at once and answers later, so a new arm shows its errors first.
-    long time = sample.sent / same_time;
+    long time = sample.sent.time_since_epoch() / same_time;
     const Counts then = beside ? beside->by_time[time] : Counts{};
     bool near = !beside || then.n >= 3;
     double usual = beside && then.timed > 0 ? then.sum / then.timed : 0;
@@ -463,7 +463,7 @@
 // Guards against harm that a release does to the whole fleet, which looks well beside the older build: nearly
 // all machines answer much slower than before the offer, though no more arrives and they did not in stage 0.
 // It errs where other umpires' traffic jumps during a trial and ours does not.
-bool CanaryAnalysis::shared_harm(double load, bool compared, Span now) const {
+bool CanaryAnalysis::shared_harm(double load, bool compared, TimePoint now) const {
   Arm fleet;
   tally(fleet, older_, since(older_, now), nobody);
   if (!compared) tally(fleet, fresh_, since(fresh_, now), nobody);
@@ -485,7 +485,7 @@
 // each might pass for a machine's own trouble. The chance that trouble picks just them; the least over the
 // waves.
 double CanaryAnalysis::aged(const std::vector<EndpointState>& endpoints, const Arm& young) const {
-  std::vector<std::pair<Span, int>> seen;
+  std::vector<std::pair<TimePoint, int>> seen;
   for (auto& [n, c] : young.by_endpoint)
     if (c.n >= 3 && endpoints[n].build == release_->build)
       seen.push_back({endpoints[n].started, poorly(c) || (c.timed >= 3 && c.mean() > std::log(aged_slow))});
@@ -503,8 +503,8 @@
 }
 
 // From when on the fleet is looked at: a short while, or longer where answers are few.
-Span CanaryAnalysis::since(const SlidingWindow<Sample>& of, Span now) const {
-  Span enough = !many_votes() ? now : of.size() < fleet_enough ? long_ago : of.back(fleet_enough - 1).at;
+TimePoint CanaryAnalysis::since(const SlidingWindow<Sample>& of, TimePoint now) const {
+  TimePoint enough = !many_votes() ? now : of.size() < fleet_enough ? long_ago : of.back(fleet_enough - 1).at;
   return std::clamp(enough, now - fleet_most, now - shared_window);
 }
 
@@ -517,7 +517,7 @@
 
 AnalysisResult CanaryAnalysis::condemn(const std::string& why) { return condemned_ = {Verdict::roll_back, why}; }
 
-AnalysisResult CanaryAnalysis::judge(const std::vector<EndpointState>& endpoints, double canary_requests_per_s, double load, Span now) {
+AnalysisResult CanaryAnalysis::judge(const std::vector<EndpointState>& endpoints, double canary_requests_per_s, double load, TimePoint now) {
   if (!release_ || (release_->phase != ReleasePhase::canary && !(release_->phase == ReleasePhase::released && seen_as_canary_)))
     return {};
   if (condemned_.verdict == Verdict::roll_back) return condemned_;
@@ -610,7 +610,7 @@
   if (wrong >= (many_votes() ? 1 : 3) && many && p_value < std::max(0.002, significance_))
     return condemn(figures("wrong answers", wrong, given));
 
-  Span latest = stage_at_;
+  TimePoint latest = stage_at_;
   int canary_endpoints = 0, baseline_endpoints = 0;
   for (const EndpointState& endpoint : endpoints) {
     if (!endpoint.listed || endpoint.phase == EndpointPhase::removed) continue;
@@ -619,7 +619,7 @@
     baseline_endpoints += endpoint.build < release_->build && endpoint.phase == EndpointPhase::ready;
   }
   // Where the clock's step is shorter than the window, the step is the window: it must be over in time.
-  Span length = settings_.promotion_mode == PromotionMode::clock ? std::min(least_window, settings_.step) : least_window;
+  Duration length = settings_.promotion_mode == PromotionMode::clock ? std::min(least_window, settings_.step) : least_window;
   bool window = now >= latest + std::max(length, settings_.bake);
   bool judged = young.all.n >= min_attempts && window;
 
@@ -686,7 +686,7 @@
 }
 
 // A decided umpire draws once per vote life, in the time of twice the votes needed; a hold ends at once.
-void VoteScheduler::wants(Verdict verdict, Span now, RandomGenerator& random) {
+void VoteScheduler::wants(Verdict verdict, TimePoint now, RandomGenerator& random) {
   if (verdict == want_) return;
   want_ = verdict;
   const int needed[] = {0, settings_.votes_to_promote, settings_.votes_to_hold, settings_.votes_to_roll_back};
@@ -694,7 +694,7 @@
   draw_at_ = now + from_millis(1e3 * uniform_sample(random) * voters / std::max(1.0, settings_.votes_per_s));
 }
 
-void VoteScheduler::answered(Outcome outcome, Span now) {
+void VoteScheduler::answered(Outcome outcome, TimePoint now) {
   waiting_ = false;
   if (outcome == Outcome::ok) {
     stands_ = asked_;
@@ -704,7 +704,7 @@
   }
 }
 
-std::optional<Decision> VoteScheduler::next(Span now, RandomGenerator& random) {
+std::optional<Decision> VoteScheduler::next(TimePoint now, RandomGenerator& random) {
   // An answer that never came: twice the longest wait is enough.
   if (waiting_ && now < asked_at_ + 2 * settings_.call_timeout) return {};
   if (now >= stands_until_) stands_ = Verdict::none;
@@ -757,7 +757,7 @@
 // How much is let in follows the umpire's own answers, pooled over nodes: it falls while many come late or
 // are turned away and rises while they don't, as AIMD does. Guards against jams that no umpire can see at a
 // node, of whose work each brings a small part. It may shed for a moment when silent nodes swallow txns.
-void RequestScheduler::felt(const Attempt& one, Outcome outcome, int request_class, Span now) {
+void RequestScheduler::felt(const Attempt& one, Outcome outcome, int request_class, TimePoint now) {
   const bool full = outcome == Outcome::rejected, ok = outcome == Outcome::ok;
   const double part = endpoints_.objective_ratio(request_class, now - one.sent);
   if (endpoints_.warmth(one.endpoint, one.sent) < 1 || !endpoints_.near(one.endpoint)) return;
@@ -776,7 +776,7 @@
       jam ? std::max(open_least, open_ * (1 - jam_falls * step)) : std::min(1.0, open_ + jam_rises * rise);
 }
 
-void RequestScheduler::ended(int id, int attempt, Outcome outcome, bool succeeded, Span now) {
+void RequestScheduler::ended(int id, int attempt, Outcome outcome, bool succeeded, TimePoint now) {
   auto at = requests_.find(id);
   if (at == requests_.end() || attempt >= static_cast<int>(at->second.attempts.size())) return;
   ScheduledRequest& request = at->second;
@@ -810,13 +810,13 @@
   requests_.erase(at);
 }
 
-void RequestScheduler::look(int id, ScheduledRequest& request, Span at) {
-  if (request.look_at != Span{} && request.look_at <= at) return;
+void RequestScheduler::look(int id, ScheduledRequest& request, TimePoint at) {
+  if (request.look_at != TimePoint{} && request.look_at <= at) return;
   request.look_at = at;
   looks_.push({at, id});
 }
 
-std::optional<Decision> RequestScheduler::next(Span now) {
+std::optional<Decision> RequestScheduler::next(TimePoint now) {
   while (!cancels_.empty()) {
     auto [id, attempt] = cancels_.front();
     cancels_.pop_front();
@@ -829,7 +829,7 @@
     looks_.pop();
     auto at = requests_.find(id);
     if (at == requests_.end() || at->second.look_at > now) continue;
-    at->second.look_at = Span{};
+    at->second.look_at = TimePoint{};
     ready_.push_back(id);
   }
   while (!ready_.empty()) {
@@ -844,7 +844,7 @@
 
 // The share of first attempts that the newest build is to get: 0.9 of the cap, but no more than its machines
 // can carry without working harder than `most_load` times a usual machine; they count by their warmth.
-double RequestScheduler::canary_share(Span now) {
+double RequestScheduler::canary_share(TimePoint now) {
   int newest = endpoints_.newest();
   if (!endpoints_.older()) return 1;
   const auto& endpoints = endpoints_.all();
@@ -862,7 +862,7 @@
 }
 
 // Rule 2: where a txn that may have run can go again.
-bool RequestScheduler::may_go(const ScheduledRequest& request, int endpoint, Span now) const {
+bool RequestScheduler::may_go(const ScheduledRequest& request, int endpoint, TimePoint now) const {
   const RequestClass& request_class = settings_.request_classes[request.info.request_class];
   if (request_class.idempotency == Idempotency::idempotent) return true;
   for (const Attempt& one : request.attempts) {
@@ -877,10 +877,10 @@
 }
 
 // Shedding by revenue: the less a txn brings, the shorter the queue that it may join.
-Span RequestScheduler::longest_wait(const ScheduledRequest& request, Span now) const {
+Duration RequestScheduler::longest_wait(const ScheduledRequest& request, TimePoint now) const {
   const RequestClass& request_class = settings_.request_classes[request.info.request_class];
   double most = 0;
-  Span latency_objective = request_class.latency_objective;
+  Duration latency_objective = request_class.latency_objective;
   for (const RequestClass& other : settings_.request_classes) {
     most = std::max(most, other.priority_weight);
     if (other.priority_weight >= request_class.priority_weight) latency_objective = std::min(latency_objective, other.latency_objective);
@@ -902,7 +902,7 @@
 
 bool RequestScheduler::shedding() const { return open_ < open_full; }
 
-int RequestScheduler::place(const ScheduledRequest& request, Span now) {
+int RequestScheduler::place(const ScheduledRequest& request, TimePoint now) {
   const RequestClass& request_class = settings_.request_classes[request.info.request_class];
   const int newest = endpoints_.newest();
   // A repeat goes to the older build where there is one: the trial's allowance is for first attempts.
@@ -924,7 +924,7 @@
   return -1;
 }
 
-std::optional<Decision> RequestScheduler::forward(int id, ScheduledRequest& request, int endpoint, Span now) {
+std::optional<Decision> RequestScheduler::forward(int id, ScheduledRequest& request, int endpoint, TimePoint now) {
   int build = endpoints_.all()[endpoint].build;
   bool canary = canary_quota_.is_canary(build),
        unreached = !request.attempts.empty() && request.attempts.back().unreached;
@@ -941,7 +941,7 @@
 }
 
 // Declining tells the client that it may safely come again, so it needs rule 2; else the txn is voided.
-std::optional<Decision> RequestScheduler::finish(int id, ScheduledRequest& request, Span pause, Span now) {
+std::optional<Decision> RequestScheduler::finish(int id, ScheduledRequest& request, Duration pause, TimePoint now) {
   const RequestClass& request_class = settings_.request_classes[request.info.request_class];
   bool repeatable = request_class.idempotency == Idempotency::idempotent ||
                     (request_class.idempotency == Idempotency::idempotent_with_key && request_class.dedup_scope == DedupScope::all);
@@ -952,23 +952,23 @@
   request.over = true;
   forget(id);
   if (!reject) return Decision{.action = Action::fail, .request_id = id};
-  return Decision{.action = Action::reject, .request_id = id, .span = settings_.advice ? pause : Span{}};
+  return Decision{.action = Action::reject, .request_id = id, .span = settings_.advice ? pause : Duration{}};
 }
 
-std::optional<Decision> RequestScheduler::decide(int id, ScheduledRequest& request, Span now) {
+std::optional<Decision> RequestScheduler::decide(int id, ScheduledRequest& request, TimePoint now) {
   const RequestClass& request_class = settings_.request_classes[request.info.request_class];
   bool out = std::any_of(request.attempts.begin(), request.attempts.end(), [](auto& one) { return one.out; });
   bool more = static_cast<int>(request.attempts.size()) < settings_.max_attempts;
-  Span left = request.info.deadline - now;
+  Duration left = request.info.deadline - now;
   if (out) {
     // A second copy guards against a silent or slow node; it is waste, so copies are rationed.
     if (!settings_.hedging || request_class.idempotency == Idempotency::non_idempotent || request_class.stream) return {};
     if (request.attempts.size() > 1 || !more) return {};
     const Attempt& one = request.attempts.back();
-    Span late = from_millis(std::max(endpoints_.usual_ms(request.info.request_class, 0.95), 0.35 * to_millis(request_class.latency_objective)));
+    Duration late = from_millis(std::max(endpoints_.usual_ms(request.info.request_class, 0.95), 0.35 * to_millis(request_class.latency_objective)));
     // A node that goes on answering others works on it: a copy would only do long work twice.
-    Span heard = endpoints_.all()[one.endpoint].heard_at;
-    Span due = heard > one.sent ? std::max(one.sent + late, heard + late / 2) : one.sent + late;
+    TimePoint heard = endpoints_.all()[one.endpoint].heard_at;
+    TimePoint due = heard > one.sent ? std::max(one.sent + late, heard + late / 2) : one.sent + late;
     if (now < due) return look(id, request, due), std::nullopt;
     if (count(again_) >= max_hedges || to_millis(left) < endpoints_.usual_ms(request.info.request_class, 0.5)) return {};
     int endpoint = place(request, now);
@@ -985,7 +985,7 @@
 }
 
 // While the umpire sheds: by revenue; what is beyond a tenant's share or whose client will hardly wait last.
-bool RequestScheduler::let_in(const RequestInfo& info, Span now) {
+bool RequestScheduler::let_in(const RequestInfo& info, TimePoint now) {
   if (!shedding()) return true;
   double mean = 0;
   for (const RequestClass& each : settings_.request_classes) mean += each.priority_weight / settings_.request_classes.size();
@@ -997,7 +997,7 @@
 
 // Umpire
 namespace {
-constexpr Span judge_every = 50ms, look_every = 100ms;
+constexpr Duration judge_every = 50ms, look_every = 100ms;
 constexpr std::size_t firsts_kept = 40;
 }  // namespace
 
@@ -1008,18 +1008,18 @@
       analysis_(analysis, static_cast<int>(requests.request_classes.size())), vote_scheduler_(analysis),
       requests_(requests, endpoints_, canary_quota_, random_), firsts_(firsts_kept) {}
 
-void DecisionEngine::request_arrived(const RequestInfo& request, Span now) {
+void DecisionEngine::request_arrived(const RequestInfo& request, TimePoint now) {
   canary_quota_.taken(request.request_class, now);
   if (!request.is_retry) firsts_.push(now);
   requests_.arrived(request);
 }
 
-void DecisionEngine::attempt_ended(int id, int index, Outcome outcome, bool succeeded, const Load& load, Span now) {
+void DecisionEngine::attempt_ended(int id, int index, Outcome outcome, bool succeeded, const Load& load, TimePoint now) {
   const ScheduledRequest* request = requests_.find(id);
   if (!request || index >= static_cast<int>(request->attempts.size())) return;
   const Attempt one = request->attempts[index];
   const RequestInfo info = request->info;
-  Span took = now - one.sent;
+  Duration took = now - one.sent;
   // What another node has failed already tells nothing of this one or its build: guards against txns that
   // fail anywhere, which as repeats would gather at the machines with room.
   bool failed_before =
@@ -1047,13 +1047,13 @@
   requests_.ended(id, index, outcome, succeeded, now);
 }
 
-void DecisionEngine::release_updated(const ReleaseUpdate& release, Span now) {
+void DecisionEngine::release_updated(const ReleaseUpdate& release, TimePoint now) {
   canary_quota_.news(release);
   analysis_.news(release, now);
   vote_scheduler_.news(release);
 }
 
-std::optional<Decision> DecisionEngine::next(Span now) {
+std::optional<Decision> DecisionEngine::next(TimePoint now) {
   if (now >= judged_at_ + judge_every) {
     judged_at_ = now;
     const double pace = rate_of(firsts_, now), load = pace / std::max(0.1, endpoints_.able(now));
@@ -1071,10 +1071,10 @@
   if (auto decision = endpoints_.next(now, random_)) return decision;
   if (auto decision = vote_scheduler_.next(now, random_)) return decision;
   if (auto decision = requests_.next(now)) return decision;
-  Span due = now + look_every;
+  TimePoint due = now + look_every;
   if (auto look = requests_.next_look()) due = std::min(due, *look);
   if (wake_at_ > now && wake_at_ <= due) return {};
-  wake_at_ = std::max(due, now + Span(1));
+  wake_at_ = std::max(due, now + Duration(1));
   return Decision{.action = Action::wake, .span = wake_at_ - now};
 }
 
--- a/src/logic.h
+++ b/src/logic.h
@@ -9,6 +9,7 @@
 #include <unordered_map>
 
 #include "statistics.h"
+#include "time/time_types.h"
 
 namespace robinhoist {
 
@@ -18,75 +19,76 @@
 class EndpointSet {
  public:
   EndpointSet(const EndpointSettings& settings, const std::vector<RequestClass>& request_classes);
-  void news(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, Span now);
-  void sent(int endpoint, Span now);
-  void ended(const Attempt& attempt, Outcome outcome, const RequestInfo& request, Span now);
-  void learn(int request_class, Span took, double cost_hint_ms);
-  void report(int endpoint, const Load& load, Span now);
-  double ratio(int request_class, Span took, double cost_hint_ms);
-  double objective_ratio(int request_class, Span took) const;
+  void news(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, TimePoint now);
+  void sent(int endpoint, TimePoint now);
+  void ended(const Attempt& attempt, Outcome outcome, const RequestInfo& request, TimePoint now);
+  void learn(int request_class, Duration took, double cost_hint_ms);
+  void report(int endpoint, const Load& load, TimePoint now);
+  double ratio(int request_class, Duration took, double cost_hint_ms);
+  double objective_ratio(int request_class, Duration took) const;
   double usual_ms(int request_class, double part);
   bool open(int endpoint) const;
   bool near(int endpoint) const { return endpoints_[endpoint].zone == settings_.zone; }
-  bool has_room(int endpoint, Span now);
-  bool resting(int endpoint, Span now) const;
-  bool well(int endpoint, Span now);
-  double warmth(int endpoint, Span now) const;
+  bool has_room(int endpoint, TimePoint now);
+  bool resting(int endpoint, TimePoint now) const;
+  bool well(int endpoint, TimePoint now);
+  double warmth(int endpoint, TimePoint now) const;
   int newest() const { return newest_; }
   bool older() const { return !rings_[0][0].empty() || !rings_[0][1].empty(); }
-  double able(Span now) const;
-  double cost(int endpoint, Span now);
-  Span wait(int endpoint, Span now);
-  double pace(Span now) const { return rate_of(sent_, now); }
-  int choose(bool young, const std::function<bool(int)>& may, bool careful, Span longest, Span now,
+  double able(TimePoint now) const;
+  double cost(int endpoint, TimePoint now);
+  Duration wait(int endpoint, TimePoint now);
+  double pace(TimePoint now) const { return rate_of(sent_, now); }
+  int choose(bool young, const std::function<bool(int)>& may, bool careful, Duration longest, TimePoint now,
              RandomGenerator& random);
-  std::optional<Decision> next(Span now, RandomGenerator& random);
+  std::optional<Decision> next(TimePoint now, RandomGenerator& random);
   const std::vector<EndpointState>& all() const { return endpoints_; }
 
  private:
-  std::size_t reach(Span now) const;
-  int better_of_two(const std::vector<int>& among, Span now, RandomGenerator& random);
-  Span patience();
-  const RecentResults& recent_results(int endpoint, Span now);
+  std::size_t reach(TimePoint now) const;
+  int better_of_two(const std::vector<int>& among, TimePoint now, RandomGenerator& random);
+  Duration patience();
+  const RecentResults& recent_results(int endpoint, TimePoint now);
   int warm();
 
   EndpointSettings settings_;
   std::vector<RequestClass> request_classes_;
   std::vector<EndpointState> endpoints_{};
   std::vector<QuantileWindow> took_, per_hint_;  // how long answers took: ms, and for each ms of hinted work
-  std::deque<std::pair<Span, int>> successes_{};
+  std::deque<std::pair<TimePoint, int>> successes_{};
   int warm_ = 0, newest_ = -1;
-  std::optional<Span> warm_asked_{};
+  std::optional<TimePoint> warm_asked_{};
   std::vector<int> rings_[2][2]{};  // open nodes by order: of the newest build or not, near or not
-  SlidingWindow<Span> sent_;
+  SlidingWindow<TimePoint> sent_;
   SlidingWindow<char> refused_;
   bool squeezed_ = false;  // connections are refused right and left
   bool asked_ = false;
-  Span ask_at_{}, ask_pause_{};
+  Duration ask_pause_{};
+  TimePoint ask_at_{};
 };
 
 // What may be sent to a release on trial.
 class CanaryQuota {
  public:
-  CanaryQuota(const CanaryQuotaSettings& settings, int request_classes, Span tick);
+  CanaryQuota(const CanaryQuotaSettings& settings, int request_classes, Duration tick);
   void news(const ReleaseUpdate& release);
-  void taken(int request_class, Span now);
-  void sent(int request_class, Span now) { count(request_class).sent.push_back(now); }
+  void taken(int request_class, TimePoint now);
+  void sent(int request_class, TimePoint now) { count(request_class).sent.push_back(now); }
   void answered(const std::string& key, int build);
   bool is_canary(int build) const;
   double cap(int build) const;
-  bool allows(const RequestInfo& request, int build, Idempotency idempotency, Span now);
+  bool allows(const RequestInfo& request, int build, Idempotency idempotency, TimePoint now);
   bool in_place() const { return settings_.in_place; }
 
  private:
   struct Count {
-    std::deque<Span> taken{}, sent{};
+    std::deque<TimePoint> taken{}, sent{};
   };
   Count& count(int request_class);
-  void trim(Count& count, Span now) const;
+  void trim(Count& count, TimePoint now) const;
 
   CanaryQuotaSettings settings_;
-  Span tick_;
+  Duration tick_;
   std::vector<Count> counts_;
   std::optional<ReleaseUpdate> release_{};
   std::unordered_map<std::string, int> moved_keys_{};
@@ -96,13 +98,13 @@
 class CanaryAnalysis {
  public:
   CanaryAnalysis(const AnalysisSettings& settings, int request_classes);
-  void news(const ReleaseUpdate& release, Span now);
+  void news(const ReleaseUpdate& release, TimePoint now);
   void noted(int build, const Sample& sample);
   void succeeded(int build) { answers_[build].first += 1; }
   void flagged(int build) { answers_[build].second += 1; }
   bool watched(int build) const;
   // A build once condemned stays so.
-  AnalysisResult judge(const std::vector<EndpointState>& endpoints, double canary_requests_per_s, double load, Span now);
+  AnalysisResult judge(const std::vector<EndpointState>& endpoints, double canary_requests_per_s, double load, TimePoint now);
   const std::optional<ReleaseUpdate>& release() const { return release_; }
 
  private:
@@ -118,9 +120,9 @@
   bool many_votes() const { return settings_.votes_to_roll_back > 1; }
   AnalysisResult condemn(const std::string& why);
   double aged(const std::vector<EndpointState>& endpoints, const Arm& young) const;
-  bool shared_harm(double load, bool compared, Span now) const;
-  Span since(const SlidingWindow<Sample>& of, Span now) const;
-  void tally(Arm& arm, const SlidingWindow<Sample>& samples, Span from,
+  bool shared_harm(double load, bool compared, TimePoint now) const;
+  TimePoint since(const SlidingWindow<Sample>& of, TimePoint now) const;
+  void tally(Arm& arm, const SlidingWindow<Sample>& samples, TimePoint from,
              const std::function<bool(const Sample&)>& skip, Arm* beside = nullptr) const;
 
   AnalysisSettings settings_;
@@ -128,13 +130,13 @@
   std::optional<ReleaseUpdate> release_{};
   bool seen_as_canary_ = false;
   AnalysisResult condemned_{};
-  Span stage_at_{}, counted_from_{}, held_from_ = long_ago;
+  TimePoint stage_at_{}, counted_from_{}, held_from_ = long_ago;
   SlidingWindow<Sample> fresh_, older_;
   double significance_;                        // of chance, at which one umpire's figures speak
   bool look_at_fleet_ = false;          // a stage has begun
   std::optional<double> usual_part_{};  // the fleet before the offer: mean log of latency over SLA time,
   double usual_load_ = 1;               // and submissions for each node's worth of capacity
-  Span slow_from_ = long_ago;
+  TimePoint slow_from_ = long_ago;
   std::map<int, std::pair<double, double>> answers_{};  // by build: answers passed on, and found wrong
 };
 
@@ -143,16 +145,16 @@
  public:
   explicit VoteScheduler(const AnalysisSettings& settings);
   void news(const ReleaseUpdate& release);
-  void wants(Verdict verdict, Span now, RandomGenerator& random);
-  void answered(Outcome outcome, Span now);
-  std::optional<Decision> next(Span now, RandomGenerator& random);
+  void wants(Verdict verdict, TimePoint now, RandomGenerator& random);
+  void answered(Outcome outcome, TimePoint now);
+  std::optional<Decision> next(TimePoint now, RandomGenerator& random);
 
  private:
   AnalysisSettings settings_;
   int build_ = -1, stage_ = -1;
   ReleasePhase phase_ = ReleasePhase::released;
   Verdict want_ = Verdict::none, stands_ = Verdict::none, asked_ = Verdict::none;
-  Span stands_until_ = long_ago, asked_at_ = long_ago, draw_at_{}, retry_at_ = long_ago;
+  TimePoint stands_until_ = long_ago, asked_at_ = long_ago, draw_at_{}, retry_at_ = long_ago;
   bool waiting_ = false;
 };
 
@@ -162,28 +164,28 @@
   RequestScheduler(const RequestSettings& settings, EndpointSet& endpoints, CanaryQuota& canary_quota, RandomGenerator& random);
   void arrived(const RequestInfo& request);
   void streaming(int request_id);
-  void ended(int request_id, int attempt, Outcome outcome, bool succeeded, Span now);
+  void ended(int request_id, int attempt, Outcome outcome, bool succeeded, TimePoint now);
   void left(int request_id);
   bool knows(int request_id) const { return requests_.count(request_id) > 0; }
   const ScheduledRequest* find(int request_id) const;
-  std::optional<Decision> next(Span now);
-  std::optional<Span> next_look() const {
-    return looks_.empty() ? std::nullopt : std::optional<Span>(looks_.top().first);
+  std::optional<Decision> next(TimePoint now);
+  std::optional<TimePoint> next_look() const {
+    return looks_.empty() ? std::nullopt : std::optional<TimePoint>(looks_.top().first);
   }
-  double canary_share(Span now);
+  double canary_share(TimePoint now);
   bool shedding() const;
 
  private:
-  std::optional<Decision> decide(int id, ScheduledRequest& request, Span now);
-  std::optional<Decision> forward(int id, ScheduledRequest& request, int endpoint, Span now);
-  std::optional<Decision> finish(int id, ScheduledRequest& request, Span pause, Span now);
-  int place(const ScheduledRequest& request, Span now);
-  void felt(const Attempt& one, Outcome outcome, int request_class, Span now);
-  Span longest_wait(const ScheduledRequest& request, Span now) const;
+  std::optional<Decision> decide(int id, ScheduledRequest& request, TimePoint now);
+  std::optional<Decision> forward(int id, ScheduledRequest& request, int endpoint, TimePoint now);
+  std::optional<Decision> finish(int id, ScheduledRequest& request, Duration pause, TimePoint now);
+  int place(const ScheduledRequest& request, TimePoint now);
+  void felt(const Attempt& one, Outcome outcome, int request_class, TimePoint now);
+  Duration longest_wait(const ScheduledRequest& request, TimePoint now) const;
   bool over_share(int tenant) const;
-  bool let_in(const RequestInfo& info, Span now);
-  bool may_go(const ScheduledRequest& request, int endpoint, Span now) const;
-  void look(int id, ScheduledRequest& request, Span at);
+  bool let_in(const RequestInfo& info, TimePoint now);
+  bool may_go(const ScheduledRequest& request, int endpoint, TimePoint now) const;
+  void look(int id, ScheduledRequest& request, TimePoint at);
   void forget(int id);
 
   RequestSettings settings_;
@@ -193,11 +195,11 @@
   std::unordered_map<int, ScheduledRequest> requests_{};
   std::deque<int> ready_{};
   std::deque<std::pair<int, int>> cancels_{};
-  std::priority_queue<std::pair<Span, int>, std::vector<std::pair<Span, int>>, std::greater<>> looks_{};
+  std::priority_queue<std::pair<TimePoint, int>, std::vector<std::pair<TimePoint, int>>, std::greater<>> looks_{};
   SlidingWindow<char> again_, rejections_;
   SlidingWindow<int> tenants_;
   SlidingWindow<char> slow_;
-  Span felt_at_{};
+  TimePoint felt_at_{};
   double open_ = 1;  // the part of txns that is let in
 };
 
@@ -208,20 +210,20 @@
   DecisionEngine(const DecisionEngine&) = delete;
   DecisionEngine& operator=(const DecisionEngine&) = delete;
 
-  void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, Span now) {
+  void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, TimePoint now) {
     endpoints_.news(kind, entries, now);
   }
-  void request_arrived(const RequestInfo& request, Span now);
+  void request_arrived(const RequestInfo& request, TimePoint now);
   void stream_began(int request_id) { requests_.streaming(request_id); }
-  void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded, const Load& load, Span now);
+  void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded, const Load& load, TimePoint now);
   void client_disconnected(int request_id) { requests_.left(request_id); }
-  void release_updated(const ReleaseUpdate& release, Span now);
-  void vote_answered(Outcome outcome, Span now) { vote_scheduler_.answered(outcome, now); }
+  void release_updated(const ReleaseUpdate& release, TimePoint now);
+  void vote_answered(Outcome outcome, TimePoint now) { vote_scheduler_.answered(outcome, now); }
   void answer_found_wrong(int endpoint) { analysis_.flagged(endpoints_.all()[endpoint].build); }
-  void probe_ended(int endpoint, const Load& load, Span now) { endpoints_.report(endpoint, load, now); }
+  void probe_ended(int endpoint, const Load& load, TimePoint now) { endpoints_.report(endpoint, load, now); }
 
   // The next decision, until there is none. Call again after each input and at each asked-for wake-up.
-  std::optional<Decision> next(Span now);
+  std::optional<Decision> next(TimePoint now);
   // Whether the txn still matters: false once it has ended and all its submissions have come back.
   bool knows(int request_id) const { return requests_.knows(request_id); }
 
@@ -232,8 +234,8 @@
   CanaryAnalysis analysis_;
   VoteScheduler vote_scheduler_;
   RequestScheduler requests_;
-  SlidingWindow<Span> firsts_;
-  Span judged_at_ = long_ago, wake_at_ = long_ago;
+  SlidingWindow<TimePoint> firsts_;
+  TimePoint judged_at_ = long_ago, wake_at_ = long_ago;
   std::string mode_{};
   std::deque<std::string> log_{};
 };
--- a/src/machine/machine.cpp
+++ b/src/machine/machine.cpp
@@ -4,17 +4,17 @@
 
 namespace robinhoist::machine {
 namespace {
-double seconds(Span s) { return std::chrono::duration<double>(s).count(); }
-Span times(Span s, double by) { return Span(static_cast<std::int64_t>(static_cast<double>(s.count()) * by)); }
-constexpr Span quick_answer = std::chrono::microseconds(300);  // an error or a known repeat
+double seconds(Duration s) { return std::chrono::duration<double>(s).count(); }
+Duration times(Duration s, double by) { return Duration(static_cast<std::int64_t>(static_cast<double>(s.count()) * by)); }
+constexpr Duration quick_answer = std::chrono::microseconds(300);  // an error or a known repeat
 }  // namespace
 
-bool Marks::known(const std::string& key, Span arrived) {
+bool Marks::known(const std::string& key, TimePoint arrived) {
   auto at = at_.find(key);
   return at != at_.end() && arrived < at->second + memory_;
 }
 
-void Marks::done(const std::string& key, Span now) {
+void Marks::done(const std::string& key, TimePoint now) {
   while (!order_.empty() && order_.front().first + memory_ + waits_most <= now) {
     auto old = at_.find(order_.front().second);
     if (old != at_.end() && old->second == order_.front().first) at_.erase(old);
@@ -24,7 +24,7 @@
   order_.emplace_back(now, key);
 }
 
-Machine::Machine(const Capacity& capacity, const Build& build, unsigned salt, Span started, Marks* marks,
+Machine::Machine(const Capacity& capacity, const Build& build, unsigned salt, TimePoint started, Marks* marks,
                  const SharedHarm* harm)
     : capacity_(capacity), build_(build), random_(salt), started_(started), marks_(marks), harm_(harm) {}
 
@@ -32,8 +32,8 @@
   return share > 0 && std::uniform_real_distribution<double>(0, 1)(random_) < share;
 }
 
-double Machine::warmth(Span now) const {
-  if (capacity_.cold_for <= Span{} || now >= started_ + capacity_.cold_for) return 1;
+double Machine::warmth(TimePoint now) const {
+  if (capacity_.cold_for <= Duration{} || now >= started_ + capacity_.cold_for) return 1;
   double age = std::max(0.0, seconds(now - started_) / seconds(capacity_.cold_for));
   return capacity_.cold_from + (1 - capacity_.cold_from) * age;
 }
@@ -42,12 +42,12 @@
   return std::min(1.0, static_cast<double>(running_.size()) / std::max(1, capacity_.cores));
 }
 
-double Machine::able(Span now) const {
+double Machine::able(TimePoint now) const {
   return capacity_.cores * capacity_.speed * warmth(now) * (1 - neighbour_) / slowed_;
 }
 
 // Times that work takes against a warm, empty, undisturbed machine of the first build.
-double Machine::slowness(Span now) const {
+double Machine::slowness(TimePoint now) const {
   double times = slowed_ / (build_.speed * capacity_.speed * warmth(now) * (1 - neighbour_));
   if (build_.flaw == Flaw::slow) times *= build_.strength;
   if (build_.flaw == Flaw::late && now >= started_ + build_.after) times *= build_.strength;
@@ -59,18 +59,18 @@
   return times * (1 + capacity_.crowding * std::max(0.0, crowd - 2 * capacity_.cores));
 }
 
-void Machine::fall(Span) {
+void Machine::fall(TimePoint) {
   fallen_ = true;
   running_.clear();
   waiting_.clear();
 }
 
-Entry Machine::arrive(const Work& work, Span now) {
+Entry Machine::arrive(const Work& work, TimePoint now) {
   if (fallen_) return Entry::down;
-  if (capacity_.fall_window > Span{} && warmth(now) < 1) {
+  if (capacity_.fall_window > Duration{} && warmth(now) < 1) {
     pushed_.emplace_back(now, work.work);
     while (pushed_.front().first <= now - capacity_.fall_window) pushed_.pop_front();
-    Span sum{};
+    Duration sum{};
     for (auto& [at, much] : pushed_) sum += much;
     double most = capacity_.fall_multiple * able(now) * seconds(capacity_.fall_window);
     most_pushed_ = std::max(most_pushed_, seconds(sum) / most);
@@ -99,12 +99,12 @@
   return Entry::taken;
 }
 
-void Machine::begin(Job job, Span now) {
+void Machine::begin(Job job, TimePoint now) {
   job.done = now + (job.quick ? quick_answer : times(job.work.work, slowness(now)));
   running_.push_back(std::move(job));
 }
 
-void Machine::fill(Span now) {
+void Machine::fill(TimePoint now) {
   while (!waiting_.empty() && static_cast<int>(running_.size()) < capacity_.slots) {
     Job job = std::move(waiting_.front());
     waiting_.pop_front();
@@ -112,20 +112,20 @@
   }
 }
 
-void Machine::called_off(std::int64_t id, bool queued, bool running, Span now) {
+void Machine::called_off(std::int64_t id, bool queued, bool running, TimePoint now) {
   auto is = [id](const Job& job) { return job.work.id == id; };
   if (queued) waiting_.erase(std::remove_if(waiting_.begin(), waiting_.end(), is), waiting_.end());
   if (running) running_.erase(std::remove_if(running_.begin(), running_.end(), is), running_.end());
   fill(now);
 }
 
-std::optional<Span> Machine::next_at() const {
+std::optional<TimePoint> Machine::next_at() const {
   if (running_.empty()) return {};
   return std::min_element(running_.begin(), running_.end(), [](auto& a, auto& b) { return a.done < b.done; })
       ->done;
 }
 
-std::optional<Done> Machine::next(Span now) {
+std::optional<Done> Machine::next(TimePoint now) {
   auto first = std::min_element(running_.begin(), running_.end(),
                                 [](const Job& a, const Job& b) { return a.done < b.done; });
   if (first == running_.end() || first->done > now) return {};
--- a/src/machine/machine.h
+++ b/src/machine/machine.h
@@ -13,9 +13,9 @@
 #include <unordered_map>
 #include <vector>
 
-namespace robinhoist::machine {
+#include "time/time_types.h"
 
-using Span = std::chrono::microseconds;
+namespace robinhoist::machine {
 
 struct Capacity {
   int cores = 2;
@@ -24,9 +24,9 @@
   double speed = 1;          // work done in a second by one core, in seconds of a standard core
   double crowding = 0;       // work grows by this part for each txn in work beyond twice the cores
   double cold_from = 0.3;    // of the capacity, at its start
-  Span cold_for{};           // until it is warm; rises evenly
+  Duration cold_for{};           // until it is warm; rises evenly
   double fall_multiple = 4;  // sent so many times what it can do,
-  Span fall_window{};        // for so long while cold, it falls over for good; 0: never
+  Duration fall_window{};        // for so long while cold, it falls over for good; 0: never
 };
 
 enum class Flaw { none, errors, slow, request_class, load, late, wrong, shared };
@@ -39,14 +39,14 @@
       0;  // share of txns that fail or are wrong; for slow, load, late and shared: times the work
   double failing = 0;  // load and late: the share that fails meanwhile
   int request_class = -1;    // for product
-  Span after{};        // late: from so long after the machine's start
+  Duration after{};        // late: from so long after the machine's start
   double busy = 0;     // load: while over this part of its cores is busy
 };
 
 struct Work {
   std::int64_t id = 0;
   int request_class = 0;
-  Span work{};        // on one standard core
+  Duration work{};        // on one standard core
   std::string key{};  // against repeats; empty: none
   bool effect = false;
 };
@@ -67,15 +67,15 @@
 // within the memory of a mark is a repeat, however long it then waits for its turn.
 class Marks {
  public:
-  explicit Marks(Span memory) : memory_(memory) {}
-  bool known(const std::string& key, Span arrived);
-  void done(const std::string& key, Span now);
+  explicit Marks(Duration memory) : memory_(memory) {}
+  bool known(const std::string& key, TimePoint arrived);
+  void done(const std::string& key, TimePoint now);
 
  private:
-  static constexpr Span waits_most = std::chrono::seconds(60);
-  Span memory_;
-  std::unordered_map<std::string, Span> at_{};
-  std::deque<std::pair<Span, std::string>> order_{};
+  static constexpr Duration waits_most = std::chrono::seconds(60);
+  Duration memory_;
+  std::unordered_map<std::string, TimePoint> at_{};
+  std::deque<std::pair<TimePoint, std::string>> order_{};
 };
 
 // How much a build that harms all machines slows them, by the traffic that it gets.
@@ -85,31 +85,31 @@
 
 class Machine {
  public:
-  Machine(const Capacity& capacity, const Build& build, unsigned salt, Span started, Marks* marks,
+  Machine(const Capacity& capacity, const Build& build, unsigned salt, TimePoint started, Marks* marks,
           const SharedHarm* harm = nullptr);
 
-  Entry arrive(const Work& work, Span now);
+  Entry arrive(const Work& work, TimePoint now);
   // The client no longer waits. Waiting work is dropped when `queued`, running work when `running`.
-  void called_off(std::int64_t id, bool queued, bool running, Span now);
+  void called_off(std::int64_t id, bool queued, bool running, TimePoint now);
   // What is done by now, one by one.
-  std::optional<Done> next(Span now);
-  std::optional<Span> next_at() const;
+  std::optional<Done> next(TimePoint now);
+  std::optional<TimePoint> next_at() const;
 
   // Troubles from outside.
   void slowed(double times) { slowed_ = times; }        // 1: none
   void failing(double share) { failing_ = share; }      // fails at once
   void neighbour(double share) { neighbour_ = share; }  // of the cores taken by another program
-  void fall(Span now);
+  void fall(TimePoint now);
 
-  double warmth(Span now) const;
+  double warmth(TimePoint now) const;
   bool fallen() const { return fallen_; }
   int held() const { return static_cast<int>(running_.size() + waiting_.size()); }
   int waiting() const { return static_cast<int>(waiting_.size()); }
   double busy() const;
   // What it can do now, in standard cores.
-  double able(Span now) const;
+  double able(TimePoint now) const;
   const Build& build() const { return build_; }
-  Span started() const { return started_; }
+  TimePoint started() const { return started_; }
   // Work sent to it while cold over what it may be sent in a window, at most so far.
   double most_pushed() const { return most_pushed_; }
 
@@ -117,23 +117,23 @@
   struct Job {
     Work work;
     Ran how;
-    Span arrived{}, done{};
+    TimePoint arrived{}, done{};
     bool quick = false;
   };
   bool uniform_sample(double share);
-  void begin(Job job, Span now);
-  void fill(Span now);
-  double slowness(Span now) const;
+  void begin(Job job, TimePoint now);
+  void fill(TimePoint now);
+  double slowness(TimePoint now) const;
 
   Capacity capacity_;
   Build build_;
   std::minstd_rand random_;
-  Span started_;
+  TimePoint started_;
   Marks* marks_;
   const SharedHarm* harm_;
   std::vector<Job> running_{};
   std::deque<Job> waiting_{};
-  std::deque<std::pair<Span, Span>> pushed_{};  // while cold: when, and how much work
+  std::deque<std::pair<TimePoint, Duration>> pushed_{};  // while cold: when, and how much work
   double slowed_ = 1, failing_ = 0, neighbour_ = 0, most_pushed_ = 0;
   bool fallen_ = false;
 };
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -4,7 +4,7 @@
 
 namespace robinhoist::membership {
 
-Heard Members::heard(const std::string& name, const std::string& session, Span now) {
+Heard Members::heard(const std::string& name, const std::string& session, TimePoint now) {
   auto former = former_.find(name);
   if (former != former_.end() && former->second == session) return Heard::superseded;
   auto [at, fresh] = members_.try_emplace(name);
@@ -43,7 +43,7 @@
   return true;
 }
 
-bool Members::tick(Span now) {
+bool Members::tick(TimePoint now) {
   const int live_before = live(), known_before = known();
   for (auto& [name, member] : members_)
     if (now >= member.heard + settings_.lease) member.live = false;
@@ -60,9 +60,9 @@
   return live() != live_before || known() != known_before;
 }
 
-std::optional<Span> Members::next_look() const {
-  std::optional<Span> at;
-  const auto by = [&](Span when) {
+std::optional<TimePoint> Members::next_look() const {
+  std::optional<TimePoint> at;
+  const auto by = [&](TimePoint when) {
     if (!at || when < *at) at = when;
   };
   for (auto& [name, member] : members_) {
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -16,14 +16,14 @@
 #include <optional>
 #include <string>
 
-namespace robinhoist::membership {
+#include "time/time_types.h"
 
-using Span = std::chrono::microseconds;
+namespace robinhoist::membership {
 
 struct Settings {
   int expected = 1;
-  Span lease{};   // without a word for so long it is not live
-  Span memory{};  // and after so long not known; none is forgotten while a release is on trial
+  Duration lease{};   // without a word for so long it is not live
+  Duration memory{};  // and after so long not known; none is forgotten while a release is on trial
 };
 
 // The state of a release as an umpire has acknowledged it.
@@ -31,7 +31,7 @@
   int build = -1, stage = 0;
   double cap = 0;
   std::int64_t version = 0;
-  Span at{};
+  TimePoint at{};
   bool operator==(const Acknowledged& other) const {
     return build == other.build && stage == other.stage && cap == other.cap && version == other.version;
   }
@@ -39,7 +39,7 @@
 
 struct Member {
   std::string session{};
-  Span since{}, heard{};
+  TimePoint since{}, heard{};
   bool live = true;
   int restarts = 0;
   std::optional<Acknowledged> acknowledged{};
@@ -52,7 +52,7 @@
   explicit Members(const Settings& settings) : settings_(settings) {}
 
   // Inputs. A heartbeat of a session that has been taken over says `superseded` and changes nothing.
-  Heard heard(const std::string& name, const std::string& session, Span now);
+  Heard heard(const std::string& name, const std::string& session, TimePoint now);
   // False unless that session is the one that holds the name.
   bool acknowledges(const std::string& name, const std::string& session, const Acknowledged& what);
   // It has said that it leaves.
@@ -60,8 +60,8 @@
   void canary_running(bool on) { canary_running_ = on; }
 
   // Decisions. Notes whose lease has ended and who is forgotten; true when a count has changed.
-  bool tick(Span now);
-  std::optional<Span> next_look() const;
+  bool tick(TimePoint now);
+  std::optional<TimePoint> next_look() const;
   int known() const;
   int live() const;
   // Against how many a share is counted.
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -62,7 +62,7 @@
   settings.zone = whole(params, "zone");
   settings.me = whole(params, "me");
   settings.proxies = whole(params, "balancers", 1);
-  settings.cold_for = time_of(safety, "cold_ms");
+  settings.cold_for = duration_of(safety, "cold_ms");
   settings.fall_window = span(positive(safety, "fall_ms"));
   settings.ask_within = span(not_negative(safety, "ask_within_ms"));
   settings.cold_from = positive(safety, "cold_from");
--- a/src/module_settings/module_settings.h
+++ b/src/module_settings/module_settings.h
@@ -7,6 +7,7 @@
 
 #include "json/fields.h"
 #include "state.h"
+#include "time/time_types.h"
 
 namespace robinhoist::module_settings {
 
@@ -16,7 +17,7 @@
   AnalysisSettings analysis{};
   RequestSettings requests{};
   std::vector<std::string> request_classes{}, tenants{}, zones{};  // by index
-  Span connect_within{}, keep_idle{};  // for a connection to come up; an idle one is closed by its node
+  Duration connect_within{}, keep_idle{};  // for a connection to come up; an idle one is closed by its node
 
   int request_class(std::string_view name) const { return index(request_classes, name); }
   int zone(std::string_view name) const { return index(zones, name); }
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -14,8 +14,6 @@
 namespace {
 constexpr std::size_t lateness_kept = 8192;
 
-Span since(std::chrono::nanoseconds value) { return std::chrono::duration_cast<Span>(value); }
-
 // What one task throws must not cost the others their turn; it goes where the reactor sends what handlers
 // throw.
 void carry_out(const Loop::Task& task) {
@@ -32,8 +30,8 @@
 }
 }  // namespace
 
-Span steady_now() { return since(std::chrono::steady_clock::now().time_since_epoch()); }
-Span wall_now() { return since(std::chrono::system_clock::now().time_since_epoch()); }
+SteadyTime steady_now() { return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now()); }
+WallTime wall_now() { return std::chrono::time_point_cast<Duration>(std::chrono::system_clock::now()); }
 
 Watched::Watched(Loop& loop, int fd, std::function<void()> readable)
     : loop_(loop), socket_(new Poco::Net::StreamSocketImpl(fd)), readable_(std::move(readable)) {
@@ -58,7 +56,7 @@
   readable_();
 }
 
-Loop::Loop(Span epoch)
+Loop::Loop(SteadyTime epoch)
     : epoch_(epoch), timer_fd_(timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC)),
       event_fd_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
   if (timer_fd_ < 0 || event_fd_ < 0) throw std::runtime_error("no file descriptor left for the event loop");
@@ -69,7 +67,7 @@
 
 Loop::~Loop() = default;
 
-Loop::Timer Loop::at(Span when, Task task) {
+Loop::Timer Loop::at(TimePoint when, Task task) {
   Timer timer{when, next_id_++};
   tasks_.emplace(timer, std::move(task));
   if (tasks_.begin()->first == timer) arm();
@@ -81,17 +79,17 @@
   timer = no_timer;
 }
 
-void Loop::pass(Span time) {
+void Loop::pass(Duration time) {
   epoch_ -= time;
-  armed_ = Span{};
+  armed_ = TimePoint{};
   arm();
 }
 
 // An earlier alarm than needed is left as it is: it finds nothing due and sets the next.
 void Loop::arm() {
   if (tasks_.empty()) return;
-  Span when = tasks_.begin()->first.first;
-  if (armed_ != Span{} && armed_ <= when) return;
+  TimePoint when = tasks_.begin()->first.first;
+  if (armed_ != TimePoint{} && armed_ <= when) return;
   armed_ = when;
   auto left = std::max(std::chrono::nanoseconds(1), std::chrono::nanoseconds(when - now()));
   itimerspec spec{};
@@ -102,8 +100,8 @@
 
 void Loop::on_timer() {
   drain(timer_fd_);
-  armed_ = Span{};
-  const Span until = now();  // what falls due meanwhile waits for sockets to have their turn
+  armed_ = TimePoint{};
+  const TimePoint until = now();  // what falls due meanwhile waits for sockets to have their turn
   while (!tasks_.empty() && tasks_.begin()->first.first <= until) {
     auto due = tasks_.extract(tasks_.begin());
     const auto late = static_cast<std::int32_t>((now() - due.key().first).count());
@@ -169,7 +167,7 @@
   for (auto& [id, timer] : held_) loop_.cancel(timer);
 }
 
-void Timers::at(Span when, Loop::Task task) {
+void Timers::at(TimePoint when, Loop::Task task) {
   const std::uint64_t id = next_++;
   held_[id] = loop_.at(when, [this, id, task = std::move(task)] {
     held_.erase(id);
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -17,15 +17,15 @@
 #include <utility>
 #include <vector>
 
-namespace robinhoist::net {
+#include "time/time_types.h"
 
-using Span = std::chrono::microseconds;
+namespace robinhoist::net {
 
 // Time on this machine's steady clock, the same in every process; `epoch` is taken off by whoever wants spans
 // since a start.
-Span steady_now();
+SteadyTime steady_now();
 // Time since 1970, for what crosses machines.
-Span wall_now();
+WallTime wall_now();
 
 class Loop;
 
@@ -50,19 +50,19 @@
 class Loop : public Poco::Net::SocketReactor {
  public:
   using Task = std::function<void()>;
-  using Timer = std::pair<Span, std::uint64_t>;  // when, and which
-  static constexpr Timer no_timer{Span{}, 0};
+  using Timer = std::pair<TimePoint, std::uint64_t>;  // when, and which
+  static constexpr Timer no_timer{TimePoint{}, 0};
 
-  explicit Loop(Span epoch = Span{});
+  explicit Loop(SteadyTime epoch = SteadyTime{});
   ~Loop() override;
 
-  Span now() const { return steady_now() - epoch_; }
-  Span epoch() const { return epoch_; }
-  Timer at(Span when, Task task);
-  Timer in(Span wait, Task task) { return at(now() + wait, std::move(task)); }
+  TimePoint now() const { return TimePoint(steady_now() - epoch_); }
+  SteadyTime epoch() const { return epoch_; }
+  Timer at(TimePoint when, Task task);
+  Timer in(Duration wait, Task task) { return at(now() + wait, std::move(task)); }
   void cancel(Timer& timer);
   // As if so much time had passed: what falls due meanwhile runs next. For those who test long lives.
-  void pass(Span time);
+  void pass(Duration time);
   // From any thread: runs on the loop's thread, in order.
   void post(Task task);
   // From any thread: ends run() soon.
@@ -81,11 +81,11 @@
   void on_posted();
   void arm();
 
-  Span epoch_;
+  SteadyTime epoch_;
   int timer_fd_, event_fd_;
   std::map<Timer, Task> tasks_{};
   std::uint64_t next_id_ = 1;
-  Span armed_{};
+  TimePoint armed_{};
   std::mutex mutex_{};
   std::vector<Task> posted_{};
   std::vector<std::int32_t> lateness_{};
@@ -100,8 +100,8 @@
   ~Timers();
   Timers(const Timers&) = delete;
   Timers& operator=(const Timers&) = delete;
-  void at(Span when, Loop::Task task);
-  void in(Span wait, Loop::Task task) { at(loop_.now() + wait, std::move(task)); }
+  void at(TimePoint when, Loop::Task task);
+  void in(Duration wait, Loop::Task task) { at(loop_.now() + wait, std::move(task)); }
 
  private:
   Loop& loop_;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -15,7 +15,7 @@
 namespace {
 constexpr std::size_t read_at_once = 64 * 1024;
 constexpr std::size_t kept_at_most = 4 * 1024;  // of an empty buffer: large messages are rare
-constexpr Span starved_pause = std::chrono::milliseconds(50);
+constexpr Duration starved_pause = std::chrono::milliseconds(50);
 
 template <class N>
 using Observer = Poco::Observer<Stream, N>;
@@ -41,7 +41,7 @@
   const bool failed = fd < 0 || (::connect(fd, to.addr(), to.length()) < 0 && errno != EINPROGRESS);
   if (failed) {
     // Told later like any other refusal, so that callers need no second path.
-    loop.in(Span(0), [stream] {
+    loop.in(Duration(0), [stream] {
       if (stream->owner_) stream->close(Closed::refused);
     });
     return stream;
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -62,7 +62,7 @@
     entry.phase = enumerator<EndpointPhase>(
         member, "phase", {{"ready", EndpointPhase::ready}, {"draining", EndpointPhase::draining}, {"gone", EndpointPhase::removed}});
     entry.size = number_or(member, "size", 1);
-    entry.started = span(number_or(member, "up_since_ms", 0));
+    entry.started = WallTime(span(number_or(member, "up_since_ms", 0)));
     news.entries.push_back(std::move(entry));
   }
   return news;
@@ -79,7 +79,7 @@
                               {"ROLLED_BACK", ReleasePhase::rolled_back}});
   release.cap = number(object, "MaxShare");
   if (!(release.cap >= 0)) mistyped("MaxShare", "a number from 0");
-  release.since = time_of(object, "AgeMs");
+  release.since = duration_of(object, "AgeMs");
   return release;
 }
 
--- a/src/platform/process.cpp
+++ b/src/platform/process.cpp
@@ -19,9 +19,9 @@
 // Nodes' answers are larger than the protocol says (400 KB were seen), so they are bounded by the memory:
 // this many at once, each with its copies on the way through.
 constexpr double answers_held = 96;
-constexpr Span first_within = 2s, request_within = 2s, idle_for = 5s;
-constexpr Span restart_window = 600ms;  // new connections may still come for so long after SIGTERM
-constexpr Span figures_every = 5s;
+constexpr Duration first_within = 2s, request_within = 2s, idle_for = 5s;
+constexpr Duration restart_window = 600ms;  // new connections may still come for so long after SIGTERM
+constexpr Duration figures_every = 5s;
 
 }  // namespace
 
@@ -63,7 +63,7 @@
                       log);
   const PlatformProtocol protocol(config.module_settings);
   proxy::Router router(loop, router_settings(config), config.module_settings, protocol, log, endpoints, releases);
-  releases.on_flagged([&](const std::string& endpoint, Span) { router.found_wrong(endpoint); });
+  releases.on_flagged([&](const std::string& endpoint, Duration) { router.found_wrong(endpoint); });
 
   bool stopping = false;
   net::Signals signals(loop, {SIGTERM, SIGINT, SIGHUP}, [&](int which) {
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -112,7 +112,7 @@
   return parsed;
 }
 
-void PlatformProtocol::prepare_attempt(http::Request& onward, std::size_t, Span within) const {
+void PlatformProtocol::prepare_attempt(http::Request& onward, std::size_t, Duration within) const {
   onward.headers.set(time_header, std::to_string(std::max<long>(1, within.count())) + "u");
 }
 
@@ -146,9 +146,9 @@
   return passed;
 }
 
-http::Response PlatformProtocol::rejected(Span pause, const std::string& why) const {
+http::Response PlatformProtocol::rejected(Duration pause, const std::string& why) const {
   http::Response response = http::text_answer(503, "declined, it is safe to try again: " + why + "\n");
-  if (pause > Span{}) {
+  if (pause > Duration{}) {
     char text[32];
     std::snprintf(text, sizeof text, "%.3f", to_seconds(pause));
     response.headers.add("Retry-After", text);
--- a/src/platform/protocol.h
+++ b/src/platform/protocol.h
@@ -3,6 +3,7 @@
 #pragma once
 #include "module_settings/module_settings.h"
 #include "proxy/protocol.h"
+#include "time/time_types.h"
 
 namespace robinhoist::platform {
 
@@ -11,11 +12,11 @@
   explicit PlatformProtocol(const module_settings::ModuleSettings& module_settings) : module_settings_(module_settings) {}
   std::optional<http::Response> admin_response(const http::Request& request, bool routes) const override;
   proxy::ParsedRequest read(http::Exchange& exchange, int request_id) const override;
-  void prepare_attempt(http::Request& onward, std::size_t number, Span within) const override;
+  void prepare_attempt(http::Request& onward, std::size_t number, Duration within) const override;
   proxy::AttemptResult classify(http::Ended how, const http::Response& response) const override;
   http::Response rejected_before_routing(const proxy::Rejection& rejection) const override;
   http::Response succeeded(http::Response&& from, const std::string& endpoint, int build) const override;
-  http::Response rejected(Span pause, const std::string& why) const override;
+  http::Response rejected(Duration pause, const std::string& why) const override;
   http::Response failed(bool late, const std::string& why) const override;
 
  private:
--- a/src/platform/sources.cpp
+++ b/src/platform/sources.cpp
@@ -10,16 +10,16 @@
 
 // What a watch misses counts as told so long after it fell silent, whether or not it came: by then the
 // silence must be known, another watch be up and its list taken, though a connection or two hang on the way.
-constexpr net::Span told_after = 6s;
+constexpr Duration told_after = 6s;
 // An empty line is due every two seconds, and the agent is on this machine and answers at once.
-constexpr net::Span endpoints_silent = told_after / 2, endpoints_first = 1s, endpoints_pause = 500ms;
+constexpr Duration endpoints_silent = told_after / 2, endpoints_first = 1s, endpoints_pause = 500ms;
 // A sign of life is due every second.
-constexpr net::Span releases_silent = 3s, releases_pause = 2s;
-constexpr net::Span pause_least = 50ms;
+constexpr Duration releases_silent = 3s, releases_pause = 2s;
+constexpr Duration pause_least = 50ms;
 constexpr std::size_t longest_object = 1 << 20;
 constexpr std::size_t votes_at_once = 4;
 // Two words of one state differ by the way they took.
-constexpr Span same_state = 100ms;
+constexpr Duration same_state = 100ms;
 
 http::Limits api_limits() { return {.header = 8 * 1024, .body = longest_object, .framed = true}; }
 
@@ -173,7 +173,7 @@
 }
 
 ReleaseApi::ReleaseApi(net::Loop& loop, const std::string& address, const ReleaseUpdate& known,
-                       net::Span vote_within, unsigned salt, const log::Log& log)
+                       Duration vote_within, unsigned salt, const log::Log& log)
     : loop_(loop), vote_within_(vote_within), known_(known), known_from_(loop.now() - known.since),
       caller_(std::make_unique<http::Caller>(loop, Poco::Net::SocketAddress(address), for_votes())),
       watch_(loop, address, watching(salt), log) {}
@@ -181,7 +181,7 @@
 void ReleaseApi::start(Heard heard) {
   heard_ = std::move(heard);
   ReleaseUpdate at_start = known_;
-  at_start.since = std::max(Span{}, loop_.now() - known_from_);
+  at_start.since = std::max(Duration{}, loop_.now() - known_from_);
   heard_(at_start);
   watch_.start([] { return "/v1/watch"; },
                [this](const json::Json& line) {
@@ -190,7 +190,7 @@
                  const json::Json& object = json::inner(line, "object");
                  if (type == "ROLLOUT") return told(release_update_of(object));
                  if (type == "DISPUTE" && flagged_)
-                   flagged_(json::text(object, "InstanceId"), json::time_of(object, "AgeMs"));
+                   flagged_(json::text(object, "InstanceId"), json::duration_of(object, "AgeMs"));
                });
 }
 
@@ -198,7 +198,7 @@
 // is no news. An answer that was long on its way seems younger than it is, by as much as a vote may take:
 // guards against the cap of a stage that is over.
 void ReleaseApi::told(const ReleaseUpdate& release) {
-  const Span from = loop_.now() - release.since;
+  const TimePoint from = loop_.now() - release.since;
   if (release.build < known_.build) return;
   if (release.build == known_.build) {
     const auto now = place(release), before = place(known_);
--- a/src/platform/sources.h
+++ b/src/platform/sources.h
@@ -13,6 +13,7 @@
 #include "platform/config.h"
 #include "retry/backoff.h"
 #include "proxy/sources.h"
+#include "time/time_types.h"
 
 namespace robinhoist::platform {
 
@@ -24,7 +25,7 @@
   struct Settings {
     std::string what{};  // for the log
     http::StreamCaller::Silence silence{};
-    net::Span pause_most{};
+    Duration pause_most{};
     unsigned salt = 1;
   };
   using Target = std::function<std::string()>;
@@ -70,16 +71,16 @@
 
   net::Loop& loop_;
   std::int64_t version_;
-  std::optional<Span> older_from_{};  // since when only versions older than the one held are told
+  std::optional<TimePoint> older_from_{};  // since when only versions older than the one held are told
   Heard heard_{};
   Watch watch_;
 };
 
 class ReleaseApi : public proxy::ReleaseSource {
  public:
-  using Flagged = std::function<void(const std::string& endpoint, Span ago)>;
+  using Flagged = std::function<void(const std::string& endpoint, Duration ago)>;
   static Watch::Settings watching(unsigned salt);
-  ReleaseApi(net::Loop& loop, const std::string& address, const ReleaseUpdate& known, net::Span vote_within,
+  ReleaseApi(net::Loop& loop, const std::string& address, const ReleaseUpdate& known, Duration vote_within,
              unsigned salt, const log::Log& log);
   void start(Heard heard) override;
   void vote(int build, int stage, Verdict verdict, Answered answered) override;
@@ -91,9 +92,9 @@
   void told(const ReleaseUpdate& release);
 
   net::Loop& loop_;
-  net::Span vote_within_;
+  Duration vote_within_;
   ReleaseUpdate known_;
-  Span known_from_;  // when it came to stand so
+  TimePoint known_from_;  // when it came to stand so
   std::unique_ptr<http::Caller> caller_;
   std::vector<std::unique_ptr<http::Caller>> leaving_{};  // with votes out to an address given up
   Watch watch_;
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -85,7 +85,7 @@
   return parsed;
 }
 
-void HttpProtocol::prepare_attempt(http::Request& onward, std::size_t number, Span) const {
+void HttpProtocol::prepare_attempt(http::Request& onward, std::size_t number, Duration) const {
   onward.headers.set("Robinhoist-Submission", std::to_string(number));
 }
 
@@ -111,9 +111,9 @@
   return worded(std::move(passed), "settled", "answered");
 }
 
-http::Response HttpProtocol::rejected(Span pause, const std::string& why) const {
+http::Response HttpProtocol::rejected(Duration pause, const std::string& why) const {
   http::Response response = http::text_answer(503, "declined: it is safe to try again\n");
-  if (pause > Span{}) {
+  if (pause > Duration{}) {
     response.headers.add("Retry-After", std::to_string(static_cast<long>(std::ceil(to_seconds(pause)))));
     response.headers.add("Robinhoist-Retry-After-Ms", std::to_string(static_cast<long>(to_millis(pause))));
   }
--- a/src/proxy/protocol.h
+++ b/src/proxy/protocol.h
@@ -8,6 +8,7 @@
 #include "http/caller.h"
 #include "http/server.h"
 #include "state.h"
+#include "time/time_types.h"
 
 namespace robinhoist::proxy {
 
@@ -59,12 +60,12 @@
   virtual std::optional<http::Response> admin_response(const http::Request& request, bool routes) const = 0;
   // `txn` is the number that the txn gets if it is taken.
   virtual ParsedRequest read(http::Exchange& exchange, int request_id) const = 0;
-  virtual void prepare_attempt(http::Request& onward, std::size_t number, Span within) const = 0;
+  virtual void prepare_attempt(http::Request& onward, std::size_t number, Duration within) const = 0;
   virtual AttemptResult classify(http::Ended how, const http::Response& response) const = 0;
 
   virtual http::Response rejected_before_routing(const Rejection& rejection) const = 0;
   virtual http::Response succeeded(http::Response&& from, const std::string& endpoint, int build) const = 0;
-  virtual http::Response rejected(Span pause, const std::string& why) const = 0;
+  virtual http::Response rejected(Duration pause, const std::string& why) const = 0;
   virtual http::Response failed(bool late, const std::string& why) const = 0;
 };
 
--- a/src/proxy/router.cpp
+++ b/src/proxy/router.cpp
@@ -14,13 +14,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span client_outcomes_interval = 1s;  // how txns did, told to the controller
-constexpr Span index_kept = 60s;     // a node's index is given to another this long after it has left
-constexpr Span cached_list_grace = 1s;    // from the start; then a saved list must do
+constexpr Duration client_outcomes_interval = 1s;  // how txns did, told to the controller
+constexpr Duration index_kept = 60s;     // a node's index is given to another this long after it has left
+constexpr Duration cached_list_grace = 1s;    // from the start; then a saved list must do
 // Nine in ten restarted processes have to be ready within 10 s, whatever is heard by then: one that knows no
 // nodes declines at once, which is harmless.
-constexpr Span ready_by = 8s;
-constexpr Span drain_look_every = 10ms;
+constexpr Duration ready_by = 8s;
+constexpr Duration drain_look_every = 10ms;
 
 // Of a trace: as many digits as tell something.
 std::string figure(double value) {
@@ -36,7 +36,7 @@
     : loop_(loop), settings_(settings), module_settings_(module_settings), protocol_(protocol), log_(log), endpoint_source_(endpoints),
       release_source_(releases),
       engine_(settings.salt, module_settings.endpoints, module_settings.canary_quota, module_settings.analysis, module_settings.requests),
-      traces_(settings.trace, settings.salt), wall_start_(net::wall_now() - loop.now()) {}
+      traces_(settings.trace, settings.salt), wall_start_(net::wall_now() - loop.now().time_since_epoch()) {}
 
 Router::~Router() {
   loop_.cancel(wake_);
@@ -101,7 +101,7 @@
 
 // Whether there are nodes to route to, by a list that is not a saved one if that can be had soon.
 bool Router::routes() const {
-  const Span now = loop_.now();
+  const TimePoint now = loop_.now();
   return !drained_ && ((!listed_.empty() && (live_endpoints_ || now > started_at_ + cached_list_grace)) ||
                        now > started_at_ + ready_by);
 }
@@ -109,7 +109,7 @@
 void Router::take(const http::ExchangePtr& exchange) {
   if (auto admin_response = protocol_.admin_response(exchange->request, routes())) return exchange->answer(std::move(*admin_response));
   if (drained_) return rejected_before_routing(exchange, {503, "this umpire is stopping"});
-  const Span now = loop_.now();
+  const TimePoint now = loop_.now();
   ParsedRequest parsed = protocol_.read(*exchange, next_request_id());
   if (parsed.rejection) return rejected_before_routing(exchange, *parsed.rejection);
   if (!parsed.id.empty() && !open_ids_.insert(parsed.id).second)
@@ -199,7 +199,7 @@
 void Router::heard(const registry::Update& news, bool saved) {
   ++counters_.endpoint_updates;
   live_endpoints_ |= !saved;
-  const Span now = loop_.now();
+  const TimePoint now = loop_.now();
   if (news.whole) listed_.clear();
   std::vector<EndpointInfo> entries;
   std::vector<bool> named(upstreams_.size(), false);
@@ -235,8 +235,8 @@
     endpoint.phase = entry.phase;
     endpoint.size = entry.size;
     // In spans since our own start; a start at our very beginning must not read as 'long ago'.
-    if (entry.started != Span{}) endpoint.started = entry.started - wall_start_;
-    if (entry.started != Span{} && endpoint.started == Span{}) endpoint.started = Span(1);
+    if (entry.started != WallTime{}) endpoint.started = TimePoint(entry.started - wall_start_);
+    if (entry.started != WallTime{} && endpoint.started == TimePoint{}) endpoint.started = TimePoint(Duration(1));
     endpoint.order = XXH64(entry.name.data(), entry.name.size(), 0);
     entries.push_back(endpoint);
   }
@@ -250,7 +250,7 @@
   if (counters_.release_updates == 0 && !listed_.empty()) {
     int lowest = listed_.begin()->second.build;
     for (auto& [name, entry] : listed_) lowest = std::min(lowest, entry.build);
-    engine_.release_updated(ReleaseUpdate{lowest, 0, ReleasePhase::released, 1, Span{}}, now);
+    engine_.release_updated(ReleaseUpdate{lowest, 0, ReleasePhase::released, 1, Duration{}}, now);
   }
   engine_.endpoints_updated(saved ? EndpointUpdateKind::cached : news.whole ? EndpointUpdateKind::complete : EndpointUpdateKind::incremental, entries, now);
   // Guards against news overtaken by a submission that waits for its connection.
@@ -292,7 +292,7 @@
       const bool late = in_flight.attempts.empty() || in_flight.last == Outcome::timeout;
       const char* why = in_flight.attempts.empty() ? "expired" : rollout::to_string(in_flight.last);
       ++counters_.failed;
-      finish_request(in_flight, protocol_.failed(late, why), "voided", why, Span{});
+      finish_request(in_flight, protocol_.failed(late, why), "voided", why, Duration{});
       forget(decision.request_id);
       break;
     }
@@ -305,7 +305,7 @@
         in_flight.trace->note(loop_.now(), "called off",
                          {{"submission", log::text(decision.attempt)}, {"node", upstreams_[out.endpoint].name}});
       upstreams_[out.endpoint].caller->cancel(out.call);
-      loop_.in(Span(0), [this, request_id = decision.request_id, attempt = decision.attempt] {
+      loop_.in(Duration(0), [this, request_id = decision.request_id, attempt = decision.attempt] {
         ended(request_id, attempt, {Outcome::cancelled}, {});
       });
       break;
@@ -349,14 +349,14 @@
   Upstream& upstream = upstreams_[decision.endpoint];
   ++counters_.attempts;
   ++upstream.out;
-  Span within = std::max(Span(1), in_flight.deadline - loop_.now());
-  if (decision.span > Span{}) within = std::min(within, decision.span);
+  Duration within = std::max(Duration(1), in_flight.deadline - loop_.now());
+  if (decision.span > Duration{}) within = std::min(within, decision.span);
   if (in_flight.trace) trace_attempt(in_flight, decision, within);
   auto done = [this, request_id = decision.request_id, index](http::Ended how, http::Response&& response) {
     ended(request_id, index, protocol_.classify(how, response), std::move(response));
   };
   // Worded when it is written: its connection may be long in coming up, and the time goes on.
-  auto word = [this, index](http::Request& request, Span left) {
+  auto word = [this, index](http::Request& request, Duration left) {
     protocol_.prepare_attempt(request, index, left);
   };
   in_flight.attempts.push_back({decision.endpoint, upstream.build,
@@ -422,7 +422,7 @@
 }
 
 void Router::finish_request(InFlightRequest& in_flight, http::Response response, const char* outcome, const std::string& why,
-                     Span pause) {
+                     Duration pause) {
   if (in_flight.answered) return;
   in_flight.answered = true;
   open_ids_.erase(in_flight.id);
@@ -432,7 +432,7 @@
     in_flight.trace->note(loop_.now(), outcome,
                      {{"why", why},
                       {"status", log::text(response.status)},
-                      {"retry_after_ms", pause > Span{} ? log::text(pause.count() / 1000) : ""},
+                      {"retry_after_ms", pause > Duration{} ? log::text(pause.count() / 1000) : ""},
                       {"submissions", log::text(in_flight.attempts.size())}});
     in_flight.trace->outcome = outcome;
   }
@@ -484,13 +484,13 @@
   // Once, and not from inside whoever answered the last.
   auto done = std::make_shared<std::function<void()>>(std::move(drained_));
   drained_ = [] {};
-  loop_.in(Span(0), [done] {
+  loop_.in(Duration(0), [done] {
     if (*done) (*done)();
   });
 }
 
 // Why: the first; a second copy while others are out; or again, after what the last came to.
-void Router::trace_attempt(const InFlightRequest& in_flight, const Decision& decision, Span within) {
+void Router::trace_attempt(const InFlightRequest& in_flight, const Decision& decision, Duration within) {
   const bool others = std::any_of(in_flight.attempts.begin(), in_flight.attempts.end(),
                                   [](const InFlightAttempt& out) { return !out.ended; });
   const Upstream& upstream = upstreams_[decision.endpoint];
@@ -513,7 +513,7 @@
   out.open().put("umpire", settings_.name).put("txn", trace.request_name).put("trace", trace.trace);
   out.put("span", trace.span).put("outcome", trace.outcome.empty() ? "open" : trace.outcome);
   // Wall clock, so that the ways of one trace through several umpires can be put in order.
-  out.put("began_ms", static_cast<long>((trace.began + wall_start_).count() / 1000));
+  out.put("began_ms", static_cast<long>((wall_start_ + trace.began.time_since_epoch()).time_since_epoch().count() / 1000));
   out.put("events_dropped", trace.dropped()).open_list("events");
   for (const tracing::Event& event : trace.events()) {
     out.open().put_ms("at_ms", event.at).put("is", event.what);
--- a/src/proxy/router.h
+++ b/src/proxy/router.h
@@ -17,6 +17,7 @@
 #include "tracing/trace_store.h"
 #include "proxy/protocol.h"
 #include "proxy/sources.h"
+#include "time/time_types.h"
 
 namespace robinhoist::proxy {
 
@@ -71,7 +72,7 @@
     EndpointPhase phase = EndpointPhase::removed;
     std::unique_ptr<http::Caller> caller{};
     int out = 0;  // submissions that have not come back
-    Span gone_at = long_ago;
+    TimePoint gone_at = long_ago;
   };
   struct InFlightAttempt {
     int endpoint, build;  // build: of the node when it was chosen
@@ -81,7 +82,7 @@
   struct InFlightRequest {
     http::ExchangePtr exchange;
     http::Request request;  // as it goes to nodes
-    Span deadline{};
+    TimePoint deadline{};
     int request_class = 0;
     std::vector<InFlightAttempt> attempts{};
     bool answered = false;
@@ -101,12 +102,12 @@
   void recall(const std::function<bool(const InFlightAttempt&)>& which);
   void withdraw(int request_id);
   void ended(int request_id, std::size_t attempt, const AttemptResult& result, http::Response&& response);
-  void finish_request(InFlightRequest& in_flight, http::Response response, const char* outcome, const std::string& why, Span pause);
+  void finish_request(InFlightRequest& in_flight, http::Response response, const char* outcome, const std::string& why, Duration pause);
   void forget(int request_id);
   void left(int request_id);
   void check_drained();
   void look_drained();
-  void trace_attempt(const InFlightRequest& in_flight, const Decision& decision, Span within);
+  void trace_attempt(const InFlightRequest& in_flight, const Decision& decision, Duration within);
   std::string trace_json(const tracing::Trace& trace) const;
   void report_client_outcomes();
   int next_request_id();
@@ -130,7 +131,8 @@
   std::unordered_set<std::string> open_ids_{};
   std::size_t unanswered_ = 0;
   int last_request_id_ = 0;
-  Span wall_start_, started_at_{};
+  WallTime wall_start_;
+  TimePoint started_at_{};
   net::Loop::Timer wake_ = net::Loop::no_timer, tell_ = net::Loop::no_timer,
                    drain_look_ = net::Loop::no_timer;
   long reported_requests_ = 0, reported_unsuccessful_ = 0;
--- a/src/proxy/settings.cpp
+++ b/src/proxy/settings.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span tick = 1ms;  // the clock's grain, as the module is told it
+constexpr Duration tick = 1ms;  // the clock's grain, as the module is told it
 
 std::string address(settings::Form& form, const char* key, std::optional<std::string> absent = {}) {
   std::string text = form.text(key, absent);
--- a/src/proxy/settings.h
+++ b/src/proxy/settings.h
@@ -7,6 +7,7 @@
 #include "http/server.h"
 #include "module_settings/module_settings.h"
 #include "tracing/trace_store.h"
+#include "time/time_types.h"
 
 namespace robinhoist::proxy {
 
@@ -20,7 +21,7 @@
       log_level{"info"};
   int number = 0;
   unsigned salt = 1;
-  Span reserve{};  // of the client's time, kept back for the answer's way to it
+  Duration reserve{};  // of the client's time, kept back for the answer's way to it
   http::ServerSettings server{};
   http::CallerSettings endpoint{};
   HeaderNames headers{};
--- a/src/proxy/sources.cpp
+++ b/src/proxy/sources.cpp
@@ -10,9 +10,9 @@
 namespace robinhoist::proxy {
 namespace {
 using namespace std::chrono_literals;
-constexpr net::Span poll_wait = 10s, poll_slack = 3s, pause_least = 100ms, pause_most = 2s;
+constexpr Duration poll_wait = 10s, poll_slack = 3s, pause_least = 100ms, pause_most = 2s;
 // A watch without even a bookmark for so long is taken for dead.
-constexpr net::Span silent_most = 15s, beat_first = 1s, beat_least = 50ms, beat_most = 30s, beat_within = 1s;
+constexpr Duration silent_most = 15s, beat_first = 1s, beat_least = 50ms, beat_most = 30s, beat_within = 1s;
 
 http::CallerSettings few_connections() {
   http::CallerSettings settings;
@@ -57,7 +57,7 @@
       else log_.info("news comes again", {{"from", caller_.peer().toString()}});
     }
     if (fine) backoff_.worked();
-    timer_ = loop_.in(fine ? net::Span(0) : backoff_.failed(), [this] { ask(); });
+    timer_ = loop_.in(fine ? Duration(0) : backoff_.failed(), [this] { ask(); });
   });
 }
 
@@ -99,7 +99,7 @@
       stream_(loop, Poco::Net::SocketAddress(settings.from), few_connections().limits),
       backoff_(pause_least, pause_most, settings.salt), beat_every_(beat_first) {
   // No two processes may have the same, not even with the same salt.
-  session_ = std::to_string(::getpid()) + "-" + std::to_string(net::wall_now().count());
+  session_ = std::to_string(::getpid()) + "-" + std::to_string(net::wall_now().time_since_epoch().count());
 }
 
 WatchReleaseSource::~WatchReleaseSource() {
@@ -193,7 +193,7 @@
                  superseded_ = response.status == 409;
                  if (response.status != 200) return;
                  try {
-                   beat_every_ = std::clamp(json::time_of(json::object_of(response.body), "leaseMs") / 3,
+                   beat_every_ = std::clamp(json::duration_of(json::object_of(response.body), "leaseMs") / 3,
                                             beat_least, beat_most);
                  } catch (const json::BadInput&) {
                    // The next tells it again.
@@ -205,7 +205,7 @@
 void WatchReleaseSource::vote(int build, int stage, Verdict verdict, Answered answered) {
   if (newest_.empty() || !acknowledged_ || acknowledged_->release.build != build) {
     // It has heard of a newer release since.
-    loop_.in(net::Span(0), [answered] { answered(Outcome::obsolete); });
+    loop_.in(Duration(0), [answered] { answered(Outcome::obsolete); });
     return;
   }
   const std::string body = json::Out()
