--- a/src/proxy/sources.h
+++ b/src/proxy/sources.h
@@ -11,6 +11,7 @@
 #include "log/log.h"
 #include "releases/follower.h"
 #include "retry/backoff.h"
+#include "time/time_types.h"
 
 namespace robinhoist::proxy {
 
@@ -79,7 +80,7 @@
  public:
   struct Settings {
     std::string from{}, proxy{}, token{};
-    net::Span vote_within{};
+    Duration vote_within{};
     unsigned salt = 1;
   };
   WatchReleaseSource(net::Loop& loop, const Settings& settings, const log::Log& log);
@@ -105,7 +106,7 @@
   std::string session_{}, newest_{};  // of this process; the name of the release that it goes by
   std::optional<releases::Follower::Heard> acknowledged_{};
   Heard heard_{};
-  net::Span beat_every_{};
+  Duration beat_every_{};
   net::Loop::Timer again_ = net::Loop::no_timer, beat_ = net::Loop::no_timer;
   bool failing_ = false, superseded_ = false;
 };
--- a/src/record/lines.cpp
+++ b/src/record/lines.cpp
@@ -2,26 +2,32 @@
 
 namespace robinhoist::record {
 namespace {
-json::Out& begin(json::Out& out, Span at, const char* what) {
-  return out.open().put("t", static_cast<long>(at.count())).put("e", what);
+/// Microseconds since the zero of the clock, as records have them.
+template <class Point>
+long micros(Point at) {
+  return static_cast<long>(at.time_since_epoch().count());
+}
+
+json::Out& begin(json::Out& out, TimePoint at, const char* what) {
+  return out.open().put("t", micros(at)).put("e", what);
 }
 }  // namespace
 
-void node_started(Writer& to, Span at, const NodeStart& endpoint) {
+void node_started(Writer& to, TimePoint at, const NodeStart& endpoint) {
   json::Out out;
   begin(out, at, "start").put("zone", endpoint.zone).put("cell", endpoint.cell);
-  out.put("started", static_cast<long>(endpoint.started.count())).put("node", endpoint.endpoint).put("build", endpoint.build);
+  out.put("started", micros(endpoint.started)).put("node", endpoint.endpoint).put("build", endpoint.build);
   out.put("cold", endpoint.cold).put("cores", endpoint.cores).put("speed", endpoint.speed);
   to.line(out.close().text());
 }
 
-void node_stopped(Writer& to, Span at, std::string_view endpoint, double most_pushed, bool fell) {
+void node_stopped(Writer& to, TimePoint at, std::string_view endpoint, double most_pushed, bool fell) {
   json::Out out;
   begin(out, at, "stop").put("node", endpoint).put("most_pushed", most_pushed).put("fell", fell);
   to.line(out.close().text());
 }
 
-void node_met(Writer& to, Span at, const char* what, const Met& met) {
+void node_met(Writer& to, TimePoint at, const char* what, const Met& met) {
   json::Out out;
   begin(out, at, what).put("node", met.endpoint).put("build", met.build).put("id", static_cast<long>(met.id));
   out.put("product", met.request_class).put("txn", met.request_name).put("submission", met.attempt);
@@ -29,7 +35,7 @@
   to.line(out.close().text());
 }
 
-void node_ran(Writer& to, Span at, std::string_view endpoint, std::int64_t id, const char* how, bool effect) {
+void node_ran(Writer& to, TimePoint at, std::string_view endpoint, std::int64_t id, const char* how, bool effect) {
   json::Out out;
   begin(out, at, "ran")
       .put("node", endpoint)
@@ -39,7 +45,7 @@
   to.line(out.close().text());
 }
 
-void told_list(Writer& to, Span at, std::string_view proxy, const std::vector<registry::Endpoint>& entries,
+void told_list(Writer& to, TimePoint at, std::string_view proxy, const std::vector<registry::Endpoint>& entries,
                bool whole) {
   json::Out out;
   begin(out, at, "list").put("umpire", proxy).put("whole", whole).open_list("nodes");
@@ -50,41 +56,41 @@
                       : entry.phase == EndpointPhase::draining ? "lame"
                                                        : "out")
         .put("build", entry.build)
-        .put("started", static_cast<long>(entry.started.count()))
+        .put("started", micros(entry.started))
         .close();
   to.line(out.close_list().close().text());
 }
 
-void told_news(Writer& to, Span at, std::string_view proxy, int build, int stage, std::string_view phase,
+void told_news(Writer& to, TimePoint at, std::string_view proxy, int build, int stage, std::string_view phase,
                double cap) {
   json::Out out;
   begin(out, at, "news").put("umpire", proxy).put("build", build).put("stage", stage);
   to.line(out.put("phase", phase).put("cap", cap).close().text());
 }
 
-void voted(Writer& to, Span at, std::string_view proxy, int build, int stage, const char* verdict,
+void voted(Writer& to, TimePoint at, std::string_view proxy, int build, int stage, const char* verdict,
            const char* outcome) {
   json::Out out;
   begin(out, at, "vote").put("umpire", proxy).put("build", build).put("stage", stage);
   to.line(out.put("verdict", verdict).put("outcome", outcome).close().text());
 }
 
-void release_moved(Writer& to, Span at, int build, int stage, const char* phase, std::string_view why) {
+void release_moved(Writer& to, TimePoint at, int build, int stage, const char* phase, std::string_view why) {
   json::Out out;
   begin(out, at, "release").put("build", build).put("stage", stage).put("phase", phase).put("why", why);
   to.line(out.close().text());
 }
 
-void proxy_life(Writer& to, Span at, std::string_view proxy, const char* what) {
+void proxy_life(Writer& to, TimePoint at, std::string_view proxy, const char* what) {
   json::Out out;
-  out.open().put("t", static_cast<long>(at.count())).put("umpire", proxy).put("e", what);
+  out.open().put("t", micros(at)).put("umpire", proxy).put("e", what);
   to.line(out.close().text());
 }
 
 void tried(Writer& to, const Tried& one) {
   json::Out out;
-  out.open().put("t", static_cast<long>(one.from.count())).put("t1", static_cast<long>(one.to.count()));
-  out.put("until", static_cast<long>(one.until.count())).put("id", static_cast<long>(one.id));
+  out.open().put("t", micros(one.from)).put("t1", micros(one.to));
+  out.put("until", micros(one.until)).put("id", static_cast<long>(one.id));
   out.put("first", static_cast<long>(one.first)).put("n", one.number).put("umpire", one.proxy);
   out.put("product", one.request_class).put("tenant", one.tenant).put("key", one.key).put("poison", one.poison);
   out.put("end", one.end).put("status", one.status).put("why", one.why).put("node", one.endpoint);
--- a/src/record/lines.h
+++ b/src/record/lines.h
@@ -7,6 +7,7 @@
 
 #include "registry/registry.h"
 #include "record/record.h"
+#include "time/time_types.h"
 
 namespace robinhoist::record {
 
@@ -14,13 +15,13 @@
 struct NodeStart {
   std::string_view endpoint, zone;
   int cell, build;
-  Span started;  // since 1970; 0: long ago
+  WallTime started;  // since 1970; 0: long ago
   bool cold;
   int cores;
   double speed;
 };
-void node_started(Writer& to, Span at, const NodeStart& endpoint);
-void node_stopped(Writer& to, Span at, std::string_view endpoint, double most_pushed, bool fell);
+void node_started(Writer& to, TimePoint at, const NodeStart& endpoint);
+void node_stopped(Writer& to, TimePoint at, std::string_view endpoint, double most_pushed, bool fell);
 
 // A submission as a node met it: taken, refused, cut, ...
 struct Met {
@@ -30,22 +31,22 @@
   int request_class;
   std::string_view request_name, attempt, try_id, key, work;
 };
-void node_met(Writer& to, Span at, const char* what, const Met& met);
-void node_ran(Writer& to, Span at, std::string_view endpoint, std::int64_t id, const char* how, bool effect);
+void node_met(Writer& to, TimePoint at, const char* what, const Met& met);
+void node_ran(Writer& to, TimePoint at, std::string_view endpoint, std::int64_t id, const char* how, bool effect);
 
 // What umpires were told and said.
-void told_list(Writer& to, Span at, std::string_view proxy, const std::vector<registry::Endpoint>& entries,
+void told_list(Writer& to, TimePoint at, std::string_view proxy, const std::vector<registry::Endpoint>& entries,
                bool whole);
-void told_news(Writer& to, Span at, std::string_view proxy, int build, int stage, std::string_view phase,
+void told_news(Writer& to, TimePoint at, std::string_view proxy, int build, int stage, std::string_view phase,
                double cap);
-void voted(Writer& to, Span at, std::string_view proxy, int build, int stage, const char* verdict,
+void voted(Writer& to, TimePoint at, std::string_view proxy, int build, int stage, const char* verdict,
            const char* outcome);
-void release_moved(Writer& to, Span at, int build, int stage, const char* phase, std::string_view why);
-void proxy_life(Writer& to, Span at, std::string_view proxy, const char* what);
+void release_moved(Writer& to, TimePoint at, int build, int stage, const char* phase, std::string_view why);
+void proxy_life(Writer& to, TimePoint at, std::string_view proxy, const char* what);
 
 // One try of a client's, and its end.
 struct Tried {
-  Span from, to, until;
+  TimePoint from, to, until;
   std::int64_t id, first;
   int number, request_class, tenant;
   std::string_view proxy, key;
--- a/src/record/meta.cpp
+++ b/src/record/meta.cpp
@@ -17,7 +17,7 @@
   json::Out out;
   out.open().put("version", 1).put("seed", meta.seed).put("umpires", meta.proxies).put("nodes", meta.endpoints);
   for (auto& [name, span] :
-       std::initializer_list<std::pair<const char*, Span>>{{"length_ms", meta.length},
+       std::initializer_list<std::pair<const char*, Duration>>{{"length_ms", meta.length},
                                                            {"drain_grace_ms", meta.drain_grace},
                                                            {"window_ms", meta.window},
                                                            {"fall_window_ms", meta.fall_window},
@@ -58,12 +58,12 @@
     meta.seed = static_cast<long>(json::number(document, "seed"));
     meta.proxies = json::whole(document, "umpires");
     meta.endpoints = json::whole(document, "nodes");
-    meta.length = json::time_of(document, "length_ms");
-    meta.drain_grace = json::time_of(document, "drain_grace_ms");
-    meta.window = json::time_of(document, "window_ms");
-    meta.fall_window = json::time_of(document, "fall_window_ms");
-    meta.cold_for = json::time_of(document, "cold_for_ms");
-    meta.answer_slack = json::time_of(document, "answer_slack_ms");
+    meta.length = json::duration_of(document, "length_ms");
+    meta.drain_grace = json::duration_of(document, "drain_grace_ms");
+    meta.window = json::duration_of(document, "window_ms");
+    meta.fall_window = json::duration_of(document, "fall_window_ms");
+    meta.cold_for = json::duration_of(document, "cold_for_ms");
+    meta.answer_slack = json::duration_of(document, "answer_slack_ms");
     meta.free = json::number(document, "free");
     meta.fall_multiple = json::number(document, "fall_multiple");
     meta.cold_from = json::number(document, "cold_from");
@@ -76,9 +76,9 @@
     for (auto& each : json::array(document, "products").GetArray()) {
       Meta::RequestClass request_class;
       request_class.name = json::text(each, "name");
-      request_class.latency_objective = json::time_of(each, "sla_ms");
-      request_class.deadline = json::time_of(each, "expiry_ms");
-      request_class.dedup_window = json::time_of(each, "memory_ms");
+      request_class.latency_objective = json::duration_of(each, "sla_ms");
+      request_class.deadline = json::duration_of(each, "expiry_ms");
+      request_class.dedup_window = json::duration_of(each, "memory_ms");
       request_class.idempotency = json::enumerator<Idempotency>(each, "effect", {effects[0], effects[1], effects[2]});
       request_class.dedup_scope = json::enumerator<DedupScope>(each, "group", {groups[0], groups[1], groups[2]});
       request_class.priority_weight = json::number(each, "revenue");
--- a/src/record/meta.h
+++ b/src/record/meta.h
@@ -4,13 +4,14 @@
 #include <vector>
 
 #include "state.h"
+#include "time/time_types.h"
 
 namespace robinhoist::record {
 
 struct Meta {
   struct RequestClass {
     std::string name{};
-    Span latency_objective{}, deadline{}, dedup_window{};
+    Duration latency_objective{}, deadline{}, dedup_window{};
     Idempotency idempotency = Idempotency::idempotent;
     DedupScope dedup_scope = DedupScope::all;
     double priority_weight = 1;
@@ -19,7 +20,7 @@
   std::vector<std::string> tenants{};
   std::vector<double> caps{};
   std::vector<std::string> steps{};  // of all releases, "build/id", in the order in which they must run
-  Span length{}, drain_grace{}, window{}, fall_window{}, cold_for{}, answer_slack{};
+  Duration length{}, drain_grace{}, window{}, fall_window{}, cold_for{}, answer_slack{};
   double free = 0, fall_multiple = 0, cold_from = 0;
   bool by_request_class = false;
   int safe_only_stages = 0, proxies = 0, endpoints = 0;
--- a/src/registry/registry.cpp
+++ b/src/registry/registry.cpp
@@ -64,7 +64,7 @@
   for (const Endpoint& entry : news.entries) {
     out.open().put("name", entry.name).put("address", entry.address).put("zone", entry.zone);
     out.put("cell", entry.cell).put("build", entry.build).put("size", entry.size);
-    out.put("phase", phases[static_cast<int>(entry.phase)]).put_ms("started_ms", entry.started).close();
+    out.put("phase", phases[static_cast<int>(entry.phase)]).put_ms("started_ms", entry.started.time_since_epoch()).close();
   }
   return out.close_list().close().text();
 }
@@ -87,7 +87,7 @@
     if (!(entry.size > 0)) json::mistyped("size", "above 0");
     entry.phase = json::enumerator<EndpointPhase>(
         endpoint, "phase", {{"in", EndpointPhase::ready}, {"lame", EndpointPhase::draining}, {"out", EndpointPhase::removed}});
-    entry.started = json::time_of(endpoint, "started_ms");
+    entry.started = WallTime(json::duration_of(endpoint, "started_ms"));
     news.entries.push_back(std::move(entry));
   }
   return news;
--- a/src/registry/registry.h
+++ b/src/registry/registry.h
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "state.h"
+#include "time/time_types.h"
 
 namespace robinhoist::registry {
 
@@ -18,7 +19,7 @@
   int cell = 0, build = 0;
   EndpointPhase phase = EndpointPhase::ready;
   double size = 1;
-  Span started{};  // since 1970; 0: long ago
+  WallTime started{};  // since 1970; 0: long ago
   bool operator==(const Endpoint&) const = default;
 };
 
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -7,7 +7,7 @@
 namespace robinhoist::registry {
 namespace {
 using namespace std::chrono_literals;
-constexpr net::Span gather = 2ms;  // changes that come together are told together
+constexpr Duration gather = 2ms;  // changes that come together are told together
 }  // namespace
 
 Service::Service(net::Loop& loop, const http::ServerSettings& server, const std::string& series, Told told)
@@ -56,7 +56,7 @@
 void Service::ask(const http::ExchangePtr& exchange) {
   auto asked = http::LongPoll::read(exchange);
   const Update now = registry_.since(asked.series, asked.since);
-  if (now.whole || !now.entries.empty() || asked.wait <= net::Span{}) return answer(asked);
+  if (now.whole || !now.entries.empty() || asked.wait <= Duration{}) return answer(asked);
   waiting_.wait(std::move(asked));
 }
 
--- a/src/registry/service.h
+++ b/src/registry/service.h
@@ -9,6 +9,7 @@
 #include "http/long_poll.h"
 #include "http/server.h"
 #include "registry/registry.h"
+#include "time/time_types.h"
 
 namespace robinhoist::registry {
 
@@ -23,7 +24,7 @@
   void phase(const std::string& name, EndpointPhase phase);
   void remove(const std::string& name);
   // From here on what is put is told so much later.
-  void told_after(net::Span lag) { lag_ = lag; }
+  void told_after(Duration lag) { lag_ = lag; }
   int port() const { return server_->port(); }
   const EndpointRegistry& registry() const { return registry_; }
 
@@ -37,7 +38,8 @@
   net::Loop& loop_;
   EndpointRegistry registry_;
   Told told_;
-  net::Span lag_{}, last_due_{};
+  Duration lag_{};
+  TimePoint last_due_{};
   http::LongPoll waiting_;
   net::Loop::Timer wake_ = net::Loop::no_timer;
   std::unique_ptr<http::Server> server_;
--- a/src/releases/follower.cpp
+++ b/src/releases/follower.cpp
@@ -23,7 +23,7 @@
   fresh_.clear();
 }
 
-Follower::Line Follower::take(std::string& body, Span now) {
+Follower::Line Follower::take(std::string& body, TimePoint now) {
   const std::size_t end = body.find('\n');
   if (end == std::string::npos) return Line::none;
   const std::string line = body.substr(0, end);
@@ -35,7 +35,7 @@
   }
 }
 
-Follower::Line Follower::read(const std::string& line, Span now) {
+Follower::Line Follower::read(const std::string& line, TimePoint now) {
   const auto event = json::object_of(line);
   const std::string type = json::text(event, "type");
   if (type == "ERROR") return Line::begin_anew;
@@ -68,7 +68,7 @@
     known.release.phase = phase.value_or(ReleasePhase::canary);
     known.release.cap = json::number(status, "cap");
     if (!(known.release.cap >= 0 && known.release.cap <= 1)) json::mistyped("cap", "a share from 0 to 1");
-    known.since = now - json::time_of(event, "ageMs");
+    known.since = now - json::duration_of(event, "ageMs");
     known.version = version;
     into[name] = known;
   }
@@ -76,7 +76,7 @@
   return Line::taken;
 }
 
-std::optional<Follower::Heard> Follower::news(Span now) {
+std::optional<Follower::Heard> Follower::news(TimePoint now) {
   if (!synced_) return {};
   const std::pair<const std::string, Known>* newest = nullptr;
   for (auto& each : known_)
@@ -92,7 +92,7 @@
   told_ = known;
   told_name_ = newest->first;
   ReleaseUpdate release = known.release;
-  release.since = std::max(Span{}, now - known.since);
+  release.since = std::max(Duration{}, now - known.since);
   return Heard{release, known.version, newest->first};
 }
 
--- a/src/releases/follower.h
+++ b/src/releases/follower.h
@@ -8,6 +8,7 @@
 #include <string>
 
 #include "state.h"
+#include "time/time_types.h"
 
 namespace robinhoist::releases {
 
@@ -18,14 +19,14 @@
   // A new answer begins: what was half read is dropped. `anew`: it tells all that there is, up to a bookmark.
   void begins(bool anew);
   // Takes whole lines from the front of a body, one a call: none when there is no whole one.
-  Line take(std::string& body, Span now);
+  Line take(std::string& body, TimePoint now);
   // The release to go by, and whether it differs from the last that was asked for.
   struct Heard {
     ReleaseUpdate release;
     std::int64_t version;
     std::string name;
   };
-  std::optional<Heard> news(Span now);
+  std::optional<Heard> news(TimePoint now);
 
   bool synced() const { return synced_; }
   std::int64_t version() const { return version_; }
@@ -35,10 +36,10 @@
   struct Known {
     ReleaseUpdate release{};
     bool begun = false;
-    Span since{};  // when its state began, by our own clock
+    TimePoint since{};  // when its state began, by our own clock
     std::int64_t version = 0;
   };
-  Line read(const std::string& line, Span now);
+  Line read(const std::string& line, TimePoint now);
 
   std::map<std::string, Known> known_{}, fresh_{};  // fresh_: as an answer that begins anew fills it
   std::int64_t version_ = 0;
--- a/src/retry/backoff.h
+++ b/src/retry/backoff.h
@@ -5,23 +5,23 @@
 #include <chrono>
 #include <random>
 
-namespace robinhoist::retry {
+#include "time/time_types.h"
 
-using Span = std::chrono::microseconds;
+namespace robinhoist::retry {
 
 class Backoff {
  public:
-  Backoff(Span least, Span most, unsigned salt) : least_(least), most_(most), next_(least), random_(salt) {}
-  Span failed() {
-    const Span whole = next_;
+  Backoff(Duration least, Duration most, unsigned salt) : least_(least), most_(most), next_(least), random_(salt) {}
+  Duration failed() {
+    const Duration whole = next_;
     next_ = std::min(2 * next_, most_);
     const double part = std::uniform_real_distribution<double>(0.5, 1)(random_);
-    return Span(static_cast<std::int64_t>(static_cast<double>(whole.count()) * part));
+    return Duration(static_cast<std::int64_t>(static_cast<double>(whole.count()) * part));
   }
   void worked() { next_ = least_; }
 
  private:
-  Span least_, most_, next_;
+  Duration least_, most_, next_;
   std::minstd_rand random_;
 };
 
--- a/src/rollout/kept.cpp
+++ b/src/rollout/kept.cpp
@@ -46,14 +46,14 @@
   kept.next_machine = json::whole(document, "next_machine");
   kept.version = json::whole(document, "version");
   kept.phase = phase_of(document, "phase");
-  kept.since = json::time_of(document, "since_ms");
+  kept.since = json::duration_of(document, "since_ms");
   kept.begun = json::truth(document, "begun");
   kept.operator_holds = json::truth(document, "operator_holds");
   if (json::present(document, "queued")) kept.queued = json::whole(document, "queued");
   for (auto& each : json::array(document, "machines").GetArray())
     kept.machines[json::whole(each, "id")] = {json::whole(each, "place"), json::whole(each, "build"),
                                               static_cast<MachinePhase>(json::whole(each, "phase", 0, 3)),
-                                              Span{}};
+                                              TimePoint{}};
   for (auto& each : json::array(document, "fates").GetArray())
     kept.fates[json::whole(each, "build")] = phase_of(each, "phase");
   return kept;
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -5,7 +5,7 @@
 
 namespace robinhoist::rollout {
 namespace {
-double seconds(Span s) { return std::chrono::duration<double>(s).count(); }
+double seconds(Duration s) { return std::chrono::duration<double>(s).count(); }
 constexpr std::size_t changes_kept = 1000;
 }  // namespace
 
@@ -13,12 +13,12 @@
     : settings_(settings), places_(places), baseline_(build), proxies_(proxies), rollback_proxies_(proxies),
       build_(build), newest_offered_(build), next_machine_(places) {
   for (int place = 0; place < places; ++place)
-    machines_[place] = Machine{place, build, MachinePhase::ordered, Span{}};
+    machines_[place] = Machine{place, build, MachinePhase::ordered, TimePoint{}};
   for (int place = 0; place < places; ++place) orders_.push_back({OrderKind::start, place, place, build});
   tokens_ = 2 * settings_.votes_per_s;
 }
 
-Rollout::Rollout(const Settings& settings, int places, int proxies, const Kept& kept, Span now)
+Rollout::Rollout(const Settings& settings, int places, int proxies, const Kept& kept, TimePoint now)
     : settings_(settings), places_(places), baseline_(kept.baseline), proxies_(proxies),
       rollback_proxies_(proxies), build_(kept.build), stage_(kept.stage), phase_(kept.phase),
       phase_at_(now - kept.since), ordered_at_(now), ticked_at_(now), operator_holds_(kept.operator_holds),
@@ -35,15 +35,15 @@
   }
 }
 
-Kept Rollout::kept(Span now) const {
+Kept Rollout::kept(TimePoint now) const {
   return {build_,          stage_, baseline_,       newest_offered_, next_machine_, version_, phase_,
           now - phase_at_, begun_, operator_holds_, queued_,         machines_,     fates_};
 }
 
-bool Rollout::can_go_back(Span now) const {
+bool Rollout::can_go_back(TimePoint now) const {
   if (build_ == baseline_ || phase_ == ReleasePhase::rolling_back || phase_ == ReleasePhase::rolled_back) return false;
   return phase_ == ReleasePhase::canary ||
-         (!queued_ && (settings_.back_for == Span{} || now < phase_at_ + settings_.back_for));
+         (!queued_ && (settings_.back_for == Duration{} || now < phase_at_ + settings_.back_for));
 }
 
 int Rollout::needed(double share, int proxies) {
@@ -51,10 +51,10 @@
 }
 
 // Of a wave that is due now.
-bool Rollout::passes(int stage, Span now) {
+bool Rollout::passes(int stage, TimePoint now) {
   if (!due_since_) {
     due_since_ = now;
-    if (begun_ || stage == 0) gate_waited_ = Span{};
+    if (begun_ || stage == 0) gate_waited_ = Duration{};
   }
   if (!gate(stage)) return false;
   gate_waited_ += now - *due_since_;
@@ -78,14 +78,14 @@
   }));
 }
 
-ReleaseUpdate Rollout::news(Span now) const {
+ReleaseUpdate Rollout::news(TimePoint now) const {
   double cap = phase_ == ReleasePhase::released          ? 1
                : phase_ == ReleasePhase::canary && begun_ ? settings_.caps[stage_]
                                                      : 0;
   return {build_, stage_, phase_, cap, now - phase_at_};
 }
 
-std::map<std::string, Vote> Rollout::votes(Span now) const {
+std::map<std::string, Vote> Rollout::votes(TimePoint now) const {
   std::map<std::string, Vote> standing;
   for (auto& [name, vote] : votes_)
     if (vote.until > now && vote.build == build_) standing.emplace(name, vote);
@@ -93,32 +93,32 @@
 }
 
 // A vote for on or hold counts for its stage alone, one for back for the release.
-int Rollout::standing(Verdict verdict, Span now) const {
+int Rollout::standing(Verdict verdict, TimePoint now) const {
   return static_cast<int>(std::count_if(votes_.begin(), votes_.end(), [&](auto& v) {
     return v.second.verdict == verdict && v.second.build == build_ && v.second.until > now &&
            (verdict == Verdict::roll_back || v.second.stage == stage_);
   }));
 }
 
-bool Rollout::held(Span now) const {
+bool Rollout::held(TimePoint now) const {
   if (phase_ != ReleasePhase::canary) return false;
   return operator_holds_ || (settings_.promotion_mode == PromotionMode::clock &&
                              standing(Verdict::hold, now) >= needed(settings_.votes_to_hold, rollback_proxies_));
 }
 
-void Rollout::enter(ReleasePhase phase, int stage, const std::string& why, Span now) {
+void Rollout::enter(ReleasePhase phase, int stage, const std::string& why, TimePoint now) {
   phase_ = phase;
   stage_ = stage;
   phase_at_ = now;
   clock_at_ = long_ago;
-  held_for_ = Span{};
+  held_for_ = Duration{};
   due_since_.reset();
   ++version_;
   if (changes_.size() >= changes_kept) changes_.erase(changes_.begin());
   changes_.push_back({now, build_, stage, phase, why});
 }
 
-std::optional<std::string> Rollout::offer(int build, Span now) {
+std::optional<std::string> Rollout::offer(int build, TimePoint now) {
   if (build <= newest_offered_)
     return "build " + std::to_string(build) + " is not newer than " + std::to_string(newest_offered_);
   newest_offered_ = build;
@@ -127,14 +127,14 @@
   return {};
 }
 
-void Rollout::machine_up(int id, Span now) {
+void Rollout::machine_up(int id, TimePoint now) {
   auto at = machines_.find(id);
   if (at == machines_.end() || at->second.phase != MachinePhase::ordered) return;
   at->second.phase = MachinePhase::up;
   at->second.since = now;
 }
 
-void Rollout::machine_gone(int id, Span now) {
+void Rollout::machine_gone(int id, TimePoint now) {
   auto at = machines_.find(id);
   if (at == machines_.end()) return;
   Machine& machine = at->second;
@@ -144,7 +144,7 @@
   if (machine.phase == MachinePhase::gone) machines_.erase(at);
 }
 
-Outcome Rollout::vote(const std::string& proxy, int build, int stage, Verdict verdict, Span now) {
+Outcome Rollout::vote(const std::string& proxy, int build, int stage, Verdict verdict, TimePoint now) {
   tokens_ = std::min(2 * settings_.votes_per_s, tokens_ + seconds(now - tokens_at_) * settings_.votes_per_s);
   tokens_at_ = now;
   if (tokens_ < 1) return Outcome::rejected;
@@ -169,7 +169,7 @@
   return Outcome::ok;
 }
 
-bool Rollout::hold(bool on, const std::string& why, Span now) {
+bool Rollout::hold(bool on, const std::string& why, TimePoint now) {
   if (phase_ != ReleasePhase::canary || operator_holds_ == on) return false;
   operator_holds_ = on;
   changes_.push_back({now, build_, stage_, phase_, (on ? "held: " : "resumed: ") + why});
@@ -177,19 +177,19 @@
   return true;
 }
 
-bool Rollout::back(const std::string& why, Span now) {
+bool Rollout::back(const std::string& why, TimePoint now) {
   if (!can_go_back(now)) return false;
   go_back(why, now);
   return true;
 }
 
-void Rollout::want(int place, int build, Span now) {
+void Rollout::want(int place, int build, TimePoint now) {
   int id = next_machine_++;
   machines_[id] = Machine{place, build, MachinePhase::ordered, now};
   orders_.push_back({OrderKind::start, id, place, build});
 }
 
-void Rollout::begin_stage(Span now) {
+void Rollout::begin_stage(TimePoint now) {
   begun_ = true;
   ordered_at_ = now;
   std::vector<bool> taken(places_, false);
@@ -211,7 +211,7 @@
   }
 }
 
-void Rollout::go_back(const std::string& why, Span now) {
+void Rollout::go_back(const std::string& why, TimePoint now) {
   operator_holds_ = false;
   enter(ReleasePhase::rolling_back, stage_, why, now);
   // Where the earlier machines have gone new ones are started first.
@@ -223,9 +223,9 @@
 }
 
 // Deciding what follows from what is known; orders queue up behind it.
-void Rollout::tick(Span now) {
+void Rollout::tick(TimePoint now) {
   if (phase_ == ReleasePhase::canary) {
-    const Span passed = std::max(Span{}, now - ticked_at_);
+    const Duration passed = std::max(Duration{}, now - ticked_at_);
     if (begun_ && held(now) && clock_at_ != long_ago) held_for_ += std::min(passed, now - clock_at_);
     ticked_at_ = now;
     if (standing(Verdict::roll_back, now) >= needed(settings_.votes_to_roll_back, rollback_proxies_)) {
@@ -239,7 +239,7 @@
       }
     } else if (clock_at_ == long_ago) {
       const bool all_up = running(build_, true) >= target(stage_);
-      Span latest{};
+      TimePoint latest{};
       for (auto& [id, machine] : machines_)
         if (machine.build == build_) latest = std::max(latest, machine.since);
       if ((all_up && now >= latest + settings_.settle) || now >= ordered_at_ + settings_.launch_most)
@@ -316,7 +316,7 @@
   }
 }
 
-std::optional<Order> Rollout::next(Span now) {
+std::optional<Order> Rollout::next(TimePoint now) {
   if (orders_.empty()) tick(now);
   if (orders_.empty()) return {};
   Order order = orders_.front();
@@ -324,7 +324,7 @@
   return order;
 }
 
-std::optional<Span> Rollout::next_look(Span now) const {
+std::optional<TimePoint> Rollout::next_look(TimePoint now) const {
   const bool drains = std::any_of(machines_.begin(), machines_.end(),
                                   [](auto& m) { return m.second.phase == MachinePhase::draining; });
   if (phase_ != ReleasePhase::canary && phase_ != ReleasePhase::rolling_back && !drains && !queued_ && orders_.empty())
--- a/src/rollout/rollout.h
+++ b/src/rollout/rollout.h
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "state.h"
+#include "time/time_types.h"
 
 namespace robinhoist::rollout {
 
@@ -19,15 +20,15 @@
   std::vector<double> stages{};  // share of the places that run the release
   std::vector<double> caps{};   // for each wave: the share of an umpire's txns that may go to the release
   PromotionMode promotion_mode = PromotionMode::clock;
-  Span bake{};         // a wave lasts so long at least, from its clock's start
-  Span step{};         // under the clock: a wave's time, holds apart
-  Span settle{};       // the clock starts so long after the wave's machines all run,
-  Span launch_most{};  // and so long after they were ordered at the latest
-  Span drain{};        // a machine that drains is stopped after this
-  Span vote_lifetime{};
+  Duration bake{};         // a wave lasts so long at least, from its clock's start
+  Duration step{};         // under the clock: a wave's time, holds apart
+  Duration settle{};       // the clock starts so long after the wave's machines all run,
+  Duration launch_most{};  // and so long after they were ordered at the latest
+  Duration drain{};        // a machine that drains is stopped after this
+  Duration vote_lifetime{};
   double votes_to_promote = 0, votes_to_hold = 0, votes_to_roll_back = 0;  // shares of all umpires
   double votes_per_s = 0;                             // votes taken from all; twice as many in a burst
-  Span back_for{};     // a release can be sent back for so long after it is out; 0: until the next is offered
+  Duration back_for{};     // a release can be sent back for so long after it is out; 0: until the next is offered
   bool gated = false;  // a wave waits until its gate has been opened; else until it has been shut
   bool in_place = false;  // each earlier machine drains once its successor runs; else all at the release
 };
@@ -37,7 +38,7 @@
 struct Machine {
   int place, build;
   MachinePhase phase;
-  Span since;
+  TimePoint since;
 };
 
 enum class OrderKind { start, drain, stop };
@@ -50,12 +51,12 @@
 struct Vote {
   int build, stage;
   Verdict verdict;
-  Span until;
+  TimePoint until;
 };
 
 // What became of a release and why, for whoever asks; one line for each change.
 struct Change {
-  Span at;
+  TimePoint at;
   int build, stage;
   ReleasePhase phase;
   std::string why;
@@ -66,7 +67,7 @@
 struct Kept {
   int build = -1, stage = 0, baseline = -1, newest_offered = 0, next_machine = 0, version = 1;
   ReleasePhase phase = ReleasePhase::released;
-  Span since{};  // in this phase, when it was kept
+  Duration since{};  // in this phase, when it was kept
   bool begun = false, operator_holds = false;
   std::optional<int> queued{};
   std::map<int, Machine> machines{};
@@ -81,67 +82,68 @@
   Rollout(const Settings& settings, int places, int build, int proxies);
 
   // Goes on from what was kept: what was ordered and not confirmed is ordered again.
-  Rollout(const Settings& settings, int places, int proxies, const Kept& kept, Span now);
-  Kept kept(Span now) const;
+  Rollout(const Settings& settings, int places, int proxies, const Kept& kept, TimePoint now);
+  Kept kept(TimePoint now) const;
 
   // Inputs.
   // Refused, with the reason, unless the build is newer than any offered so far.
-  std::optional<std::string> offer(int build, Span now);
-  void machine_up(int machine, Span now);
+  std::optional<std::string> offer(int build, TimePoint now);
+  void machine_up(int machine, TimePoint now);
   // It has ended: as ordered, or by itself. One that ended by itself is expected back under the same id.
-  void machine_gone(int machine, Span now);
+  void machine_gone(int machine, TimePoint now);
   // ok: it stands; moot: not the present build or stage, or no such verdict here; full: too many calls.
-  Outcome vote(const std::string& proxy, int build, int stage, Verdict verdict, Span now);
+  Outcome vote(const std::string& proxy, int build, int stage, Verdict verdict, TimePoint now);
   // Against how many shares are counted: of those that move a wave on, and of those that hold or send back.
   void proxies(int to_go_on, int to_go_back) { proxies_ = to_go_on, rollback_proxies_ = to_go_back; }
   // An operator's word stands above votes: held until resumed.
-  bool hold(bool on, const std::string& why, Span now);
-  bool back(const std::string& why, Span now);
+  bool hold(bool on, const std::string& why, TimePoint now);
+  bool back(const std::string& why, TimePoint now);
   // While a wave's gate is shut it does not start: what must be done first is not done.
   void gate_open(int build, int stage, bool open) { gates_[{build, stage}] = open; }
 
   // Decisions.
-  std::optional<Order> next(Span now);
-  std::optional<Span> next_look(Span now) const;
+  std::optional<Order> next(TimePoint now);
+  std::optional<TimePoint> next_look(TimePoint now) const;
 
   // What is known.
-  ReleaseUpdate news(Span now) const;
+  ReleaseUpdate news(TimePoint now) const;
   int version() const { return version_; }  // grows with each change of news
   const std::map<int, Machine>& machines() const { return machines_; }
   const std::vector<Change>& changes() const { return changes_; }
-  std::map<std::string, Vote> votes(Span now) const;
-  bool held(Span now) const;
+  std::map<std::string, Vote> votes(TimePoint now) const;
+  bool held(TimePoint now) const;
   int newest_offered() const { return newest_offered_; }
   std::optional<int> queued() const { return queued_; }
   bool clock_runs() const { return clock_at_ != long_ago; }
   int baseline() const { return baseline_; }
   // The wave that takes traffic; -1: none yet.
   int running_stage() const { return begun_ || phase_ != ReleasePhase::canary ? stage_ : stage_ - 1; }
-  bool can_go_back(Span now) const;
+  bool can_go_back(TimePoint now) const;
   // How long the wave that started last had been due, for its gate was shut.
-  Span gate_waited() const { return gate_waited_; }
+  Duration gate_waited() const { return gate_waited_; }
   // What became of builds offered before the present one.
   const std::map<int, ReleasePhase>& fates() const { return fates_; }
   int needed(double share) const { return needed(share, proxies_); }
   static int needed(double share, int proxies);  // votes, one at least
 
  private:
-  int standing(Verdict verdict, Span now) const;
-  void enter(ReleasePhase phase, int stage, const std::string& why, Span now);
-  void want(int place, int build, Span now);
-  void tick(Span now);
-  void begin_stage(Span now);
-  void go_back(const std::string& why, Span now);
+  int standing(Verdict verdict, TimePoint now) const;
+  void enter(ReleasePhase phase, int stage, const std::string& why, TimePoint now);
+  void want(int place, int build, TimePoint now);
+  void tick(TimePoint now);
+  void begin_stage(TimePoint now);
+  void go_back(const std::string& why, TimePoint now);
   int running(int build, bool up_only) const;
   int target(int stage) const;
   bool gate(int stage) const;
-  bool passes(int stage, Span now);
+  bool passes(int stage, TimePoint now);
 
   Settings settings_;
   int places_, baseline_, proxies_, rollback_proxies_;
   int build_ = -1, stage_ = 0;  // the release last offered; -1: none yet
   ReleasePhase phase_ = ReleasePhase::released;
-  Span phase_at_{}, clock_at_ = long_ago, ordered_at_{}, held_for_{}, ticked_at_{};
+  Duration held_for_{};
+  TimePoint phase_at_{}, clock_at_ = long_ago, ordered_at_{}, ticked_at_{};
   bool operator_holds_ = false, begun_ = false;
   std::optional<int> queued_{};
   int newest_offered_, next_machine_;
@@ -149,12 +151,12 @@
   std::deque<Order> orders_{};
   std::map<std::string, Vote> votes_{};
   std::map<std::pair<int, int>, bool> gates_{};
-  std::optional<Span> due_since_{};
-  Span gate_waited_{};
+  std::optional<TimePoint> due_since_{};
+  Duration gate_waited_{};
   std::vector<Change> changes_{};
   std::map<int, ReleasePhase> fates_{};
   double tokens_ = 0;
-  Span tokens_at_{};
+  TimePoint tokens_at_{};
   int version_ = 1;
 };
 
--- a/src/settings/form.cpp
+++ b/src/settings/form.cpp
@@ -99,7 +99,7 @@
   return out.str();
 }
 
-std::string plain(Span span) {
+std::string plain(Duration span) {
   double ms = std::chrono::duration<double, std::milli>(span).count();
   return ms >= 1000 ? plain(ms / 1000) + "s" : plain(ms) + "ms";
 }
@@ -113,14 +113,14 @@
   return value;
 }
 
-std::optional<Span> span_of(const std::string& word) {
+std::optional<Duration> span_of(const std::string& word) {
   static constexpr std::pair<const char*, double> units[] = {
       {"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"m", 6e7}, {"h", 3.6e9}};
   for (auto& [unit, us] : units) {
     std::size_t length = std::strlen(unit);
     if (word.size() <= length || word.compare(word.size() - length, length, unit) != 0) continue;
     auto value = number_of(word.substr(0, word.size() - length));
-    if (value && std::abs(*value * us) < 1e15) return Span(std::llround(*value * us));
+    if (value && std::abs(*value * us) < 1e15) return Duration(std::llround(*value * us));
   }
   return {};
 }
@@ -360,7 +360,7 @@
   return least;
 }
 
-Span Form::span(const char* key, Span least, Span most, std::optional<Span> absent) {
+Duration Form::span(const char* key, Duration least, Duration most, std::optional<Duration> absent) {
   const Value* value = one(key, !absent);
   if (!value) return absent.value_or(least);
   auto read = value->quoted ? std::nullopt : span_of(value->atom);
--- a/src/settings/form.h
+++ b/src/settings/form.h
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-namespace robinhoist::settings {
+#include "time/time_types.h"
 
-using Span = std::chrono::microseconds;
+namespace robinhoist::settings {
 
 struct Value {
   int line = 0, file = 0;  // file: its place among the source's
@@ -45,7 +45,7 @@
   std::string text(const char* key, std::optional<std::string> absent = {});
   double number(const char* key, double least, double most, std::optional<double> absent = {});
   int whole(const char* key, int least, int most, std::optional<int> absent = {});
-  Span span(const char* key, Span least, Span most, std::optional<Span> absent = {});
+  Duration span(const char* key, Duration least, Duration most, std::optional<Duration> absent = {});
   bool truth(const char* key, std::optional<bool> absent = {});
   std::vector<double> numbers(const char* key, double least, double most, std::size_t least_count);
   template <class T>
@@ -108,7 +108,7 @@
 };
 
 // 250ms, 1.5s, 2m, 1h, 40us; nothing when it is none.
-std::optional<Span> span_of(const std::string& word);
+std::optional<Duration> span_of(const std::string& word);
 std::optional<double> number_of(const std::string& word);
 
 }  // namespace robinhoist::settings
--- a/src/standin/agent.cpp
+++ b/src/standin/agent.cpp
@@ -163,7 +163,7 @@
   if (auto capacity = form.maybe("capacity")) to.capacity = machine::read_capacity(*capacity, to.deployment);
   for (settings::Form& build : form.each("build", 1)) to.builds.push_back(machine::read_build(build, to.deployment));
   to.shared.memory = form.span("memory", 0ms, 24h, 2s);
-  const Span work = form.span("work", 0ms, 1min, 10ms);
+  const Duration work = form.span("work", 0ms, 1min, 10ms);
   to.shared.work.assign(to.deployment.request_classes.size(), work);
   form.finish();
   root.finish();
--- a/src/standin/agent.h
+++ b/src/standin/agent.h
@@ -4,13 +4,14 @@
 #include <vector>
 
 #include "standin/nodes.h"
+#include "time/time_types.h"
 
 namespace robinhoist::standin {
 
 struct Settings {
   std::string list{}, orders_from{};  // addresses; without orders `build` runs on all nodes
   int nodes = 1, first_port = 0;      // 0: any ports
-  Span boot{};
+  Duration boot{};
   machine::Capacity capacity{};
   std::vector<machine::Build> builds{};
   Shared shared{};
--- a/src/standin/database.cpp
+++ b/src/standin/database.cpp
@@ -82,7 +82,7 @@
   sqlite3_close(db_);
 }
 
-void Database::fault(DbFault fault, int times, net::Span by) {
+void Database::fault(DbFault fault, int times, Duration by) {
   fault_ = fault;
   fault_times_ = times;
   fault_by_ = by;
@@ -114,7 +114,7 @@
   if (record_)
     record_->line(json::Out()
                       .open()
-                      .put("t", static_cast<long>(loop_.now().count()))
+                      .put("t", static_cast<long>(loop_.now().time_since_epoch().count()))
                       .put("mark", mark)
                       .put("undo", undo)
                       .put("how", how)
@@ -124,7 +124,7 @@
 }
 
 http::Response Database::run_now(const std::string& body) {
-  const net::Span from = loop_.now();
+  const TimePoint from = loop_.now();
   http::Response response = run_whole(body);
   busy_us_ += (loop_.now() - from).count();
   return response;
--- a/src/standin/database.h
+++ b/src/standin/database.h
@@ -7,6 +7,7 @@
 
 #include "http/server.h"
 #include "record/record.h"
+#include "time/time_types.h"
 
 struct sqlite3;
 
@@ -24,14 +25,14 @@
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
   int port() const { return server_->port(); }
-  void fault(DbFault fault, int times, net::Span by = {});
+  void fault(DbFault fault, int times, Duration by = {});
   // The first value of a query; nothing when it can't be asked.
   std::optional<double> ask(const std::string& statement) const;
   bool execute(const std::string& statements);
   // What ran, in order: "mark apply" or "mark undo", batches of a step told once.
   const std::vector<std::string>& ran() const { return ran_; }
   // For how long steps have run in all; from any thread.
-  net::Span busy() const { return net::Span(busy_us_.load()); }
+  Duration busy() const { return Duration(busy_us_.load()); }
 
  private:
   void handle(const http::ExchangePtr& exchange);
@@ -45,7 +46,7 @@
   record::Writer* record_;
   DbFault fault_ = DbFault::none;
   int fault_times_ = 0;
-  net::Span fault_by_{};
+  Duration fault_by_{};
   std::vector<std::string> ran_{};
   std::atomic<std::int64_t> busy_us_{0};
   std::unique_ptr<http::Server> server_;
--- a/src/standin/nodes.cpp
+++ b/src/standin/nodes.cpp
@@ -11,23 +11,23 @@
 }  // namespace
 
 struct Nodes::Node {
-  Node(const NodeSpec& given, unsigned salt, Span started, machine::Marks* marks,
+  Node(const NodeSpec& given, unsigned salt, TimePoint started, machine::Marks* marks,
        const machine::SharedHarm* harm)
       : spec(given), machine(given.capacity, given.build, salt, started, marks, harm) {}
   struct Open {
     http::ExchangePtr exchange;
     int request_class;
-    Span by;  // the answer takes so much longer
+    Duration by;  // the answer takes so much longer
   };
   NodeSpec spec;
   machine::Machine machine;
-  Span started{};  // since 1970; 0: long ago
+  WallTime started{};  // since 1970; 0: long ago
   std::unique_ptr<http::Server> server{};
   std::unordered_map<std::int64_t, Open> open{};
   net::Loop::Timer timer = net::Loop::no_timer;
   bool silent = false;
   double probes_fail = 0;
-  Span handshake{};
+  Duration handshake{};
 };
 
 Nodes::Nodes(net::Loop& loop, const deployment::Deployment& deployment, const Shared& shared, unsigned salt,
@@ -41,7 +41,7 @@
 
 int Nodes::start(const NodeSpec& spec) {
   if (runs(spec.name)) kill(spec.name);
-  const Span started = spec.cold ? loop_.now() : long_ago;
+  const TimePoint started = spec.cold ? loop_.now() : long_ago;
   auto node = std::make_unique<Node>(spec, static_cast<unsigned>(random_()), started, &marks_, &harm_);
   http::ServerSettings settings;
   settings.listen = spec.listen;
@@ -59,7 +59,7 @@
 }
 
 int Nodes::port(const std::string& name) const { return nodes_.at(name)->server->port(); }
-Span Nodes::started(const std::string& name) const { return nodes_.at(name)->started; }
+WallTime Nodes::started(const std::string& name) const { return nodes_.at(name)->started; }
 
 void Nodes::kill(const std::string& name) {
   auto at = nodes_.find(name);
@@ -97,7 +97,7 @@
   server.most(connections > 0 ? connections : shared_.most_clients);
   if (connections > 0) server.close_idle(connections);
 }
-void Nodes::slow_handshake(const std::string& name, Span by) {
+void Nodes::slow_handshake(const std::string& name, Duration by) {
   if (runs(name)) nodes_[name]->handshake = by;
 }
 void Nodes::fail_probes(const std::string& name, double share) {
@@ -119,7 +119,7 @@
   auto swallow = [&](const char* why) {
     const std::int64_t id = next_id_++;
     note(node, why, request, deployment_.match_request_class(request.method, request.path()), id);
-    node.open[id] = {exchange, -1, Span{}};
+    node.open[id] = {exchange, -1, Duration{}};
     exchange->on_gone = [at = &node, id] { at->open.erase(id); };
   };
   if (node.silent) return swallow("silent");
@@ -138,7 +138,7 @@
     note(node, "cut", request, deployment_.match_request_class(request.method, request.path()), next_id_++);
     return exchange->hang_up();
   }
-  const Span by = there.by + (exchange->first ? node.handshake : Span{});
+  const Duration by = there.by + (exchange->first ? node.handshake : Duration{});
   const int request_class = deployment_.match_request_class(request.method, request.path());
   if (request_class < 0) return exchange->answer(http::text_answer(404, "no such product\n"));
   machine::Work work;
@@ -146,9 +146,9 @@
   work.request_class = request_class;
   std::string_view said = request.headers.get("X-Work-Us");
   auto us = said.empty() ? std::nullopt : settings::number_of(std::string(said));
-  work.work = us && *us >= 0                                    ? Span(static_cast<std::int64_t>(*us))
+  work.work = us && *us >= 0                                    ? Duration(static_cast<std::int64_t>(*us))
               : request_class < static_cast<int>(shared_.work.size()) ? shared_.work[request_class]
-                                                                : Span(1ms);
+                                                                : Duration(1ms);
   const Idempotency idempotency = deployment_.request_classes[request_class].request_class.idempotency;
   work.effect = idempotency != Idempotency::idempotent;
   if (idempotency == Idempotency::idempotent_with_key) work.key = request.headers.get("Idempotency-Key");
@@ -224,7 +224,7 @@
     std::snprintf(load, sizeof load, "TEXT cpu_utilization=%.2f,named_metrics.held=%d", node.machine.busy(),
                   node.machine.held());
     response.headers.add("endpoint-load-metrics", load);
-    if (open.by > Span{}) {
+    if (open.by > Duration{}) {
       loop_.in(open.by, [exchange = open.exchange, response] { exchange->answer(response); });
     } else {
       open.exchange->answer(std::move(response));
@@ -240,7 +240,7 @@
   return figures;
 }
 
-double Nodes::share_of_traffic(int build, Span window) {
+double Nodes::share_of_traffic(int build, Duration window) {
   while (!lately_.empty() && lately_.front().first < loop_.now() - window) lately_.pop_front();
   double its = 0;
   for (auto& [at, of] : lately_) its += of == build;
--- a/src/standin/nodes.h
+++ b/src/standin/nodes.h
@@ -9,10 +9,10 @@
 #include "http/server.h"
 #include "machine/machine.h"
 #include "record/record.h"
+#include "time/time_types.h"
 
 namespace robinhoist::standin {
 
-using net::Span;
 
 struct NodeSpec {
   std::string name{}, zone{}, listen{"127.0.0.1:0"};
@@ -26,8 +26,8 @@
 using machine::Cancelled;
 
 struct Shared {
-  Span memory{};             // for which the group drops repeats of a key
-  std::vector<Span> work{};  // by product, where a request does not say
+  Duration memory{};             // for which the group drops repeats of a key
+  std::vector<Duration> work{};  // by product, where a request does not say
   Cancelled cancelled = Cancelled::nothing;
   std::size_t most_clients = 10000;  // connections that a node takes
 };
@@ -45,7 +45,7 @@
   void kill(const std::string& name);
   bool runs(const std::string& name) const { return nodes_.count(name) > 0; }
   int port(const std::string& name) const;
-  Span started(const std::string& name) const;  // since 1970; 0: long ago
+  WallTime started(const std::string& name) const;  // since 1970; 0: long ago
   // Says nothing any more, takes connections and does nothing.
   void silence(const std::string& name);
   void slow(const std::string& name, double times);
@@ -54,13 +54,13 @@
   // Takes only so many connections from here on, closing those beyond.
   void squeeze(const std::string& name, std::size_t connections);
   // New connections are answered so much later.
-  void slow_handshake(const std::string& name, Span by);
+  void slow_handshake(const std::string& name, Duration by);
   // Health calls fail though the node serves.
   void fail_probes(const std::string& name, double share);
   // The way between an umpire and a node: asked for each request, so that links can be cut, slow or lossy.
   struct Way {
     bool cut = false;
-    Span by{};        // later, there and back together
+    Duration by{};        // later, there and back together
     double lost = 0;  // share of requests whose connection breaks
   };
   // Whether what a build needs of its data is there; one that reads what is not answers wrongly.
@@ -73,7 +73,7 @@
     double most_pushed = 0;
   };
   Figures figures() const;
-  double share_of_traffic(int build, Span window);
+  double share_of_traffic(int build, Duration window);
   std::vector<std::string> names() const;
 
  private:
@@ -91,7 +91,7 @@
   machine::Marks marks_;
   machine::SharedHarm harm_{};
   std::map<std::string, std::unique_ptr<Node>> nodes_;
-  std::deque<std::pair<Span, int>> lately_{};
+  std::deque<std::pair<TimePoint, int>> lately_{};
   std::int64_t next_id_ = 1;
   Figures figures_{};
 };
--- a/src/state.h
+++ b/src/state.h
@@ -8,12 +8,10 @@
 #include <vector>
 
 #include "sliding_window.h"
+#include "time/time_types.h"
 
 namespace robinhoist {
 
-using Span = std::chrono::microseconds;  // time since the start, or a length of time
-
-constexpr Span long_ago = std::chrono::hours(-1);
 
 enum class Idempotency { idempotent, idempotent_with_key, non_idempotent };
 enum class DedupScope { all, zone, cell };
@@ -33,7 +31,7 @@
 enum class Reports { none, answers, probes };
 
 struct RequestClass {
-  Span latency_objective, deadline, dedup_window;
+  Duration latency_objective, deadline, dedup_window;
   Idempotency idempotency;
   DedupScope dedup_scope;
   double priority_weight, late_weight_share;
@@ -46,7 +44,7 @@
 
 struct EndpointSettings {
   int zone;
-  Span cold_for, fall_window, ask_within, call_timeout;
+  Duration cold_for, fall_window, ask_within, call_timeout;
   double cold_from, fall_multiple;
   bool must_ask, sized, probes;
   Reports reports;
@@ -54,7 +52,7 @@
 };
 
 struct CanaryQuotaSettings {
-  Span window;
+  Duration window;
   double free;
   bool by_request_class, one_way, in_place;
   int safe_only_stages;
@@ -63,7 +61,7 @@
 
 struct AnalysisSettings {
   PromotionMode promotion_mode;
-  Span bake, step, vote_lifetime, call_timeout;
+  Duration bake, step, vote_lifetime, call_timeout;
   double votes_per_s, wrong_answer_report_share;
   int proxies, votes_to_promote, votes_to_hold, votes_to_roll_back;
 };
@@ -73,7 +71,7 @@
   std::vector<Tenant> tenants;
   int max_attempts, proxies;
   bool hedging, cancelling, advice;
-  Span max_pause, slack, tick;
+  Duration max_pause, slack, tick;
   double over_quota_weight;
 };
 
@@ -81,7 +79,7 @@
   int endpoint, zone, cell, build;
   EndpointPhase phase;
   double size;
-  Span started;             // zero: long ago
+  TimePoint started;             // zero: long ago
   std::uint64_t order = 0;  // a digest of the id, the same at every umpire
 };
 
@@ -89,7 +87,7 @@
   int build, stage;
   ReleasePhase phase;
   double cap;
-  Span since;
+  Duration since;
 };
 
 // A load report; what it does not carry is absent.
@@ -99,7 +97,7 @@
 
 struct RequestInfo {
   int request_id, request_class, tenant;
-  Span deadline;
+  TimePoint deadline;
   double cost_hint_ms;  // zero: none came
   std::string key;
   bool is_retry;
@@ -113,7 +111,7 @@
   int request_id = -1;
   int endpoint = -1;
   int attempt = -1;
-  Span span{};  // time-out, advice when to come back, or time until the wake-up
+  Duration span{};  // time-out, advice when to come back, or time until the wake-up
   int build = -1;
   int stage = 0;
   Verdict verdict = Verdict::none;
@@ -121,10 +119,10 @@
 };
 
 struct Result {
-  Span at;
+  TimePoint at;
   bool ok;
   double ratio;  // latency over the product's usual one
-  Span took;
+  Duration took;
   int in_hand;  // own txns that the node held when this one was sent, itself included
   bool timed;   // not an error: those may come at once
 };
@@ -132,7 +130,7 @@
 // Sums over a node's young results, newest first; kept until one of them grows old or another comes.
 struct RecentResults {
   std::size_t failed = 0, young = 0;
-  Span last_failed{}, until{};
+  TimePoint last_failed{}, until{};
   double took = 0, in_hand = 0, ratios = 0;
 };
 
@@ -141,34 +139,34 @@
   int dead_run = 0;                            // submissions lost in a row without any reply
   int full_run = 0;                            // submissions turned away in a row
   int succeeded = 0;                             // answers of late, while warm
-  Span back_at = long_ago;                     // answered again after it was taken for dead
-  Span told = long_ago, cold_sent = long_ago;  // when its start was heard of, and last sent to while cold
-  Span dead_at = long_ago, heard_at = long_ago, full_at = long_ago;
-  std::vector<Span> out{};   // when the submissions still out were sent
-  std::deque<Span> sends{};  // sends within the rule's window while cold
+  TimePoint back_at = long_ago;                     // answered again after it was taken for dead
+  TimePoint told = long_ago, cold_sent = long_ago;  // when its start was heard of, and last sent to while cold
+  TimePoint dead_at = long_ago, heard_at = long_ago, full_at = long_ago;
+  std::vector<TimePoint> out{};   // when the submissions still out were sent
+  std::deque<TimePoint> sends{};  // sends within the rule's window while cold
   SlidingWindow<Result> results{0};
   std::optional<RecentResults> recent{};
   Load load{};
-  Span load_at = long_ago;
+  TimePoint load_at = long_ago;
 };
 
 struct Attempt {
   int endpoint, build;
-  Span sent;
+  TimePoint sent;
   int in_hand;
   bool out = true, never_ran = false, failed = false, unreached = false;
 };
 
 struct ScheduledRequest {
   RequestInfo info;
-  Span look_at{};
+  TimePoint look_at{};
   std::vector<Attempt> attempts{};
   bool over = false, streaming = false;
 };
 
 // One judged submission of an arm.
 struct Sample {
-  Span at, sent;
+  TimePoint at, sent;
   int endpoint, request_class, tenant;
   bool failed, lost, warm;
   double ratio, objective_ratio;  // latency over the product's usual one, and over its SLA time
--- a/src/statistics.h
+++ b/src/statistics.h
@@ -8,16 +8,17 @@
 #include <vector>
 
 #include "state.h"
+#include "time/time_types.h"
 
 namespace robinhoist {
 
-inline double to_seconds(Span s) { return std::chrono::duration<double>(s).count(); }
-inline double to_millis(Span s) { return to_seconds(s) * 1e3; }
-inline Span from_millis(double ms) { return Span(static_cast<long long>(ms * 1e3)); }
+inline double to_seconds(Duration s) { return std::chrono::duration<double>(s).count(); }
+inline double to_millis(Duration s) { return to_seconds(s) * 1e3; }
+inline Duration from_millis(double ms) { return Duration(static_cast<long long>(ms * 1e3)); }
 inline double uniform_sample(std::minstd_rand& random) { return std::uniform_real_distribution<double>(0, 1)(random); }
 
 // How many of these come in a second of late.
-inline double rate_of(const SlidingWindow<Span>& of, Span now) {
+inline double rate_of(const SlidingWindow<TimePoint>& of, TimePoint now) {
   return of.size() == 0 ? 0 : of.size() / std::max(0.2, to_seconds(now - of.back(of.size() - 1)));
 }
 
--- a/src/steps/core.cpp
+++ b/src/steps/core.cpp
@@ -11,7 +11,7 @@
 constexpr double max_unsuccessful_share = 0.02;
 constexpr long min_requests = 20;
 constexpr std::size_t pace_most = 16;
-constexpr Span throttle_least = 20ms, throttle_most = 5s;
+constexpr Duration throttle_least = 20ms, throttle_most = 5s;
 }  // namespace
 
 Core::Core(Plan plan) : plan_(std::move(plan)), progress_(plan_.steps.size()) {}
@@ -64,7 +64,7 @@
   return Todo{Act::ask_operator, i, direction, progress.tries, 0, progress.why};
 }
 
-std::optional<Todo> Core::forward(int i, Span now) {
+std::optional<Todo> Core::forward(int i, TimePoint now) {
   Progress& progress = progress_[i];
   if (progress.stuck || now < progress.retry_at) return {};
   switch (progress.fact) {
@@ -83,7 +83,7 @@
   return Todo{Act::verify, i, Direction::apply, progress.tries, 0, ""};
 }
 
-std::optional<Todo> Core::backward(int i, Span now) {
+std::optional<Todo> Core::backward(int i, TimePoint now) {
   Progress& progress = progress_[i];
   if (progress.stuck || now < progress.retry_at) return {};
   if (progress.fact == Fact::maybe_applied) return resolve(i, Direction::apply);
@@ -92,7 +92,7 @@
   return run(i, Direction::undo);
 }
 
-std::optional<Todo> Core::next(Span now) {
+std::optional<Todo> Core::next(TimePoint now) {
   // One at a time, and none while another runner may hold the lease.
   if (busy_ || paused_ || !leased_) return {};
   const int count = static_cast<int>(plan_.steps.size());
@@ -107,18 +107,18 @@
   return {};
 }
 
-std::optional<Span> Core::next_look() const {
-  std::optional<Span> at;
+std::optional<TimePoint> Core::next_look() const {
+  std::optional<TimePoint> at;
   for (const Progress& progress : progress_)
-    if (!progress.stuck && progress.retry_at > Span{} && (!at || progress.retry_at < *at))
+    if (!progress.stuck && progress.retry_at > TimePoint{} && (!at || progress.retry_at < *at))
       at = progress.retry_at;
-  if (batch_at_ > Span{} && (!at || batch_at_ < *at)) at = batch_at_;
+  if (batch_at_ > TimePoint{} && (!at || batch_at_ < *at)) at = batch_at_;
   return at;
 }
 
-void Core::again(Progress& progress, const Step& step, Span now) {
+void Core::again(Progress& progress, const Step& step, TimePoint now) {
   ++progress.tries;
-  Span pause = step.pause_least;
+  Duration pause = step.pause_least;
   for (int i = 1; i < progress.tries && pause < step.pause_most; ++i) pause *= 2;
   // Spread by the step's own digest: the same events give the same pauses, and not all steps the same.
   const int part = step.digest.empty() ? 0 : step.digest[progress.tries % step.digest.size()] % 16;
@@ -127,7 +127,7 @@
 }
 
 void Core::ended(int i, Direction direction, Result result, std::int64_t after, const std::string& why,
-                 Span now) {
+                 TimePoint now) {
   busy_ = false;
   Progress& progress = progress_[i];
   const Step& step = plan_.steps[i];
@@ -137,7 +137,7 @@
     case Result::done:
     case Result::more:
       progress.tries = 0;
-      progress.retry_at = Span{};
+      progress.retry_at = TimePoint{};
       batch_at_ = now + throttle_;
       // A pace is one of one direction.
       if (progress.pace.size() > 1 &&
@@ -157,7 +157,7 @@
   }
 }
 
-void Core::looked(int i, Answer applied, std::int64_t after, const std::string& why, Span now) {
+void Core::looked(int i, Answer applied, std::int64_t after, const std::string& why, TimePoint now) {
   busy_ = false;
   Progress& progress = progress_[i];
   progress.why = why;
@@ -169,7 +169,7 @@
     progress.stuck = true;
     progress.why = "it was applied, but its check says that it is not";
   } else {
-    progress.retry_at = Span{};
+    progress.retry_at = TimePoint{};
   }
 }
 
@@ -224,11 +224,11 @@
   }
 }
 
-void Core::client_outcomes(long requests, long unsuccessful, Span now) {
+void Core::client_outcomes(long requests, long unsuccessful, TimePoint now) {
   if (requests < min_requests) return;
   if (static_cast<double>(unsuccessful) > max_unsuccessful_share * static_cast<double>(requests))
     throttle_ = std::min(throttle_most, std::max(throttle_least, 2 * throttle_));
-  else throttle_ = throttle_ * 3 / 4 < throttle_least / 2 ? Span{} : throttle_ * 3 / 4;
+  else throttle_ = throttle_ * 3 / 4 < throttle_least / 2 ? Duration{} : throttle_ * 3 / 4;
   batch_at_ = std::min(std::max(batch_at_, now), now + throttle_);
 }
 
@@ -244,20 +244,20 @@
   const std::int64_t left = to.after > from.after ? progress.last - to.after : to.after;
   const double keys = std::abs(static_cast<double>(to.after - from.after));
   if (keys > 0)
-    estimate.left = Span(static_cast<std::int64_t>(static_cast<double>((to.at - from.at).count()) *
+    estimate.left = Duration(static_cast<std::int64_t>(static_cast<double>((to.at - from.at).count()) *
                                                    static_cast<double>(left) / keys));
   return estimate;
 }
 
 bool Core::retry(int i) {
   Progress& progress = progress_[i];
-  if (!progress.stuck && progress.retry_at == Span{}) return false;
+  if (!progress.stuck && progress.retry_at == TimePoint{}) return false;
   if (progress.asked && progress.fact == Fact::maybe_applied) progress.fact = Fact::not_applied;
   if (progress.asked && progress.fact == Fact::maybe_undone)
     progress.fact = progress.whole ? Fact::applied : Fact::not_applied;
   progress.stuck = progress.asked = false;
   progress.tries = 0;
-  progress.retry_at = Span{};
+  progress.retry_at = TimePoint{};
   return true;
 }
 
@@ -265,7 +265,7 @@
   Progress& progress = progress_[i];
   progress.skipped = true;
   progress.stuck = progress.asked = false;
-  progress.retry_at = Span{};
+  progress.retry_at = TimePoint{};
 }
 
 bool Core::skip(int i) {
--- a/src/steps/core.h
+++ b/src/steps/core.h
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "steps/plan.h"
+#include "time/time_types.h"
 
 namespace robinhoist::steps {
 
@@ -49,12 +50,12 @@
   bool whole = false;  // it has been applied to its end, whatever an undo has done since
   bool verified = false, stuck = false, skipped = false, asked = false;
   int tries = 0;  // that failed in a row
-  Span retry_at{};
+  TimePoint retry_at{};
   std::int64_t after = 0;  // the cursor of a data step
   std::string why{};
   std::int64_t last = 0;  // data: the largest key, as the target last told
   struct Pace {
-    Span at;
+    TimePoint at;
     std::int64_t after;
   };
   std::deque<Pace> pace{};  // of the last few batches
@@ -63,7 +64,7 @@
 // How far a data step is by its keys, and how long the rest takes at the pace of its last few batches.
 struct Estimate {
   double part = 0;
-  std::optional<Span> left{};
+  std::optional<Duration> left{};
 };
 
 class Core {
@@ -74,13 +75,13 @@
   void release(const Release& release) { release_ = release; }
   void lease(bool held) { leased_ = held; }
   void ended(int step, Direction direction, Result result, std::int64_t after, const std::string& why,
-             Span now);
-  void looked(int step, Answer applied, std::int64_t after, const std::string& why, Span now);
+             TimePoint now);
+  void looked(int step, Answer applied, std::int64_t after, const std::string& why, TimePoint now);
   // A data step's largest key, which its end goes by.
   void reaches(int step, std::int64_t last) { progress_[step].last = last; }
   void pause(bool on) { paused_ = on; }
   // Of the umpires' txns since the last word: how many, and how many were late, declined or voided.
-  void client_outcomes(long requests, long unsuccessful, Span now);
+  void client_outcomes(long requests, long unsuccessful, TimePoint now);
   // The operator: try it again (it is known to be safe), or take it as done.
   bool retry(int step);
   bool skip(int step);
@@ -91,8 +92,8 @@
   void replay_skipped(int step) { skip_now(step); }
 
   // Decisions.
-  std::optional<Todo> next(Span now);
-  std::optional<Span> next_look() const;
+  std::optional<Todo> next(TimePoint now);
+  std::optional<TimePoint> next_look() const;
   // Whether a wave may take traffic; `why` says what is missing.
   bool allows(int stage, std::string* why = nullptr) const;
   // Nothing is left to do as things stand.
@@ -103,7 +104,7 @@
   bool busy() const { return busy_; }
   bool paused() const { return paused_; }
   bool undoing() const { return release_.withdrawn; }
-  Span throttle() const { return throttle_; }
+  Duration throttle() const { return throttle_; }
   std::optional<Estimate> estimate(int step) const;  // none before its first batch, or once it is done
   int step(const std::string& id) const;             // -1: none
 
@@ -111,18 +112,19 @@
   bool wanted(int step) const;
   bool finished(int step) const;
   bool to_undo(int step) const;
-  std::optional<Todo> forward(int step, Span now);
-  std::optional<Todo> backward(int step, Span now);
+  std::optional<Todo> forward(int step, TimePoint now);
+  std::optional<Todo> backward(int step, TimePoint now);
   std::optional<Todo> resolve(int step, Direction direction);
   std::optional<Todo> run(int step, Direction direction);
-  void again(Progress& progress, const Step& step, Span now);
+  void again(Progress& progress, const Step& step, TimePoint now);
   void skip_now(int step);
 
   Plan plan_;
   std::vector<Progress> progress_;
   Release release_{};
   bool leased_ = false, paused_ = false, busy_ = false;
-  Span throttle_{}, batch_at_{};
+  Duration throttle_{};
+  TimePoint batch_at_{};
 };
 
 const char* to_string(Fact fact);
--- a/src/steps/plan.h
+++ b/src/steps/plan.h
@@ -5,14 +5,14 @@
 #include <string>
 #include <vector>
 
+#include "time/time_types.h"
+
 namespace robinhoist::settings {
 class Form;
 }
 
 namespace robinhoist::steps {
 
-using Span = std::chrono::microseconds;
-
 enum class Kind { schema, data };
 // expand: before the first wave. migrate: before a named wave. contract: once the release can't be sent back.
 enum class Phase { expand, migrate, contract };
@@ -30,9 +30,9 @@
   bool undo_on_back = false;     // else it is left standing when the release is sent back
   bool idempotent = false;       // may run twice
   bool transactional = true;     // the target takes its mark in the same transaction
-  Span timeout{}, lock_timeout{};
+  Duration timeout{}, lock_timeout{};
   int tries = 1;
-  Span pause_least{}, pause_most{};
+  Duration pause_least{}, pause_most{};
   std::vector<std::string> needs{};
   std::string digest{};  // of what it does
 };
--- a/src/steps/runner.cpp
+++ b/src/steps/runner.cpp
@@ -9,9 +9,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using net::Span;
 
-std::int64_t wall_ms() { return net::wall_now().count() / 1000; }
+std::int64_t wall_ms() { return net::wall_now().time_since_epoch().count() / 1000; }
 const char* to_string(Direction direction) { return direction == Direction::apply ? "apply" : "undo"; }
 const char* to_string(Answer answer) {
   return answer == Answer::yes ? "yes" : answer == Answer::no ? "no" : "unknown";
@@ -121,7 +120,7 @@
 }
 
 void Runner::keep_lease() {
-  Span again = settings_.lease / 3;
+  Duration again = settings_.lease / 3;
   const std::int64_t length = settings_.lease.count() / 1000;
   try {
     if (token_ > 0 && !journal_.renew_lease(settings_.who, token_, wall_ms(), length)) {
--- a/src/steps/runner.h
+++ b/src/steps/runner.h
@@ -12,14 +12,15 @@
 #include "steps/core.h"
 #include "journal/journal.h"
 #include "steps/target.h"
+#include "time/time_types.h"
 
 namespace robinhoist::steps {
 
 struct RunnerSettings {
   std::string who{};  // holder of the lease
-  net::Span lease{};  // its length; renewed at a third of it
+  Duration lease{};  // its length; renewed at a third of it
   int stages = 1;
-  net::Span journal_again = std::chrono::milliseconds(500);  // after it took nothing
+  Duration journal_again = std::chrono::milliseconds(500);  // after it took nothing
   // Called at each point between two writes, for tests that end the process there.
   std::function<void(const char* point)> point{};
 };
@@ -61,7 +62,7 @@
   struct Run {
     Core core;
     std::string text;
-    net::Span began{};
+    TimePoint began{};
   };
   struct Verification;
   Run* find(int build) const;
@@ -82,7 +83,7 @@
   const log::Log& log_;
   std::vector<std::unique_ptr<Run>> runs_{};  // by build, oldest first
   std::int64_t token_ = 0;
-  net::Span lease_until_{};
+  TimePoint lease_until_{};
   net::Loop::Timer lease_timer_ = net::Loop::no_timer, look_ = net::Loop::no_timer;
   std::deque<journal::Entry> unwritten_{};  // outcomes that the journal has not taken yet
   std::string broken_{};           // why the journal takes nothing
--- a/src/tracing/trace_store.cpp
+++ b/src/tracing/trace_store.cpp
@@ -36,7 +36,7 @@
   return "00-" + parent.trace + "-" + parent.span + (parent.sampled ? "-01" : "-00");
 }
 
-void Trace::note(Span now, std::string what,
+void Trace::note(TimePoint now, std::string what,
                  std::initializer_list<std::pair<std::string, std::string>> figures) {
   if (events_.size() >= events_most) {
     ++dropped_;
@@ -53,7 +53,7 @@
   return text;
 }
 
-TracePtr TraceStore::begin(const std::string& request_name, const std::optional<Parent>& parent, Span now) {
+TracePtr TraceStore::begin(const std::string& request_name, const std::optional<Parent>& parent, TimePoint now) {
   if (!on()) return nullptr;
   const bool asked = parent && parent->sampled;
   if (!asked &&
--- a/src/tracing/trace_store.h
+++ b/src/tracing/trace_store.h
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-namespace robinhoist::tracing {
+#include "time/time_types.h"
 
-using Span = std::chrono::microseconds;
+namespace robinhoist::tracing {
 
 // 00-<32 hex>-<16 hex>-<2 hex>: trace, parent, flags. Nothing when it is none, which is then as if it were
 // not there.
@@ -27,18 +27,18 @@
 std::string written(const Parent& parent);
 
 struct Event {
-  Span at{};
+  Duration at{};  // since the trace began
   std::string what{};
   std::vector<std::pair<std::string, std::string>> figures{};
 };
 
 class Trace {
  public:
-  Trace(std::string request_name, std::string trace, std::string span, Span began)
+  Trace(std::string request_name, std::string trace, std::string span, TimePoint began)
       : request_name(std::move(request_name)), trace(std::move(trace)), span(std::move(span)), began(began) {}
-  void note(Span now, std::string what, std::initializer_list<std::pair<std::string, std::string>> figures);
+  void note(TimePoint now, std::string what, std::initializer_list<std::pair<std::string, std::string>> figures);
   const std::string request_name, trace, span;  // the umpire's name for it; the trace's id; the id of our part in it
-  const Span began;
+  const TimePoint began;
   const std::vector<Event>& events() const { return events_; }
   std::size_t dropped() const { return dropped_; }
   std::string outcome{};  // empty while it is open
@@ -58,7 +58,7 @@
  public:
   TraceStore(const Settings& settings, unsigned salt) : settings_(settings), random_(salt) {}
   // Null when it is not traced.
-  TracePtr begin(const std::string& request_name, const std::optional<Parent>& parent, Span now);
+  TracePtr begin(const std::string& request_name, const std::optional<Parent>& parent, TimePoint now);
   bool on() const { return settings_.keep > 0; }
   // By the umpire's name for the txn or the trace's id; the last of that trace.
   TracePtr find(const std::string& id) const;
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -17,28 +17,28 @@
 TEST(Engine, runs_in_time_and_ties_as_planned) {
   Engine engine;
   std::vector<int> order;
-  engine.at(20us, [&] { order.push_back(3); });
-  engine.at(10us, [&] {
+  engine.at(TimePoint(20us), [&] { order.push_back(3); });
+  engine.at(TimePoint(10us), [&] {
     order.push_back(1);
     engine.in(0us, [&] { order.push_back(2); });
-    engine.at(5us, [&] { order.push_back(22); });  // has passed: now
+    engine.at(TimePoint(5us), [&] { order.push_back(22); });  // has passed: now
   });
-  engine.at(20us, [&] { order.push_back(4); });
-  Engine::Id dropped = engine.at(15us, [&] { order.push_back(99); });
+  engine.at(TimePoint(20us), [&] { order.push_back(4); });
+  Engine::Id dropped = engine.at(TimePoint(15us), [&] { order.push_back(99); });
   engine.cancel(dropped);
   engine.cancel(dropped);
   Engine::Id itself{};
-  itself = engine.at(30us, [&] {
+  itself = engine.at(TimePoint(30us), [&] {
     engine.cancel(itself);  // while it runs
     order.push_back(5);
   });
   Engine::Id old = itself;
-  engine.run(40us);
-  engine.at(50us, [&] { order.push_back(6); });
+  engine.run(TimePoint(40us));
+  engine.at(TimePoint(50us), [&] { order.push_back(6); });
   engine.cancel(old);  // its place belongs to another by now
-  engine.run(60us);
+  engine.run(TimePoint(60us));
   EXPECT_EQ(order, (std::vector<int>{1, 2, 22, 3, 4, 5, 6}));
-  EXPECT_EQ(engine.now(), 60us);
+  EXPECT_EQ(engine.now(), TimePoint(60us));
   EXPECT_EQ(engine.planned(), 0u);
 }
 
@@ -53,10 +53,10 @@
   machine::Machine server(capacity, machine::Build{.number = 1}, 1, long_ago, nullptr);
   std::minstd_rand chance(7);
   boost::random::exponential_distribution<double> gap(rate), work(100);
-  std::unordered_map<std::int64_t, Span> began;
+  std::unordered_map<std::int64_t, TimePoint> began;
   double sum = 0, area = 0;
   long done = 0, next = 0, held = 0;
-  Span last{}, counted_from{};
+  TimePoint last{}, counted_from{};
   Engine::Id timer{};
   const auto moved = [&](long by) {
     if (next > count / 10)
@@ -81,15 +81,15 @@
     plan();
   };
   std::function<void()> arrive = [&] {
-    machine::Work one{.id = ++next, .work = Span(static_cast<std::int64_t>(work(chance) * 1e6))};
+    machine::Work one{.id = ++next, .work = Duration(static_cast<std::int64_t>(work(chance) * 1e6))};
     began[one.id] = engine.now();
     server.arrive(one, engine.now());
     moved(1);
     plan();
-    if (next < count) engine.in(Span(static_cast<std::int64_t>(gap(chance) * 1e6)), [&] { arrive(); });
+    if (next < count) engine.in(Duration(static_cast<std::int64_t>(gap(chance) * 1e6)), [&] { arrive(); });
   };
   arrive();
-  engine.run(std::chrono::hours(10));
+  engine.run(TimePoint(std::chrono::hours(10)));
   const double span = static_cast<double>((last - counted_from).count());
   return {sum / static_cast<double>(done) / 1e3, area / span};
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -14,7 +14,6 @@
 namespace {
 
 using namespace std::chrono_literals;
-using net::Span;
 
 std::string config_text() {
   std::ifstream in(TESTS "/platform/config.json");
@@ -301,7 +300,7 @@
   platform::ReleaseApi api(loop, desk.at(), ReleaseUpdate{1, 0, ReleasePhase::released, 1, 1s}, 100ms, 1, log);
   std::vector<int> builds;
   std::vector<std::string> flagged;
-  api.on_flagged([&](const std::string& endpoint, Span) { flagged.push_back(endpoint); });
+  api.on_flagged([&](const std::string& endpoint, Duration) { flagged.push_back(endpoint); });
   api.start([&](const ReleaseUpdate& release) { builds.push_back(release.build * 10 + release.stage); });
   loop.in(100ms, [&] { loop.stop(); });
   loop.run();
@@ -341,10 +340,10 @@
   http::CallerSettings settings;
   settings.connect_within = 3s;
   http::Caller caller(loop, Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(endpoint.port())), settings);
-  std::optional<Span> left;
+  std::optional<Duration> left;
   caller.call(
       {}, 4s, [](http::Ended, http::Response&&) {},
-      [&](http::Request&, Span then) {
+      [&](http::Request&, Duration then) {
         left = then;
         loop.stop();
       });
@@ -381,7 +380,7 @@
     loop.quit();
     thread.join();
   }
-  void step(const std::function<void()>& what, Span then = 40ms) {
+  void step(const std::function<void()>& what, Duration then = 40ms) {
     loop.call(what);
     std::this_thread::sleep_for(then);
   }
@@ -484,7 +483,7 @@
   const module_settings::ModuleSettings module_settings = platform::decoded(config).module_settings;
   DecisionEngine engine(7, module_settings.endpoints, module_settings.canary_quota, module_settings.analysis, module_settings.requests);
   std::vector<std::string> decided;
-  Span now = 1s;
+  TimePoint now {1s};
   const auto pull = [&] {
     while (auto d = engine.next(now)) {
       decided.push_back(std::to_string(static_cast<int>(d->action)) + " " + std::to_string(d->request_id) + " " +
@@ -499,7 +498,7 @@
   for (int n = 0; n < 6; ++n) entries[n].endpoint = n, entries[n].build = 1, entries[n].size = 1;
   for (EndpointInfo& entry : entries)
     entry.phase = EndpointPhase::ready, entry.order = static_cast<unsigned>(entry.endpoint);
-  engine.release_updated({1, 0, ReleasePhase::released, 1, Span{}}, now);
+  engine.release_updated({1, 0, ReleasePhase::released, 1, Duration{}}, now);
   engine.endpoints_updated(EndpointUpdateKind::complete, entries, now);
   for (int request_id = 1; request_id < 200; ++request_id, now += 7ms) {
     engine.request_arrived({request_id, request_id % 3, 0, now + 400ms, 0, "", false}, now);
@@ -526,7 +525,7 @@
     const std::string text = with(config_text(), "127.0.0.1:0", "127.0.0.1:" + std::to_string(port));
     OnPlatform on(second ? renamed(text) : text);
     tests::Stage& stage = on.stage;
-    const auto step = [&](const tests::Words& words, Span then = 0ms) {
+    const auto step = [&](const tests::Words& words, Duration then = 0ms) {
       stage.loop.call([&] { stage.step(words); });
       std::this_thread::sleep_for(then);
     };
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -284,7 +284,7 @@
   machine::Build build{.number = 1};
   machine::Marks marks{200ms};
   std::unique_ptr<machine::Machine> machine{};
-  machine::Span now{1s};
+  TimePoint now{1s};
   std::map<std::string, double> counts{};
   std::int64_t next_id = 1;
 
@@ -294,7 +294,7 @@
   }
 
   void step(const Words& w) {
-    const auto ms = [](const std::string& word) { return machine::Span(std::stol(word) * 1000); };
+    const auto ms = [](const std::string& word) { return Duration(std::stol(word) * 1000); };
     if (w[0] == "cold") {
       capacity.cold_for = ms(w[1]);
       capacity.fall_window = 1s;
@@ -316,7 +316,7 @@
         ++counts[entry == machine::Entry::taken ? "taken" : entry == machine::Entry::full ? "full" : "down"];
       }
     } else if (w[0] == "run") {
-      for (const machine::Span until = now + ms(w[1]); now < until; now += 1ms)
+      for (const TimePoint until = now + ms(w[1]); now < until; now += 1ms)
         while (auto done = it().next(now)) {
           ++counts[done->how == machine::Ran::well     ? "well"
                    : done->how == machine::Ran::failed ? "failed"
@@ -360,12 +360,12 @@
   for (auto& list : drawn) {
     load::Load load(settings, 11);
     std::map<int, int> most;
-    for (load::Span now{}; !load.over(); now += 1ms)
+    for (TimePoint now{}; !load.over(); now += 1ms)
       while (auto one = load.next(now)) {
         list.push_back(std::to_string(one->id) + "/" + std::to_string(one->request_class) + "/" +
                        std::to_string(one->work.count()));
         most[one->request_class] = std::max(most[one->request_class], one->number);
-        load.ended(one->id, load::End::failed, load::Span{}, now);
+        load.ended(one->id, load::End::failed, Duration{}, now);
       }
     EXPECT_EQ(most[0], 2);
     EXPECT_EQ(most[1], 0);
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -7,7 +7,6 @@
 namespace {
 
 using namespace std::chrono_literals;
-using net::Span;
 
 const char* const settings_text = R"(
 (deployment (zones here) (umpires 1)
@@ -86,7 +85,7 @@
 TEST(Loop, timers_run_in_order_and_not_early) {
   net::Loop loop(net::steady_now());
   std::vector<int> order;
-  const Span from = loop.now();
+  const TimePoint from = loop.now();
   for (int wait : {30, 10, 20, 10})
     loop.in(std::chrono::milliseconds(wait), [&, wait] {
       EXPECT_GE(loop.now(), from + std::chrono::milliseconds(wait));
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -20,16 +20,15 @@
 
 using namespace std::chrono_literals;
 namespace fs = std::filesystem;
-using net::Span;
 using tests::Words;
 
 struct MembersStage {
   std::unique_ptr<membership::Members> members{};
-  Span now{};
+  TimePoint now{};
   void step(const Words& w) {
     if (w[0] == "settings") {  // EXPECTED LEASE_MS MEMORY_MS
       members = std::make_unique<membership::Members>(
-          membership::Settings{std::stoi(w[1]), Span(std::stol(w[2]) * 1000), Span(std::stol(w[3]) * 1000)});
+          membership::Settings{std::stoi(w[1]), Duration(std::stol(w[2]) * 1000), Duration(std::stol(w[3]) * 1000)});
     } else if (w[0] == "heard") {
       EXPECT_EQ(membership::to_string(members->heard(w[1], w[2], now)), w[3]);
     } else if (w[0] == "leaves") {
@@ -42,7 +41,7 @@
     } else if (w[0] == "trial") {
       members->canary_running(w[1] == "on");
     } else if (w[0] == "run") {
-      now += Span(std::stol(w[1]) * 1000);
+      now += Duration(std::stol(w[1]) * 1000);
       members->tick(now);
     } else if (w[0] == "expect") {
       const int figure = w[1] == "known"  ? members->known()
@@ -67,7 +66,7 @@
 struct FollowerStage {
   releases::Follower follower{};
   std::string body{};
-  Span now{1000000};
+  TimePoint now{Duration(1000000)};
   // A line as the controller writes it: TYPE VERSION AGE_MS NAME BUILD STAGE PHASE CAP.
   static std::string line(const Words& w, std::size_t at) {
     if (w[at] == "BOOKMARK")
@@ -96,7 +95,7 @@
       body += w[1];
       take(w[2]);
     } else if (w[0] == "run") {
-      now += Span(std::stol(w[1]) * 1000);
+      now += Duration(std::stol(w[1]) * 1000);
     } else if (w[0] == "news") {  // none | BUILD STAGE PHASE CAP SINCE_MS
       const auto news = follower.news(now);
       if (w[1] == "none") {
@@ -108,7 +107,7 @@
       EXPECT_EQ(news->release.stage, std::stoi(w[2]));
       EXPECT_EQ(rollout::to_string(news->release.phase), w[3]);
       EXPECT_EQ(news->release.cap, std::stod(w[4]));
-      EXPECT_EQ(news->release.since, Span(std::stol(w[5]) * 1000));
+      EXPECT_EQ(news->release.since, Duration(std::stol(w[5]) * 1000));
     } else if (w[0] == "version") {
       EXPECT_EQ(follower.version(), std::stol(w[1]));
     } else {
@@ -189,7 +188,7 @@
     controller =
         std::make_unique<controller::Controller>(loop, settings, log, [this](const rollout::Order& order) {
           if (order.kind == rollout::OrderKind::drain) return;
-          loop.in(Span(1000), [this, order] {
+          loop.in(Duration(1000), [this, order] {
             if (!controller) return;
             if (order.kind == rollout::OrderKind::start)
               controller->core().machine_up(order.machine, loop.now());
@@ -445,7 +444,7 @@
   stage.point = [&](const char*) {
     if (dying || ++writes % 37 != 0) return;
     dying = true;
-    stage.loop.in(Span(500), [&] {
+    stage.loop.in(Duration(500), [&] {
       stage.controller.reset();
       dying = false;
       stage.start_here();
@@ -457,7 +456,7 @@
   std::mutex mutex;
   std::atomic<bool> over = false;
   std::atomic<int> build = 1;
-  const auto now = [&] { return stage.loop.now().count(); };
+  const auto now = [&] { return stage.loop.now().time_since_epoch().count(); };
   std::vector<std::thread> threads;
   for (int client = 0; client < 3; ++client)
     threads.emplace_back([&, client] {
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -10,7 +10,7 @@
 
 using tests::Words;
 
-Span ms(const std::string& word) { return Span(std::stol(word) * 1000); }
+Duration ms(const std::string& word) { return Duration(std::stol(word) * 1000); }
 
 struct Stage {
   Settings settings{.stages = {0.25, 0.5, 1},
@@ -29,8 +29,8 @@
   int places = 4, proxies = 8;
   bool boots = true;  // machines come up 100 ms after they were ordered, and stop at once
   std::unique_ptr<Rollout> core{};
-  Span now{};
-  std::vector<std::pair<Span, int>> booting{};
+  TimePoint now{};
+  std::vector<std::pair<TimePoint, int>> booting{};
   std::map<std::string, int> orders{};
   std::string refused{};
 
@@ -53,8 +53,8 @@
     }
   }
 
-  void run(Span span) {
-    for (const Span until = now + span; now < until; now += ms("10")) {
+  void run(Duration span) {
+    for (const TimePoint until = now + span; now < until; now += ms("10")) {
       for (std::size_t i = 0; i < booting.size();) {
         if (booting[i].first > now) {
           ++i;
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -18,7 +18,7 @@
 namespace fs = std::filesystem;
 using Words = std::vector<std::string>;
 
-Span ms(double value) { return Span(static_cast<long long>(value * 1e3)); }
+Duration ms(double value) { return Duration(static_cast<long long>(value * 1e3)); }
 
 template <class T>
 T one_of(const std::string& word, std::initializer_list<std::pair<const char*, T>> words) {
@@ -54,18 +54,18 @@
     bool never;
   };
   struct Due {
-    Span at;
+    TimePoint at;
     int request_id, attempt;
     Outcome outcome;
   };
   struct Stream {
     int request_class, tenant;
     double every_ms, deadline;
-    Span next;
+    TimePoint next;
   };
 
   std::unique_ptr<DecisionEngine> engine;
-  Span now = ms(100000);
+  TimePoint now{ms(100000)};
   std::map<std::string, int> names, request_names;
   std::vector<int> builds;
   std::map<std::string, Reply> replies;
@@ -114,7 +114,7 @@
           note(d->action == Action::reject ? "declined" : "voided");
           note((d->action == Action::reject ? "declined " : "voided ") + who);
           note("ended tenant " + std::to_string(tenant_of[d->request_id]));
-          if (d->span > Span{}) note("advice");
+          if (d->span > Duration{}) note("advice");
           break;
         case Action::vote: {
           const char* verdicts[] = {"none", "on", "hold", "back"};
@@ -149,7 +149,7 @@
   }
 
   void run(double length) {
-    Span until = now + ms(length);
+    TimePoint until = now + ms(length);
     while (now < until) {
       now += ms(5);
       for (std::size_t i = 0; i < dues.size(); ++i) {
@@ -214,7 +214,7 @@
       builds[at->second] = static_cast<int>(num(2));
       EndpointPhase phase = one_of<EndpointPhase>(
           w[3], {{"in", EndpointPhase::ready}, {"lame", EndpointPhase::draining}, {"out", EndpointPhase::removed}});
-      Span started = w.size() > 4 && w[4] != "-" ? now - ms(1e3 * num(4)) : Span{};
+      TimePoint started = w.size() > 4 && w[4] != "-" ? now - ms(1e3 * num(4)) : TimePoint{};
       engine->endpoints_updated(EndpointUpdateKind::incremental,
                         {{at->second, static_cast<int>(num(5)), static_cast<int>(num(6)), builds[at->second],
                           phase, 1, started}},
@@ -226,7 +226,7 @@
                                                {"back", ReleasePhase::rolling_back},
                                                {"released", ReleasePhase::released},
                                                {"withdrawn", ReleasePhase::rolled_back}});
-      engine->release_updated({static_cast<int>(num(1)), static_cast<int>(num(2)), phase, num(4), Span{}}, now);
+      engine->release_updated({static_cast<int>(num(1)), static_cast<int>(num(2)), phase, num(4), Duration{}}, now);
     } else if (w[0] == "reply") {  // reply NODE|buildN never, or AFTER_MS OUTCOME [EVERY]
       bool never = w[2] == "never";
       replies[w[1]] = {num(2), never ? Outcome::ok : outcome(w[3]),
--- a/tests/stage.h
+++ b/tests/stage.h
@@ -11,19 +11,19 @@
 
 #include "plays.h"
 #include "proxy/router.h"
+#include "time/time_types.h"
 
 namespace robinhoist::tests {
 
 using namespace std::chrono_literals;
-using net::Span;
 
-inline Span ms(const std::string& word) { return Span(static_cast<long>(std::stod(word) * 1000)); }
+inline Duration ms(const std::string& word) { return Duration(static_cast<long>(std::stod(word) * 1000)); }
 
 // A node that does with each request what its script says next; the last word goes on for ever.
 struct ScriptNode {
   struct Conn : net::Stream::Owner {
     ScriptNode& endpoint;
-    Span answered{};
+    TimePoint answered{};
     std::shared_ptr<net::Stream> stream;
     http::RequestReader reader{http::Limits{}};
     Conn(ScriptNode& of, int fd) : endpoint(of), stream(net::Stream::adopt(of.loop, fd, *this)) {}
@@ -40,7 +40,7 @@
     }
     void act(const std::string& what) {
       if (what.rfind("stale-", 0) == 0) {  // dropped unseen when idle for so long: the next request is reset
-        if (answered != Span{} && endpoint.loop.now() > answered + ms(what.substr(6))) return stream->drop(true);
+        if (answered != TimePoint{} && endpoint.loop.now() > answered + ms(what.substr(6))) return stream->drop(true);
         answered = endpoint.loop.now();
         return answer(200);
       }
@@ -191,7 +191,7 @@
     if (router) return;
     router = make(*this);
     router->start();
-    releases.heard({1, 0, ReleasePhase::released, 1, Span{}});
+    releases.heard({1, 0, ReleasePhase::released, 1, Duration{}});
   }
 
   void list(const std::string& name, const std::string& phase, int build = 1) {
@@ -274,7 +274,7 @@
     } else if (w[0] == "listed") {
       list(w[1], w[2], w.size() > 3 ? std::stoi(w[3]) : 1);
     } else if (w[0] == "release") {  // BUILD STAGE CAP: on trial
-      releases.heard({std::stoi(w[1]), std::stoi(w[2]), ReleasePhase::canary, std::stod(w[3]), Span{}});
+      releases.heard({std::stoi(w[1]), std::stoi(w[2]), ReleasePhase::canary, std::stod(w[3]), Duration{}});
     } else if (w[0] == "idle") {
       for (int i = 0; i < std::stoi(w[1]); ++i) connect("idle-" + std::to_string(i));
     } else if (w[0] == "retire") {
--- a/tests/steps_test.cpp
+++ b/tests/steps_test.cpp
@@ -34,7 +34,7 @@
   std::unique_ptr<Core> core{};
   std::optional<Todo> todo{};
   Release at{};
-  Span now{};
+  TimePoint now{};
 
   Core& it() {
     if (!core) {
@@ -68,7 +68,7 @@
     } else if (w[0] == "pause") {
       it().pause(w[1] == "on");
     } else if (w[0] == "run") {
-      now += Span(std::stol(w[1]) * 1000);
+      now += Duration(std::stol(w[1]) * 1000);
     } else if (w[0] == "patients") {
       it().client_outcomes(std::stol(w[1]), std::stol(w[2]), now);
     } else if (w[0] == "retry" || w[0] == "skip") {
@@ -186,7 +186,7 @@
 };
 
 Explored explore(const Plan& plan, Bug bug) {
-  constexpr Span late = std::chrono::hours(10);
+  constexpr TimePoint late {std::chrono::hours(10)};
   const std::size_t count = plan.steps.size();
   std::deque<Model> open;
   std::set<std::string> seen;
@@ -242,7 +242,7 @@
       const Act act = model.todo->act;
       if (act == Act::run) {
         auto ends = [&](Model next, Result result) {
-          next.core.ended(i, direction, result, 0, "", Span{});
+          next.core.ended(i, direction, result, 0, "", TimePoint{});
           next.durable.replay_ended(i, direction, result, 0);
           next.todo.reset();
           add(std::move(next));
@@ -261,7 +261,7 @@
         }
       } else {
         auto says = [&](Model next, Answer answer) {
-          next.core.looked(i, answer, 0, "", Span{});
+          next.core.looked(i, answer, 0, "", TimePoint{});
           if (answer != Answer::unknown) next.durable.replay_looked(i, answer, 0);
           next.todo.reset();
           add(std::move(next));
