--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -1,6 +1,6 @@
-// What the controller's API costs, on one machine over loopback: from a change written down to its watchers,
-// durable changes a second, memory for an idle watcher, and how long a hundred and thirty umpires take to
-// know a cap after the controller's restart. Out of CI.
+// What the controller's API costs, on one machine over loopback: from a change written down to its
+// watchers, durable changes a second, memory for an idle watcher, and how long a hundred and thirty
+// proxies take to know a cap after the controller's restart. Out of CI.
 #include <unistd.h>
 
 #include <algorithm>
@@ -37,8 +37,8 @@
 };
 
 struct Served : Running {
-  std::filesystem::path journal =
-      std::filesystem::temp_directory_path() / ("robinhoist-api-bench-" + std::to_string(::getpid()));
+  std::filesystem::path journal = std::filesystem::temp_directory_path() /
+                                  ("robinhoist-api-bench-" + std::to_string(::getpid()));
   log::Log log{"bench", "off"};
   std::unique_ptr<controller::Controller> controller{};
   std::atomic<std::int64_t> written{0};
@@ -58,7 +58,9 @@
   void end() {
     loop.call([&] { controller.reset(); });
   }
-  Poco::Net::SocketAddress address() const { return {"127.0.0.1", static_cast<Poco::UInt16>(port)}; }
+  Poco::Net::SocketAddress address() const {
+    return {"127.0.0.1", static_cast<Poco::UInt16>(port)};
+  }
 };
 
 // One request after another on one connection.
@@ -79,7 +81,8 @@
         status = how == http::Ended::answered ? response.status : 0;
       });
     });
-    while (status < 0) std::this_thread::yield();
+    while (status < 0)
+      std::this_thread::yield();
     return status;
   }
   void end() {
@@ -88,7 +91,9 @@
   }
 };
 
-std::string patch(int n) { return R"({"metadata":{"labels":{"n":")" + std::to_string(n) + "\"}}}"; }
+std::string patch(int n) {
+  return R"({"metadata":{"labels":{"n":")" + std::to_string(n) + "\"}}}";
+}
 
 long resident_kb() {
   std::ifstream in("/proc/self/status");
@@ -109,15 +114,19 @@
   const long before = resident_kb();
   for (int i = 0; i < watchers; ++i) {
     readers.loop.call([&] {
-      auto stream = std::make_unique<http::StreamCaller>(readers.loop, served.address(), http::Limits{});
+      auto stream =
+          std::make_unique<http::StreamCaller>(readers.loop, served.address(), http::Limits{});
       http::Request request;
       request.target = "/v1/releases?watch=1";
       stream->start(
           request, 100s,
           [&](std::string& body) {
-            for (std::size_t end; (end = body.find('\n')) != std::string::npos; body.erase(0, end + 1)) {
-              if (body.compare(0, 18, R"({"type":"BOOKMARK")") == 0) ++marks;
-              if (body.compare(0, 18, R"({"type":"MODIFIED")") != 0) continue;
+            for (std::size_t end; (end = body.find('\n')) != std::string::npos;
+                 body.erase(0, end + 1)) {
+              if (body.compare(0, 18, R"({"type":"BOOKMARK")") == 0)
+                ++marks;
+              if (body.compare(0, 18, R"({"type":"MODIFIED")") != 0)
+                continue;
               took.push_back(net::steady_now().count() - served.written);
               ++got;
             }
@@ -126,20 +135,24 @@
       streams.push_back(std::move(stream));
     });
     if (i % 100 == 99)
-      while (marks < i) std::this_thread::sleep_for(1ms);
+      while (marks < i)
+        std::this_thread::sleep_for(1ms);
   }
-  while (marks < watchers) std::this_thread::sleep_for(1ms);
+  while (marks < watchers)
+    std::this_thread::sleep_for(1ms);
   const long after = resident_kb();
   Client client(served.address());
   const int rounds = watchers >= 1000 ? 30 : 200;
   for (int n = 0; n < rounds; ++n) {
     const int from = got;
     client.ask("PATCH", "/v1/releases/build-1", patch(n));
-    while (got < from + watchers) std::this_thread::sleep_for(100us);
+    while (got < from + watchers)
+      std::this_thread::sleep_for(100us);
   }
   std::sort(took.begin(), took.end());
   std::printf(
-      "%5d watchers: %6.2f ms at p50, %6.2f ms at p99 from written to read; %.1f kB a watcher, both ends\n",
+      "%5d watchers: %6.2f ms at p50, %6.2f ms at p99 from written to read; %.1f kB a watcher, "
+      "both ends\n",
       watchers, static_cast<double>(took[took.size() / 2]) / 1e3,
       static_cast<double>(took[took.size() * 99 / 100]) / 1e3,
       static_cast<double>(after - before) / watchers);
@@ -168,14 +181,15 @@
       sources.push_back(std::make_unique<proxy::WatchReleaseSource>(
           at.loop,
           proxy::WatchReleaseSource::Settings{.from = served.address().toString(),
-                                               .proxy = "u" + std::to_string(u),
-                                               .vote_within = 1s,
-                                               .salt = static_cast<unsigned>(u + 1)},
+                                              .proxy = "u" + std::to_string(u),
+                                              .vote_within = 1s,
+                                              .salt = static_cast<unsigned>(u + 1)},
           log));
       sources.back()->start([&](const ReleaseUpdate& release) { heard += release.build == build; });
     }
   });
-  while (heard < proxies) std::this_thread::sleep_for(1ms);
+  while (heard < proxies)
+    std::this_thread::sleep_for(1ms);
   served.end();
   std::this_thread::sleep_for(2s);
   heard = 0;
@@ -183,9 +197,12 @@
   const auto from = net::steady_now();
   served.start();
   served.loop.call([&] { served.controller->offer(2, "bench"); });
-  while (heard < proxies) std::this_thread::sleep_for(1ms);
-  std::printf("%d umpires, controller gone for 2 s: all know the new release's cap %.0f ms after its start\n",
-              proxies, static_cast<double>((net::steady_now() - from).count()) / 1e3);
+  while (heard < proxies)
+    std::this_thread::sleep_for(1ms);
+  std::printf(
+      "%d umpires, controller gone for 2 s: all know the new release's cap %.0f ms after its "
+      "start\n",
+      proxies, static_cast<double>((net::steady_now() - from).count()) / 1e3);
   at.loop.call([&] { sources.clear(); });
   at.stop();
 }
@@ -194,12 +211,15 @@
 
 int main() {
   Served served;
-  for (const char* end : {"", "-wal", "-shm"}) std::filesystem::remove(served.journal.string() + end);
+  for (const char* end : {"", "-wal", "-shm"})
+    std::filesystem::remove(served.journal.string() + end);
   served.start();
-  for (int watchers : {1, 100, 1000}) delays(served, watchers);
+  for (int watchers : {1, 100, 1000})
+    delays(served, watchers);
   changes(served);
   storm(served, 130);
   served.end();
   served.stop();
-  for (const char* end : {"", "-wal", "-shm"}) std::filesystem::remove(served.journal.string() + end);
+  for (const char* end : {"", "-wal", "-shm"})
+    std::filesystem::remove(served.journal.string() + end);
 }
--- a/bench/steps_bench.cpp
+++ b/bench/steps_bench.cpp
@@ -16,8 +16,10 @@
 
 std::string fresh(const std::string& name) {
   const std::string file =
-      (fs::temp_directory_path() / ("robinhoist-bench-" + name + std::to_string(::getpid()))).string();
-  for (const char* end : {"", "-wal", "-shm"}) fs::remove(file + end);
+      (fs::temp_directory_path() / ("robinhoist-bench-" + name + std::to_string(::getpid())))
+          .string();
+  for (const char* end : {"", "-wal", "-shm"})
+    fs::remove(file + end);
   return file;
 }
 
@@ -33,19 +35,22 @@
 }
 
 const char* const plan_text =
-    "(plan (release 2) (step fill (kind data) (phase expand) (table t) (key id) (batch 1000) (on-back keep) "
+    "(plan (release 2) (step fill (kind data) (phase expand) (table t) (key id) (batch 1000) "
+    "(on-back keep) "
     "(apply "
     "\"UPDATE t SET n = n + 1 WHERE id > :after AND id <= :upto\")))";
 
 void durable_write(benchmark::State& state) {
   journal::Journal journal(fresh("write"));
   int n = 0;
-  for (auto _ : state) journal.write(entry(n++));
+  for (auto _ : state)
+    journal.write(entry(n++));
   state.SetItemsProcessed(state.iterations());
 }
 BENCHMARK(durable_write)->UseRealTime();
 
-// Opening the journal and bringing a core to where it was. `other` entries belong to earlier releases.
+// Opening the journal and bringing a core to where it was. `other` entries belong to earlier
+// releases.
 void recovery(benchmark::State& state) {
   const std::string file = fresh("recover");
   {
@@ -53,7 +58,8 @@
     journal.batch(true);
     for (int n = 0; n < state.range(0); ++n) {
       journal::Entry one = entry(n);
-      if (n + 10 < state.range(0)) one.build = 1;
+      if (n + 10 < state.range(0))
+        one.build = 1;
       journal.write(one);
     }
     journal.batch(false);
@@ -72,7 +78,8 @@
     log::Log log("bench", "off");
     standin::Database database(loop, http::ServerSettings{}, "", nullptr);
     database.execute(
-        "CREATE TABLE t (id INTEGER PRIMARY KEY, n INTEGER); WITH RECURSIVE c(i) AS (SELECT 1 UNION ALL "
+        "CREATE TABLE t (id INTEGER PRIMARY KEY, n INTEGER); WITH RECURSIVE c(i) AS (SELECT 1 "
+        "UNION ALL "
         "SELECT i + 1 FROM c WHERE i < " +
         std::to_string(rows) + ") INSERT INTO t SELECT i, 0 FROM c");
     journal::Journal journal(fresh("fill"));
@@ -85,11 +92,13 @@
     runner.take_plan(plan_text, "plan", "bench");
     runner.release(2, {.stage = -1, .offered = true});
     runner.changed = [&] {
-      if (runner.allows(2, 0)) loop.stop();
+      if (runner.allows(2, 0))
+        loop.stop();
     };
     const auto from = std::chrono::steady_clock::now();
     loop.run();
-    state.SetIterationTime(std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count());
+    state.SetIterationTime(
+        std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count());
   }
   state.SetItemsProcessed(state.iterations() * rows);
 }
--- a/fuzz/api_fuzz.cpp
+++ b/fuzz/api_fuzz.cpp
@@ -1,5 +1,6 @@
-// Fuzz target: what clients and umpires read of the controller's API. Creations and patches, watches in two
-// pieces, selectors. What is taken must come back the same when it is written and read again.
+// Fuzz target: what clients and proxies read of the controller's API. Creations and patches,
+// watches in two pieces, selectors. What is taken must come back the same when it is written and
+// read again.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -17,14 +18,16 @@
     std::vector<release::Problem> problems;
     if (auto made = release::created(body, problems)) {
       const std::string text = release::encoded(*made);
-      if (release::encoded(release::decoded(text)) != text) std::abort();
+      if (release::encoded(release::decoded(text)) != text)
+        std::abort();
     }
     problems.clear();
     std::optional<std::int64_t> version;
     release::Release from;
     from.name = "b";
     from.build = 2;
-    if (auto patched = release::patched(from, body, version, problems); patched && patched->build != 2)
+    if (auto patched = release::patched(from, body, version, problems);
+        patched && patched->build != 2)
       std::abort();
   } catch (const robinhoist::json::BadInput&) {
     // Refused, as it should be.
@@ -41,8 +44,10 @@
   const robinhoist::TimePoint now{robinhoist::Duration(1000000)};
   for (const std::string& piece : {all.substr(0, size / 2), all.substr(size / 2)}) {
     in += piece;
-    while (follower.take(in, now) != release::Follower::Line::none) {}
-    if (auto news = follower.news(now); news && !(news->release.cap >= 0 && news->release.cap <= 1)) std::abort();
+    while (follower.take(in, now) != release::Follower::Line::none) {
+    }
+    if (auto news = follower.news(now); news && !(news->release.cap >= 0 && news->release.cap <= 1))
+      std::abort();
   }
   return 0;
 }
--- a/fuzz/driver.cpp
+++ b/fuzz/driver.cpp
@@ -1,5 +1,5 @@
-// Runs a fuzz target where the compiler brings no fuzzing engine: mutates the seeds given, a fixed number of
-// times from a fixed seed. Words: COUNT SEED FILE ...
+// Runs a fuzz target where the compiler brings no fuzzing engine: mutates the seeds given, a fixed
+// number of times from a fixed seed. Words: COUNT SEED FILE ...
 #include <cstddef>
 #include <cstdint>
 #include <cstdio>
@@ -13,7 +13,8 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size);
 
 int main(int argc, char** argv) {
-  if (argc < 4) return std::fprintf(stderr, "words: COUNT SEED FILE ...\n"), 2;
+  if (argc < 4)
+    return std::fprintf(stderr, "words: COUNT SEED FILE ...\n"), 2;
   std::vector<std::string> seeds;
   for (int i = 3; i < argc; ++i) {
     std::ifstream in(argv[i], std::ios::binary);
@@ -31,7 +32,8 @@
           text.insert(at, 1, odd[below(sizeof odd - 1)]);
           break;
         case 1:
-          if (at < text.size()) text[at] = static_cast<char>(random());
+          if (at < text.size())
+            text[at] = static_cast<char>(random());
           break;
         case 2:
           text.erase(at, 1 + below(20));
--- a/fuzz/framing_fuzz.cpp
+++ b/fuzz/framing_fuzz.cpp
@@ -1,4 +1,5 @@
-// Fuzz target: both readers of HTTP, fed in two pieces; the second half arrives later, as on a socket.
+// Fuzz target: both readers of HTTP, fed in two pieces; the second half arrives later, as on a
+// socket.
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -7,7 +8,8 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   namespace http = robinhoist::http;
-  if (size < 1) return 0;
+  if (size < 1)
+    return 0;
   const std::string all(reinterpret_cast<const char*>(data) + 1, size - 1);
   const std::size_t cut = all.empty() ? 0 : data[0] % all.size();
   const http::Limits limits{2048, 4096};
@@ -17,7 +19,8 @@
   std::string in, out;
   for (const std::string& piece : {all.substr(0, cut), all.substr(cut)}) {
     in += piece;
-    while (requests.read(in) == http::Read::whole) requests.take();
+    while (requests.read(in) == http::Read::whole)
+      requests.take();
     out += piece;
     while (responses.read(out) == http::Read::whole) {
       http::Headers kept;
--- a/fuzz/settings_fuzz.cpp
+++ b/fuzz/settings_fuzz.cpp
@@ -7,8 +7,9 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   try {
-    robinhoist::proxy::read(
-        robinhoist::settings::Form::of_text(std::string(reinterpret_cast<const char*>(data), size), "fuzz"));
-  } catch (const robinhoist::settings::Invalid&) {}
+    robinhoist::proxy::read(robinhoist::settings::Form::of_text(
+        std::string(reinterpret_cast<const char*>(data), size), "fuzz"));
+  } catch (const robinhoist::settings::Invalid&) {
+  }
   return 0;
 }
--- a/src/audit/audit.h
+++ b/src/audit/audit.h
@@ -1,5 +1,5 @@
-// Checks a played day's record against the five rules: from what nodes received, what clients got and what
-// each umpire had been told and when. It trusts nothing that an umpire says of itself.
+// Checks a played day's record against the five rules: from what endpoints received, what clients
+// got and what each proxy had been told and when. It trusts nothing that an proxy says of itself.
 #pragma once
 #include <array>
 #include <map>
@@ -20,7 +20,7 @@
 
 struct ClassStatistics {
   long asked = 0, succeeded_in_time = 0;
-  std::vector<double> latencies_ms{};  // of settled tries
+  std::vector<double> latencies_ms{};  // of succeeded tries
 };
 
 struct Release {
@@ -32,8 +32,8 @@
 struct Report {
   std::array<Rule, 5> rules{};
   Rule steps{.name = "steps in order"};  // of releases: beside the five rules
-  long asked = 0, tries = 0, succeeded = 0, rejected = 0, failed = 0, rejected_before_routing = 0, unreached = 0, lost = 0,
-       left = 0;
+  long asked = 0, tries = 0, succeeded = 0, rejected = 0, failed = 0, rejected_before_routing = 0,
+       unreached = 0, lost = 0, left = 0;
   long wrong = 0, attempts = 0, votes = 0;
   double weight_offered = 0, weight_in_time = 0, most_exposed = 0, most_pushed = 0;
   std::vector<ClassStatistics> request_classes{};
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -1,5 +1,5 @@
-// robinhoist_benchlink: the module on the bench's wire, batches on standard input, replies on standard
-// output.
+// robinhoist_benchlink: the module on the bench's wire, batches on standard input, replies on
+// standard output.
 #include <iostream>
 
 #include "benchlink/wire.h"
@@ -9,9 +9,11 @@
   robinhoist::benchlink::Wire wire;
   std::string line, reply;
   for (long number = 1; std::getline(std::cin, line); ++number) {
-    if (line.find_first_not_of(" \t\r") == std::string::npos) continue;
+    if (line.find_first_not_of(" \t\r") == std::string::npos)
+      continue;
     try {
-      if (!wire.read(line, reply)) continue;
+      if (!wire.read(line, reply))
+        continue;
     } catch (const robinhoist::benchlink::BadInput& bad) {
       std::cerr << "line " << number << ": " << bad.what() << std::endl;
       return 2;
--- a/src/cli/ask.cpp
+++ b/src/cli/ask.cpp
@@ -23,7 +23,8 @@
   http::Caller caller(loop, Poco::Net::SocketAddress(address), settings);
   Asked asked;
   caller.call(request, 10s, [&](http::Ended how, http::Response&& response) {
-    if (how == http::Ended::answered) asked = {response.status, response.body, response.headers};
+    if (how == http::Ended::answered)
+      asked = {response.status, response.body, response.headers};
     loop.stop();
   });
   loop.run();
@@ -45,10 +46,12 @@
         well = true;
         std::size_t from = 0;
         bool on = true;
-        for (std::size_t end; on && (end = body.find('\n', from)) != std::string::npos; from = end + 1)
+        for (std::size_t end; on && (end = body.find('\n', from)) != std::string::npos;
+             from = end + 1)
           on = line(body.substr(from, end - from));
         body.erase(0, from);
-        if (!on) loop.stop();
+        if (!on)
+          loop.stop();
         return from > 0;
       },
       [&](int status, const std::string& body) {
--- a/src/cli/ask.h
+++ b/src/cli/ask.h
@@ -14,8 +14,8 @@
 };
 
 Asked ask(const std::string& address, http::Request request);
-// Follows a stream until it ends or `line` says false; false when it can't be had, with the answer in
-// `asked`.
+// Follows a stream until it ends or `line` says false; false when it can't be had, with the answer
+// in `asked`.
 bool follow(const std::string& address, const http::Request& request, Asked& asked,
             const std::function<bool(const std::string& line)>& line);
 // The token of the environment's ROBINHOIST_TOKEN, on every request.
--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -27,8 +27,8 @@
   std::filesystem::create_directories(folder);
   lab::Results results(folder + "/results.sqlite", experiment);
   if (play) {
-    std::cerr << experiment.name << ": " << experiment.cells.size() << " cells, " << experiment.repetitions
-              << " repetitions, on " << words.jobs << " threads\n";
+    std::cerr << experiment.name << ": " << experiment.cells.size() << " cells, "
+              << experiment.repetitions << " repetitions, on " << words.jobs << " threads\n";
     int shown = -1;
     lab::run(experiment, results, words.jobs, [&](int done, int all, double left_s) {
       if (const int part = 100 * done / all; part / 5 != shown) {
@@ -54,7 +54,8 @@
   settings.jobs = words.jobs;
   const auto shown = [](const lab::Found& found) {
     std::string troubles;
-    for (const day::Trouble& one : found.troubles) troubles += std::string(" ") + day::to_string(one.kind);
+    for (const day::Trouble& one : found.troubles)
+      troubles += std::string(" ") + day::to_string(one.kind);
     std::printf("  after %d runs: revenue %.1f%%%s,%s\n", found.runs, found.priority_weight,
                 found.broken.empty() ? "" : (", " + found.broken).c_str(), troubles.c_str());
     std::fflush(stdout);
@@ -66,7 +67,8 @@
   if (const auto folder = std::filesystem::path(out).parent_path(); !folder.empty())
     std::filesystem::create_directories(folder);
   char comment[200];
-  std::snprintf(comment, sizeof comment, "Found by `robinhoist lab hunt` on %s, seed %ld: revenue %.1f%%%s.",
+  std::snprintf(comment, sizeof comment,
+                "Found by `robinhoist lab hunt` on %s, seed %ld: revenue %.1f%%%s.",
                 words.file.c_str(), settings.seed, found.priority_weight,
                 found.broken.empty() ? "" : ", a rule broken");
   std::ofstream(out) << lab::day_text(text.str(), found.troubles, comment);
@@ -82,23 +84,30 @@
   lab->require_subcommand(1);
   for (const bool play : {true, false}) {
     CLI::App* sub = lab->add_subcommand(
-        play ? "run" : "report", play ? "Play an experiment's runs, those that are not there yet, and report"
-                                      : "Report what is there, without playing anything");
+        play ? "run" : "report",
+        play ? "Play an experiment's runs, those that are not there yet, and report"
+             : "Report what is there, without playing anything");
     sub->add_option("FILE", words->file, "The experiment, as docs/lab.md describes")->required();
     sub->add_option("--out", words->out, "Folder for results and report (default found/lab-NAME)");
-    sub->add_option("--jobs", words->jobs, "Threads")->check(CLI::Range(1, 1024))->capture_default_str();
+    sub->add_option("--jobs", words->jobs, "Threads")
+        ->check(CLI::Range(1, 1024))
+        ->capture_default_str();
     sub->callback([words, play, &status] { status = experiment(*words, play); });
   }
   auto settings = std::make_shared<lab::HuntSettings>();
   CLI::App* hunts = lab->add_subcommand(
       "hunt", "Search for the worst day: a broken rule, or the least revenue; then shrink it");
-  hunts->add_option("DAY", words->file, "The base day, whose own troubles are left out")->required();
+  hunts->add_option("DAY", words->file, "The base day, whose own troubles are left out")
+      ->required();
   hunts->add_option("--runs", settings->runs, "Runs in all")
       ->check(CLI::Range(20, 1000000))
       ->capture_default_str();
-  hunts->add_option("--seed", settings->seed, "For all that is drawn")->check(CLI::Range(1L, 1000000000L));
+  hunts->add_option("--seed", settings->seed, "For all that is drawn")
+      ->check(CLI::Range(1L, 1000000000L));
   hunts->add_option("--out", words->out, "The day found (default found/hunted.day)");
-  hunts->add_option("--jobs", words->jobs, "Threads")->check(CLI::Range(1, 1024))->capture_default_str();
+  hunts->add_option("--jobs", words->jobs, "Threads")
+      ->check(CLI::Range(1, 1024))
+      ->capture_default_str();
   hunts->callback([words, settings, &status] { status = hunt(*words, *settings); });
 }
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,5 @@
-// robinhoist: the command line. Exit status: 0 fine, 1 it ran and something was not kept, 2 bad input.
+// robinhoist: the command line. Exit status: 0 fine, 1 it ran and something was not kept, 2 bad
+// input.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cstdio>
@@ -14,9 +15,9 @@
 #include "emulator/run.h"
 #include "json/fields.h"
 #include "platform/process.h"
+#include "proxy/process.h"
 #include "standin/agent.h"
 #include "standin/database.h"
-#include "proxy/process.h"
 
 namespace {
 
@@ -27,14 +28,20 @@
   namespace rh = robinhoist;
   Form root = Form::of_file(file);
   const char* kind = "";
-  if (root.has("umpire")) kind = "umpire", rh::proxy::read(root);
-  else if (root.has("standin")) kind = "standin", rh::standin::read(root);
-  else if (root.has("controller")) kind = "controller", rh::controller::read(root);
-  else if (root.has("day")) kind = "day", rh::day::read(root);
-  else if (root.has("list")) kind = "list", rh::controller::read_list(root);
+  if (root.has("umpire"))
+    kind = "umpire", rh::proxy::read(root);
+  else if (root.has("standin"))
+    kind = "standin", rh::standin::read(root);
+  else if (root.has("controller"))
+    kind = "controller", rh::controller::read(root);
+  else if (root.has("day"))
+    kind = "day", rh::day::read(root);
+  else if (root.has("list"))
+    kind = "list", rh::controller::read_list(root);
   else {
     std::cerr << file
-              << ":1: holds none of (umpire ...), (controller ...), (list ...), (standin ...), (day ...)\n";
+              << ":1: holds none of (umpire ...), (controller ...), (list ...), (standin ...), "
+                 "(day ...)\n";
     return 2;
   }
   std::cout << file << ": good settings of a " << kind << "\n";
@@ -57,15 +64,18 @@
 int emulate(const std::string& file, long seed, std::string folder, bool no_record) {
   namespace rh = robinhoist;
   const rh::day::Day day = rh::day::read(Form::of_file(file));
-  if (folder.empty()) folder = "found/emulated-" + std::to_string(seed);
-  if (no_record) folder.clear();
+  if (folder.empty())
+    folder = "found/emulated-" + std::to_string(seed);
+  if (no_record)
+    folder.clear();
   std::cout << file << ", seed " << seed << ", emulated: " << day.deployment.proxies << " umpires, "
             << day.places << " nodes, " << day.load.rate << " txns a second for "
             << std::chrono::duration<double>(day.length).count() << " s"
             << (folder.empty() ? "" : ", record in " + folder) << std::endl;
   const auto from = std::chrono::steady_clock::now();
   const rh::emulator::Summary summary = rh::emulator::run(day, seed, folder);
-  const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
+  const double took =
+      std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
   const int status = folder.empty() ? 0 : audit(folder);
   std::vector<double> ms = summary.took_ms;
   std::sort(ms.begin(), ms.end());
@@ -73,14 +83,17 @@
     return ms.empty() ? 0 : ms[static_cast<std::size_t>(p * static_cast<double>(ms.size() - 1))];
   };
   std::printf(
-      "tries %ld: settled %ld (wrong %ld), declined %ld, voided %ld, unreached %ld, broken %ld; revenue "
+      "tries %ld: settled %ld (wrong %ld), declined %ld, voided %ld, unreached %ld, broken %ld; "
+      "revenue "
       "%.1f%%; "
       "p50 %.1f ms, p99 %.1f ms\n",
-      summary.tries, summary.succeeded, summary.wrong, summary.rejected, summary.failed, summary.unreached,
-      summary.broken, summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 0, part(0.5),
+      summary.tries, summary.succeeded, summary.wrong, summary.rejected, summary.failed,
+      summary.unreached, summary.broken,
+      summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 0, part(0.5),
       part(0.99));
   std::printf(
-      "%.1f s of one core: %.2f million events a second, %ld decisions, %.1f simulated seconds a second\n",
+      "%.1f s of one core: %.2f million events a second, %ld decisions, %.1f simulated seconds a "
+      "second\n",
       took, static_cast<double>(summary.events) / took / 1e6, summary.decisions,
       std::chrono::duration<double>(day.length).count() / took);
   return status;
@@ -89,10 +102,12 @@
 int play(const std::string& file, long seed, std::string folder) {
   namespace rh = robinhoist;
   const rh::day::Day day = rh::day::read(Form::of_file(file));
-  if (folder.empty()) folder = "found/day-" + std::to_string(seed);
-  std::cout << file << ", seed " << seed << ": " << day.deployment.proxies << " umpires, " << day.places
-            << " stand-in nodes, " << day.load.rate << " txns a second for "
-            << std::chrono::duration<double>(day.length).count() << " s, record in " << folder << std::endl;
+  if (folder.empty())
+    folder = "found/day-" + std::to_string(seed);
+  std::cout << file << ", seed " << seed << ": " << day.deployment.proxies << " umpires, "
+            << day.places << " stand-in nodes, " << day.load.rate << " txns a second for "
+            << std::chrono::duration<double>(day.length).count() << " s, record in " << folder
+            << std::endl;
   const rh::day::Played played = rh::day::play(day, seed, folder, "/proc/self/exe");
   int status = audit(folder);
   if (!played.ended_well) {
@@ -107,20 +122,26 @@
 int main(int argc, char** argv) {
   namespace rh = robinhoist;
   CLI::App app{
-      "robinhoist tries out new builds on live traffic: umpires route txns to nodes, judge the release on "
+      "robinhoist tries out new builds on live traffic: umpires route txns to nodes, judge the "
+      "release on "
       "trial and vote; a controller moves releases through their waves."};
   app.require_subcommand(1);
   app.set_help_all_flag("--help-all", "Help of all sub-commands");
   std::string config;
   auto add = [&](const char* name, const char* what) {
     CLI::App* sub = app.add_subcommand(name, what);
-    sub->add_option("--config", config, "Settings as S-expressions")->required()->check(CLI::ExistingFile);
+    sub->add_option("--config", config, "Settings as S-expressions")
+        ->required()
+        ->check(CLI::ExistingFile);
     return sub;
   };
-  CLI::App* proxy = add("umpire", "Run one umpire: an HTTP/1.1 reverse proxy that routes, judges and votes");
+  CLI::App* proxy =
+      add("umpire", "Run one umpire: an HTTP/1.1 reverse proxy that routes, judges and votes");
   CLI::App* platform = app.add_subcommand(
       "platform", "Run one umpire on the operators' platform, told all by its configuration file");
-  platform->add_option("--config", config, "The file, as JSON")->envname("ROUTER_CONFIG")->required();
+  platform->add_option("--config", config, "The file, as JSON")
+      ->envname("ROUTER_CONFIG")
+      ->required();
   CLI::App* controller =
       add("controller", "Run the release controller: waves, caps, votes, orders to machines");
   CLI::App* list = add("list", "Run the list of nodes that umpires watch");
@@ -128,7 +149,8 @@
   CLI::App* checks =
       app.add_subcommand("check", "Check a file of settings; says all that is wrong, with lines");
   checks->add_option("FILE", config, "Settings as S-expressions")->required();
-  CLI::App* days = app.add_subcommand("day", "Play a scripted day on loopback sockets and audit it");
+  CLI::App* days =
+      app.add_subcommand("day", "Play a scripted day on loopback sockets and audit it");
   long seed = 1;
   std::string out;
   days->add_option("FILE", config, "The day, in the notation of days/README.md")->required();
@@ -143,7 +165,8 @@
   emulates->add_flag("--no-record", no_record, "Figures only: quicker, and nothing to audit");
   CLI::App* audits = app.add_subcommand("audit", "Check a day's record against the five rules");
   audits->add_option("DIR", config, "The folder of the record")->required();
-  CLI::App* database = app.add_subcommand("standin-db", "Run the stand-in database that steps run against");
+  CLI::App* database =
+      app.add_subcommand("standin-db", "Run the stand-in database that steps run against");
   std::string listen = "127.0.0.1:8092", setup;
   database->add_option("--listen", listen, "Its address")->capture_default_str();
   database->add_option("--file", out, "An SQLite file; memory without");
@@ -155,21 +178,35 @@
     rh::cli::add_trace(app, request_name);
     rh::cli::add_lab(app, lab);
     CLI11_PARSE(app, argc, argv);
-    if (*app.get_subcommand("steps")) return steps;
-    if (*app.get_subcommand("release")) return release;
-    if (*app.get_subcommand("txn")) return request_name;
-    if (*app.get_subcommand("lab")) return lab;
-    if (*database) return rh::standin::run_database(listen, out, setup);
-    if (*platform) return rh::platform::run(config);
-    if (*checks) return check(config);
-    if (*audits) return audit(config);
-    if (*days) return play(config, seed, out);
-    if (*emulates) return emulate(config, seed, out, no_record);
+    if (*app.get_subcommand("steps"))
+      return steps;
+    if (*app.get_subcommand("release"))
+      return release;
+    if (*app.get_subcommand("txn"))
+      return request_name;
+    if (*app.get_subcommand("lab"))
+      return lab;
+    if (*database)
+      return rh::standin::run_database(listen, out, setup);
+    if (*platform)
+      return rh::platform::run(config);
+    if (*checks)
+      return check(config);
+    if (*audits)
+      return audit(config);
+    if (*days)
+      return play(config, seed, out);
+    if (*emulates)
+      return emulate(config, seed, out, no_record);
     Form root = Form::of_file(config);
-    if (*proxy) return rh::proxy::run(rh::proxy::read(root));
-    if (*controller) return rh::controller::run(rh::controller::read(root));
-    if (*list) return rh::controller::run_list(rh::controller::read_list(root));
-    if (*standin) return rh::standin::run(rh::standin::read(root));
+    if (*proxy)
+      return rh::proxy::run(rh::proxy::read(root));
+    if (*controller)
+      return rh::controller::run(rh::controller::read(root));
+    if (*list)
+      return rh::controller::run_list(rh::controller::read_list(root));
+    if (*standin)
+      return rh::standin::run(rh::standin::read(root));
   } catch (const rh::json::BadInput& bad) {
     std::cerr << bad.what() << "\n";
     return 2;
--- a/src/cli/release.cpp
+++ b/src/cli/release.cpp
@@ -17,7 +17,8 @@
 using json::Json;
 
 struct Words {
-  std::string controller{"127.0.0.1:8091"}, who{}, why{}, name{}, description{}, key{}, selector{}, fields{};
+  std::string controller{"127.0.0.1:8091"}, who{}, why{}, name{}, description{}, key{}, selector{},
+      fields{};
   std::string output{"table"}, version{};
   std::vector<std::string> labels{};
   int build = 0;
@@ -39,16 +40,20 @@
   return out;
 }
 
-http::Request request_of(const std::string& method, const std::string& target, const std::string& body = "") {
+http::Request request_of(const std::string& method, const std::string& target,
+                         const std::string& body = "") {
   http::Request request;
   request.method = method;
   request.target = target;
   request.body = body;
-  if (!body.empty()) request.headers.add("Content-Type", "application/json");
+  if (!body.empty())
+    request.headers.add("Content-Type", "application/json");
   return request;
 }
 
-std::string target_of(const Words& words) { return "/v1/releases/" + escaped(words.name); }
+std::string target_of(const Words& words) {
+  return "/v1/releases/" + escaped(words.name);
+}
 
 // What the controller has against it, in words.
 int refused(const Words& words, const Asked& asked) {
@@ -68,9 +73,11 @@
   return asked.status == 409 || asked.status == 410 || asked.status == 429 ? 1 : 2;
 }
 
-std::string held(const Json& status) { return json::truth(status, "held") ? ", held" : ""; }
+std::string held(const Json& status) {
+  return json::truth(status, "held") ? ", held" : "";
+}
 
-// "trial, wave 1 of 3, cap 0.30".
+// "canary, stage 1 of 3, cap 0.30".
 std::string stands(const Json& status) {
   const std::string phase = json::text(status, "phase");
   std::string text = phase + held(status);
@@ -89,22 +96,24 @@
     const std::string vote = json::text(one, "vote");
     on += vote == "on", hold += vote == "hold", back += vote == "back";
   }
-  const std::string votes = std::to_string(on) + "/" + std::to_string(hold) + "/" + std::to_string(back);
-  const std::string up =
-      std::to_string(json::whole(machines, "up")) + "/" + std::to_string(json::whole(machines, "all"));
+  const std::string votes =
+      std::to_string(on) + "/" + std::to_string(hold) + "/" + std::to_string(back);
+  const std::string up = std::to_string(json::whole(machines, "up")) + "/" +
+                         std::to_string(json::whole(machines, "all"));
   std::printf("%-20s %6d  %-30s %9s  %13s  %s\n",
               json::text(json::inner(release, "metadata"), "name").c_str(),
-              json::whole(json::inner(release, "spec"), "build"), stands(status).c_str(), up.c_str(),
-              votes.c_str(), json::text(status, "why").c_str());
+              json::whole(json::inner(release, "spec"), "build"), stands(status).c_str(),
+              up.c_str(), votes.c_str(), json::text(status, "why").c_str());
 }
 
 void head() {
-  std::printf("%-20s %6s  %-30s %9s  %13s  %s\n", "NAME", "BUILD", "STANDS", "MACHINES", "ON/HOLD/BACK",
-              "WHY");
+  std::printf("%-20s %6s  %-30s %9s  %13s  %s\n", "NAME", "BUILD", "STANDS", "MACHINES",
+              "ON/HOLD/BACK", "WHY");
 }
 
 int show(const Words& words, const Asked& asked) {
-  if (asked.status < 200 || asked.status >= 300) return refused(words, asked);
+  if (asked.status < 200 || asked.status >= 300)
+    return refused(words, asked);
   if (words.as_json()) {
     std::cout << asked.body << "\n";
     return 0;
@@ -128,15 +137,20 @@
     asked =
         ask(words.controller,
             request_of("GET", "/v1/releases?limit=200&labelSelector=" + escaped(words.selector) +
-                                  "&fieldSelector=" + escaped(words.fields) + "&continue=" + escaped(on)));
-    if (asked.status != 200) return refused(words, asked);
+                                  "&fieldSelector=" + escaped(words.fields) +
+                                  "&continue=" + escaped(on)));
+    if (asked.status != 200)
+      return refused(words, asked);
     const auto page = json::object_of(asked.body);
     on = json::text_or(json::inner(page, "metadata"), "continue", "");
-    if (first && !words.as_json()) head();
+    if (first && !words.as_json())
+      head();
     first = false;
     for (auto& release : json::array(page, "items").GetArray()) {
-      if (words.as_json()) std::cout << json::Out().put(nullptr, release).text() << "\n";
-      else row(release);
+      if (words.as_json())
+        std::cout << json::Out().put(nullptr, release).text() << "\n";
+      else
+        row(release);
     }
   } while (!on.empty());
   return 0;
@@ -144,8 +158,10 @@
 
 int describe(const Words& words) {
   const Asked asked = ask(words.controller, request_of("GET", target_of(words)));
-  if (asked.status != 200) return refused(words, asked);
-  if (words.as_json()) return std::cout << asked.body << "\n", 0;
+  if (asked.status != 200)
+    return refused(words, asked);
+  if (words.as_json())
+    return std::cout << asked.body << "\n", 0;
   const auto release = json::object_of(asked.body);
   const Json &metadata = json::inner(release, "metadata"), &status = json::inner(release, "status");
   std::cout << "Name:         " << json::text(metadata, "name") << "\n"
@@ -164,13 +180,15 @@
   for (auto& stage : json::array(status, "waves").GetArray())
     std::printf("  %d  share %.2f  cap %.2f  %s\n", number++, json::number(stage, "share"),
                 json::number(stage, "cap"), json::text(stage, "state").c_str());
-  if (json::array(status, "steps").Size() > 0) std::cout << "Steps:\n";
+  if (json::array(status, "steps").Size() > 0)
+    std::cout << "Steps:\n";
   for (auto& step : json::array(status, "steps").GetArray())
-    std::printf("  %-20s %-10s %s\n", json::text(step, "id").c_str(), json::text(step, "phase").c_str(),
-                json::text(step, "state").c_str());
+    std::printf("  %-20s %-10s %s\n", json::text(step, "id").c_str(),
+                json::text(step, "phase").c_str(), json::text(step, "state").c_str());
   std::cout << "Umpires:\n";
   for (auto& one : json::array(status, "umpires").GetArray()) {
-    std::printf("  %-20s vote %-5s", json::text(one, "name").c_str(), json::text(one, "vote").c_str());
+    std::printf("  %-20s vote %-5s", json::text(one, "name").c_str(),
+                json::text(one, "vote").c_str());
     if (json::present(one, "acknowledgedCap"))
       std::printf("  goes by cap %.2f of wave %d since %s", json::number(one, "acknowledgedCap"),
                   json::whole(one, "stage"), json::text(one, "acknowledgedAt").c_str());
@@ -189,12 +207,15 @@
   std::string series, name = words.name, phase;
   std::int64_t version = 0;
   bool begun = false, over = false;
-  if (!words.as_json()) head();
+  if (!words.as_json())
+    head();
   std::fflush(stdout);
   for (int failed = 0; !over && failed < 60;) {
     std::string target = "/v1/releases?watch=1&labelSelector=" + escaped(words.selector);
-    if (!name.empty()) target += "&fieldSelector=" + escaped("metadata.name=" + name);
-    if (begun) target += "&series=" + series + "&resourceVersion=" + std::to_string(version);
+    if (!name.empty())
+      target += "&fieldSelector=" + escaped("metadata.name=" + name);
+    if (begun)
+      target += "&series=" + series + "&resourceVersion=" + std::to_string(version);
     Asked asked;
     const bool well =
         follow(words.controller, request_of("GET", target), asked, [&](const std::string& text) {
@@ -216,31 +237,38 @@
           } else {
             row(release);
             if (type == "DELETED")
-              std::printf("%-20s deleted\n", json::text(json::inner(release, "metadata"), "name").c_str());
+              std::printf("%-20s deleted\n",
+                          json::text(json::inner(release, "metadata"), "name").c_str());
           }
           std::fflush(stdout);
-          phase = type == "DELETED" ? "withdrawn" : json::text(json::inner(release, "status"), "phase");
+          phase =
+              type == "DELETED" ? "withdrawn" : json::text(json::inner(release, "status"), "phase");
           over = words.until_done && !name.empty() && (phase == "released" || phase == "withdrawn");
           return !over;
         });
-    if (over) break;
+    if (over)
+      break;
     if (well) {
       failed = 0;
       continue;
     }
-    if (asked.status == 410) begun = false;
-    else if (asked.status != 0 && asked.status != 200) return refused(words, asked);
+    if (asked.status == 410)
+      begun = false;
+    else if (asked.status != 0 && asked.status != 200)
+      return refused(words, asked);
     ++failed;
     std::this_thread::sleep_for(1s);
   }
-  if (!over) return refused(words, {});
+  if (!over)
+    return refused(words, {});
   return phase == "released" ? 0 : 3;
 }
 
 int create(const Words& words) {
   json::Out out;
   out.open().open("metadata");
-  if (!words.name.empty()) out.put("name", words.name);
+  if (!words.name.empty())
+    out.put("name", words.name);
   out.open("labels");
   for (const std::string& label : words.labels) {
     const std::size_t equals = label.find('=');
@@ -251,18 +279,22 @@
     out.put(label.substr(0, equals).c_str(), label.substr(equals + 1));
   }
   out.close().close().open("spec").put("build", words.build);
-  if (!words.description.empty()) out.put("description", words.description);
-  http::Request request = request_of("POST", std::string("/v1/releases") + (words.dry ? "?dryRun=All" : ""),
-                                     out.close().close().text());
-  if (!words.key.empty()) request.headers.add("Idempotency-Key", words.key);
+  if (!words.description.empty())
+    out.put("description", words.description);
+  http::Request request =
+      request_of("POST", std::string("/v1/releases") + (words.dry ? "?dryRun=All" : ""),
+                 out.close().close().text());
+  if (!words.key.empty())
+    request.headers.add("Idempotency-Key", words.key);
   return show(words, ask(words.controller, request));
 }
 
 int act(const Words& words, const std::string& what) {
-  http::Request request =
-      request_of("POST", target_of(words) + "/" + what,
-                 json::Out().open().put("reason", words.why).put("author", words.who).close().text());
-  if (!words.version.empty()) request.headers.add("If-Match", "\"" + words.version + "\"");
+  http::Request request = request_of(
+      "POST", target_of(words) + "/" + what,
+      json::Out().open().put("reason", words.why).put("author", words.who).close().text());
+  if (!words.version.empty())
+    request.headers.add("If-Match", "\"" + words.version + "\"");
   return show(words, ask(words.controller, request));
 }
 
@@ -272,12 +304,14 @@
   auto words = std::make_shared<Words>();
   const char* user = std::getenv("USER");
   words->who = user ? user : "operator";
-  CLI::App* release = app.add_subcommand("release", "Releases: create, see, watch, hold, send back");
+  CLI::App* release =
+      app.add_subcommand("release", "Releases: create, see, watch, hold, send back");
   release->require_subcommand(1);
   const auto add = [&](const char* name, const char* what, std::function<int()> run) {
     CLI::App* sub = release->add_subcommand(name, what);
     sub->callback([run, &status] { status = run(); });
-    sub->add_option("--controller", words->controller, "The controller's address")->capture_default_str();
+    sub->add_option("--controller", words->controller, "The controller's address")
+        ->capture_default_str();
     sub->add_option("-o,--output", words->output, "table or json")
         ->check(CLI::IsMember({"table", "json"}))
         ->capture_default_str();
@@ -287,32 +321,39 @@
     sub->add_option("NAME", words->name, "The release")->required();
     return sub;
   };
-  CLI::App* made = add("create", "Create a release and offer its build", [words] { return create(*words); });
+  CLI::App* made =
+      add("create", "Create a release and offer its build", [words] { return create(*words); });
   made->add_option("--build", words->build, "Its build")->required();
   made->add_option("--name", words->name, "Its name; build-N without");
   made->add_option("--label", words->labels, "NAME=VALUE, any number of times");
   made->add_option("--description", words->description, "In your words");
   made->add_option("--key", words->key, "The same key makes no second release");
   made->add_flag("--dry-run", words->dry, "Check only");
-  of(add("get", "One release in a line",
-         [words] { return show(*words, ask(words->controller, request_of("GET", target_of(*words)))); }));
+  of(add("get", "One release in a line", [words] {
+    return show(*words, ask(words->controller, request_of("GET", target_of(*words))));
+  }));
   CLI::App* all = add("list", "All releases", [words] { return list(*words); });
-  CLI::App* watches = add("watch", "Releases, or one, as they change", [words] { return watch(*words); });
+  CLI::App* watches =
+      add("watch", "Releases, or one, as they change", [words] { return watch(*words); });
   watches->add_option("NAME", words->name, "One release only");
-  watches->add_flag("--until-done", words->until_done, "End once it is released (0) or withdrawn (3)");
+  watches->add_flag("--until-done", words->until_done,
+                    "End once it is released (0) or withdrawn (3)");
   for (CLI::App* sub : {all, watches})
     sub->add_option("-l,--selector", words->selector, "By labels: a=b, a!=b, a in (b,c), a, !a");
   all->add_option("--field-selector", words->fields, "By status.phase, spec.build, metadata.name");
   of(add("describe", "All about one", [words] { return describe(*words); }));
-  for (const auto& [name, what] : {std::pair("hold", "Hold its wave"), std::pair("resume", "Let it go on"),
-                                   std::pair("back", "Send it back")}) {
-    CLI::App* sub = of(add(name, what, [words, name = std::string(name)] { return act(*words, name); }));
+  for (const auto& [name, what] :
+       {std::pair("hold", "Hold its wave"), std::pair("resume", "Let it go on"),
+        std::pair("back", "Send it back")}) {
+    CLI::App* sub =
+        of(add(name, what, [words, name = std::string(name)] { return act(*words, name); }));
     sub->add_option("--reason", words->why, "Why")->required();
     sub->add_option("--who", words->who, "Who says so")->capture_default_str();
     sub->add_option("--if-version", words->version, "Only if it is of this version");
   }
-  of(add("delete", "Send it back if it is on trial, and delete it",
-         [words] { return show(*words, ask(words->controller, request_of("DELETE", target_of(*words)))); }));
+  of(add("delete", "Send it back if it is on trial, and delete it", [words] {
+    return show(*words, ask(words->controller, request_of("DELETE", target_of(*words))));
+  }));
 }
 
 }  // namespace robinhoist::cli
--- a/src/cli/release.h
+++ b/src/cli/release.h
@@ -7,8 +7,8 @@
 
 namespace robinhoist::cli {
 
-// Exit status: 0 done, 1 refused, 2 bad input or no controller, 3 (watch --until-done) the release was sent
-// back.
+// Exit status: 0 done, 1 refused, 2 bad input or no controller, 3 (watch --until-done) the release
+// was sent back.
 void add_release(CLI::App& app, int& status);
 
 }  // namespace robinhoist::cli
--- a/src/cli/steps.cpp
+++ b/src/cli/steps.cpp
@@ -18,7 +18,8 @@
 std::string content_of(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   std::ostringstream text;
-  if (!in || !(text << in.rdbuf())) throw settings::Invalid(file + ": can't be read", 1);
+  if (!in || !(text << in.rdbuf()))
+    throw settings::Invalid(file + ": can't be read", 1);
   return text.str();
 }
 
@@ -27,7 +28,8 @@
   settings::Form form = settings::Form::of_file(file);
   steps::Plan plan = steps::read(form.sub("plan"), stages);
   form.finish();
-  std::cout << "plan of build " << plan.build << ", " << plan.steps.size() << " steps; nothing is run\n";
+  std::cout << "plan of build " << plan.build << ", " << plan.steps.size()
+            << " steps; nothing is run\n";
   std::string gate;
   int number = 0;
   for (const steps::Step& step : plan.steps) {
@@ -35,13 +37,15 @@
                                : step.phase == steps::Phase::migrate
                                    ? "before wave " + std::to_string(step.before_stage)
                                    : "once it can't be sent back";
-    if (before != gate) std::cout << before << ":\n";
+    if (before != gate)
+      std::cout << before << ":\n";
     gate = before;
     std::cout << "  " << ++number << ". " << step.id << " ("
               << (step.kind == steps::Kind::data ? "data" : "schema") << ", "
-              << (step.transactional   ? "marked in its transaction"
-                  : step.check.empty() ? step.idempotent ? "may run twice" : "asks the operator when in doubt"
-                                       : "checked when in doubt")
+              << (step.transactional ? "marked in its transaction"
+                  : step.check.empty()
+                      ? step.idempotent ? "may run twice" : "asks the operator when in doubt"
+                      : "checked when in doubt")
               << ", on back " << (step.undo_on_back ? "undone" : "kept") << ")\n";
   }
   return 0;
@@ -50,12 +54,14 @@
 // "at row 120 (60%, 4 s left) ".
 std::string progress_of(const json::Json& step) {
   const long after = static_cast<long>(json::number(step, "after"));
-  if (after <= 0) return "";
+  if (after <= 0)
+    return "";
   std::string text = "at row " + std::to_string(after);
   if (json::present(step, "part")) {
     text += " (" + std::to_string(static_cast<int>(100 * json::number(step, "part"))) + "%";
     if (json::present(step, "left_ms"))
-      text += ", " + std::to_string(static_cast<long>(json::number(step, "left_ms") / 1000 + 1)) + " s left";
+      text += ", " + std::to_string(static_cast<long>(json::number(step, "left_ms") / 1000 + 1)) +
+              " s left";
     text += ")";
   }
   return text + " ";
@@ -68,8 +74,8 @@
   for (auto& step : json::array(document, "steps").GetArray()) {
     const std::string state = json::text(step, "state");
     if (print)
-      std::printf("  build %-5d %-20s %-16s %s\n", json::whole(step, "build"), json::text(step, "id").c_str(),
-                  state.c_str(), json::text(step, "why").c_str());
+      std::printf("  build %-5d %-20s %-16s %s\n", json::whole(step, "build"),
+                  json::text(step, "id").c_str(), state.c_str(), json::text(step, "why").c_str());
     well &= state == "holds" || state == "skipped" || state == "undone";
   }
   return well ? 0 : 1;
@@ -79,18 +85,21 @@
   auto document = json::object_of(body);
   bool open = false, waits = false;
   if (print)
-    std::cout << (json::truth(document, "holds_lease") ? "holds the lease" : "does not hold the lease")
+    std::cout << (json::truth(document, "holds_lease") ? "holds the lease"
+                                                       : "does not hold the lease")
               << ", token " << json::number(document, "token") << ", journal "
               << json::text(document, "journal") << "\n";
   for (auto& plan : json::array(document, "plans").GetArray()) {
     if (print)
-      std::cout << "build " << json::whole(plan, "build") << (json::truth(plan, "paused") ? ", paused" : "")
+      std::cout << "build " << json::whole(plan, "build")
+                << (json::truth(plan, "paused") ? ", paused" : "")
                 << (json::truth(plan, "undoing") ? ", going back" : "") << "\n";
     for (auto& step : json::array(plan, "steps").GetArray()) {
       const std::string state = json::text(step, "state"), why = json::text(step, "why");
       if (print)
         std::printf("  %-20s %-10s %-24s %s%s\n", json::text(step, "id").c_str(),
-                    json::text(step, "phase").c_str(), state.c_str(), progress_of(step).c_str(), why.c_str());
+                    json::text(step, "phase").c_str(), state.c_str(), progress_of(step).c_str(),
+                    why.c_str());
       waits |= state == "waits for the operator";
       open |= state != "applied" && state != "skipped" && state != "undone";
     }
@@ -111,8 +120,10 @@
     return 2;
   }
   if (asked.status == 200) {
-    if (path == "/v1/plans" || as_json) std::cout << asked.body << "\n";
-    if (path == "/v1/plans") return 0;
+    if (path == "/v1/plans" || as_json)
+      std::cout << asked.body << "\n";
+    if (path == "/v1/plans")
+      return 0;
     return path == "/v1/steps/verify" ? show_verified(asked.body, !as_json)
                                       : show_status(asked.body, !as_json);
   }
@@ -130,8 +141,8 @@
   auto words = std::make_shared<Words>();
   const char* user = std::getenv("USER");
   words->who = user ? user : "operator";
-  CLI::App* steps =
-      app.add_subcommand("steps", "Schema and data steps of releases: plans, state, the operator's words");
+  CLI::App* steps = app.add_subcommand(
+      "steps", "Schema and data steps of releases: plans, state, the operator's words");
   steps->require_subcommand(1);
   auto add = [&](const char* name, const char* what, std::function<int()> run) {
     CLI::App* sub = steps->add_subcommand(name, what);
@@ -139,51 +150,62 @@
     return sub;
   };
   auto to = [words](CLI::App* sub) {
-    sub->add_option("--controller", words->controller, "The controller's address")->capture_default_str();
+    sub->add_option("--controller", words->controller, "The controller's address")
+        ->capture_default_str();
     sub->add_option("--who", words->who, "Who says so")->capture_default_str();
     return sub;
   };
   CLI::App* plan = add("plan", "Dry run: check a plan, show its order and what each wave waits for",
                        [words] { return show_plan(words->file, words->stages); });
   plan->add_option("FILE", words->file)->required();
-  plan->add_option("--waves", words->stages, "How many waves the rollout has")->capture_default_str();
-  CLI::App* run =
-      to(add("run", "Give a plan, new or edited, to the controller, which runs what is due",
-             [words] { return tell(words->controller, "/v1/plans", content_of(words->file), words->who); }));
+  plan->add_option("--waves", words->stages, "How many waves the rollout has")
+      ->capture_default_str();
+  CLI::App* run = to(
+      add("run", "Give a plan, new or edited, to the controller, which runs what is due", [words] {
+        return tell(words->controller, "/v1/plans", content_of(words->file), words->who);
+      }));
   run->add_option("FILE", words->file)->required();
   const auto format = [words](CLI::App* sub) {
     sub->add_option("-o,--output", words->output, "table or json")
         ->check(CLI::IsMember({"table", "json"}))
         ->capture_default_str();
   };
-  format(to(add(
-      "status", "Where each step stands; exit status 0 only when all is done, 3 when one waits",
-      [words] { return tell(words->controller, "/v1/steps", "", words->who, words->output == "json"); })));
   format(to(
-      add("verify", "Ask the checks of all applied steps again; exit status 0 only when all hold", [words] {
-        return tell(words->controller, "/v1/steps/verify", "{}", words->who, words->output == "json");
-      })));
+      add("status", "Where each step stands; exit status 0 only when all is done, 3 when one waits",
+          [words] {
+            return tell(words->controller, "/v1/steps", "", words->who, words->output == "json");
+          })));
+  format(to(add("verify",
+                "Ask the checks of all applied steps again; exit status 0 only when all hold",
+                [words] {
+                  return tell(words->controller, "/v1/steps/verify", "{}", words->who,
+                              words->output == "json");
+                })));
   for (const std::string name : {"pause", "resume"})
-    to(add(name.c_str(), name == "pause" ? "Begin no further step or batch" : "Go on", [words, name] {
-      return tell(words->controller, "/v1/steps/" + name,
-                  json::Out().open().put("who", words->who).put("why", words->why).close().text(),
-                  words->who);
-    }))->add_option("--reason", words->why);
+    to(add(name.c_str(), name == "pause" ? "Begin no further step or batch" : "Go on",
+           [words, name] {
+             return tell(
+                 words->controller, "/v1/steps/" + name,
+                 json::Out().open().put("who", words->who).put("why", words->why).close().text(),
+                 words->who);
+           }))
+        ->add_option("--reason", words->why);
   for (const std::string name : {"retry", "skip"}) {
-    CLI::App* sub = to(add(
-        name.c_str(), name == "retry" ? "Try a step again: you know that it is safe" : "Take a step as done",
-        [words, name] {
-          return tell(words->controller, "/v1/steps/" + name,
-                      json::Out()
-                          .open()
-                          .put("build", words->build)
-                          .put("step", words->step)
-                          .put("who", words->who)
-                          .put("why", words->why)
-                          .close()
-                          .text(),
-                      words->who);
-        }));
+    CLI::App* sub = to(
+        add(name.c_str(),
+            name == "retry" ? "Try a step again: you know that it is safe" : "Take a step as done",
+            [words, name] {
+              return tell(words->controller, "/v1/steps/" + name,
+                          json::Out()
+                              .open()
+                              .put("build", words->build)
+                              .put("step", words->step)
+                              .put("who", words->who)
+                              .put("why", words->why)
+                              .close()
+                              .text(),
+                          words->who);
+            }));
     sub->add_option("STEP", words->step)->required();
     sub->add_option("--build", words->build)->required();
     sub->add_option("--reason", words->why)->required(name == "skip");
--- a/src/cli/steps.h
+++ b/src/cli/steps.h
@@ -1,4 +1,5 @@
-// `robinhoist steps ...`: plans looked at without a controller, and a controller's steps seen and steered.
+// `robinhoist steps ...`: plans looked at without a controller, and a controller's steps seen and
+// steered.
 #pragma once
 
 namespace CLI {
@@ -7,8 +8,8 @@
 
 namespace robinhoist::cli {
 
-// Adds the sub-command; `status` gets the exit status of whichever ran. Exit status: 0 done, 1 refused or not
-// all done, 2 bad input or no controller, 3 a step waits for the operator.
+// Adds the sub-command; `status` gets the exit status of whichever ran. Exit status: 0 done, 1
+// refused or not all done, 2 bad input or no controller, 3 a step waits for the operator.
 void add_steps(CLI::App& app, int& status);
 
 }  // namespace robinhoist::cli
--- a/src/cli/txn.h
+++ b/src/cli/txn.h
@@ -1,4 +1,4 @@
-// `robinhoist txn ID`: one txn's whole way, from the umpires that traced it.
+// `robinhoist request ID`: one request's whole way, from the proxies that traced it.
 #pragma once
 
 namespace CLI {
@@ -7,7 +7,7 @@
 
 namespace robinhoist::cli {
 
-// Exit status: 0 told, 1 no umpire knows it, 2 bad input or no umpire answers.
+// Exit status: 0 told, 1 no proxy knows it, 2 bad input or no proxy answers.
 void add_trace(CLI::App& app, int& status);
 
 }  // namespace robinhoist::cli
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -17,23 +17,33 @@
 }
 }  // namespace
 
-Controller::Controller(net::Loop& loop, const Settings& settings, const log::Log& log, Orders orders,
-                       Told told, Voted voted)
-    : loop_(loop), settings_(settings), log_(log), orders_(std::move(orders)), told_(std::move(told)),
-      voted_(std::move(voted)), catalog_(settings.history), told_objects_(settings.history), members_([&] {
+Controller::Controller(net::Loop& loop, const Settings& settings, const log::Log& log,
+                       Orders orders, Told told, Voted voted)
+    : loop_(loop),
+      settings_(settings),
+      log_(log),
+      orders_(std::move(orders)),
+      told_(std::move(told)),
+      voted_(std::move(voted)),
+      catalog_(settings.history),
+      told_objects_(settings.history),
+      members_([&] {
         membership::Settings members = settings.members;
         members.expected = settings.proxies;
         return members;
       }()),
-      tokens_(settings.tokens), requests_(settings.requests_per_s, 2 * settings.requests_per_s),
-      timers_(loop), server_(std::make_unique<http::Server>(
-                         loop, settings.server, [this](const http::ExchangePtr& e) { handle(e); })) {
+      tokens_(settings.tokens),
+      requests_(settings.requests_per_s, 2 * settings.requests_per_s),
+      timers_(loop),
+      server_(std::make_unique<http::Server>(loop, settings.server,
+                                             [this](const http::ExchangePtr& e) { handle(e); })) {
   settings_.rollout.gated = !settings.steps_target.empty();
   if (!settings.journal.empty()) {
     journal_ = std::make_unique<journal::Journal>(settings.journal);
     if (auto text = journal_->get("rollout")) {
-      core_ = std::make_unique<rollout::Rollout>(settings_.rollout, settings.places, settings.proxies,
-                                                 rollout::decoded_kept(*text), loop.now());
+      core_ =
+          std::make_unique<rollout::Rollout>(settings_.rollout, settings.places, settings.proxies,
+                                             rollout::decoded_kept(*text), loop.now());
       log_.info("goes on", {{"build", log::text(core_->news(loop.now()).build)},
                             {"wave", log::text(core_->news(loop.now()).stage)},
                             {"phase", rollout::to_string(core_->news(loop.now()).phase)}});
@@ -53,7 +63,8 @@
     runner.stages = static_cast<int>(settings.rollout.stages.size());
     runner_ = std::make_unique<steps::Runner>(loop, runner, *journal_, *target_, log);
     runner_->changed = [this] {
-      if (tell_steps()) timers_.in(Duration(0), [this] { pull(); });
+      if (tell_steps())
+        timers_.in(Duration(0), [this] { pull(); });
       keep_soon();  // objects show steps
     };
   }
@@ -71,12 +82,14 @@
 void Controller::trouble(Trouble trouble, double count_share) {
   trouble_ = trouble;
   count_share_ = count_share;
-  if (trouble == Trouble::none) pull();
+  if (trouble == Trouble::none)
+    pull();
 }
 
-// What steps must know of releases, and what waves must know of steps; whether a gate has moved.
+// What steps must know of releases, and what stages must know of steps; whether a gate has moved.
 bool Controller::tell_steps() {
-  if (!runner_) return false;
+  if (!runner_)
+    return false;
   const TimePoint now = loop_.now();
   const ReleaseUpdate news = core_->news(now);
   const int stages = static_cast<int>(settings_.rollout.stages.size());
@@ -95,7 +108,8 @@
   for (int stage = 0; stage < stages; ++stage) {
     const bool open = runner_->allows(news.build, stage);
     auto [at, fresh] = gates_.emplace(std::pair(news.build, stage), !open);
-    if (at->second == open) continue;
+    if (at->second == open)
+      continue;
     at->second = open;
     moved = true;
     core_->gate_open(news.build, stage, open);
@@ -105,15 +119,18 @@
 
 void Controller::pull() {
   loop_.cancel(look_);
-  if (trouble_ != Trouble::none) return;  // it stands still
+  if (trouble_ != Trouble::none)
+    return;  // it stands still
   const TimePoint now = loop_.now();
   // A release that has just come up must find its gates as its steps stand.
   std::vector<rollout::Order> decided;
   do {
     tell_steps();
-    while (auto order = core_->next(now)) decided.push_back(*order);
+    while (auto order = core_->next(now))
+      decided.push_back(*order);
   } while (tell_steps());
-  if (runner_) runner_->pull();
+  if (runner_)
+    runner_->pull();
   try {
     keep(false);
   } catch (const journal::Failed& bad) {
@@ -131,8 +148,10 @@
                          {"machine", log::text(order->machine)},
                          {"place", log::text(order->place)},
                          {"build", log::text(order->build)}});
-    if (orders_) orders_(*order);
-    else untaken_.push_back(*order);
+    if (orders_)
+      orders_(*order);
+    else
+      untaken_.push_back(*order);
   }
   const auto& changes = core_->changes();
   for (; seen_changes_ < changes.size(); ++seen_changes_) {
@@ -149,7 +168,8 @@
                {"wave", log::text(stage.second)},
                {"waited_for_steps_ms", log::text(core_->gate_waited().count() / 1000)}});
   seen_stage_ = stage;
-  if (auto at = core_->next_look(now)) look_ = loop_.at(*at, [this] { pull(); });
+  if (auto at = core_->next_look(now))
+    look_ = loop_.at(*at, [this] { pull(); });
 }
 
 void Controller::orders(const Asked& asked) {
@@ -167,7 +187,8 @@
 }
 
 void Controller::with_steps(const Asked& asked, const std::function<void()>& does) {
-  if (!runner_) return asked.exchange->answer(http::text_answer(404, "this controller runs no steps\n"));
+  if (!runner_)
+    return asked.exchange->answer(http::text_answer(404, "this controller runs no steps\n"));
   try {
     does();
   } catch (const json::BadInput& bad) {
@@ -183,10 +204,12 @@
   with_steps(asked, [&] {
     const http::Request& request = asked.exchange->request;
     const std::string who(request.headers.get("X-Who"));
-    const int build = runner_->take_plan(request.body, "plan", who.empty() ? asked.caller.name : who);
+    const int build =
+        runner_->take_plan(request.body, "plan", who.empty() ? asked.caller.name : who);
     tell_steps();
     pull();
-    asked.exchange->answer(http::json_answer(200, json::Out().open().put("build", build).close().text()));
+    asked.exchange->answer(
+        http::json_answer(200, json::Out().open().put("build", build).close().text()));
   });
 }
 
@@ -207,15 +230,16 @@
     auto document = json::object_of(asked.exchange->request.body);
     const std::string who = json::text_or(document, "who", asked.caller.name),
                       why = json::text_or(document, "why", "");
-    const std::string what(asked.exchange->request.path().substr(std::string_view("/v1/steps/").size()));
+    const std::string what(
+        asked.exchange->request.path().substr(std::string_view("/v1/steps/").size()));
     std::string refused;
     if (what == "pause" || what == "resume") {
       refused = runner_->pause(what == "pause", who, why);
     } else {
       const int build = json::whole(document, "build");
       const std::string step = json::text(document, "step");
-      refused =
-          what == "retry" ? runner_->retry(build, step, who, why) : runner_->skip(build, step, who, why);
+      refused = what == "retry" ? runner_->retry(build, step, who, why)
+                                : runner_->skip(build, step, who, why);
     }
     pull();
     asked.exchange->answer(refused.empty() ? http::json_answer(200, runner_->status())
@@ -228,8 +252,10 @@
     auto document = json::object_of(asked.exchange->request.body);
     const int machine = json::whole(document, "machine");
     const bool up = json::enumerator<bool>(document, "state", {{"up", true}, {"gone", false}});
-    if (up) core_->machine_up(machine, loop_.now());
-    else core_->machine_gone(machine, loop_.now());
+    if (up)
+      core_->machine_up(machine, loop_.now());
+    else
+      core_->machine_gone(machine, loop_.now());
   } catch (const json::BadInput& bad) {
     return asked.exchange->answer(http::text_answer(422, std::string(bad.what()) + "\n"));
   }
@@ -269,16 +295,19 @@
 
 namespace {
 
-// The name in a path that fits a pattern such as /v1/releases/{name}/hold; nothing when it does not fit.
+// The name in a path that fits a pattern such as /v1/releases/{name}/hold; nothing when it does not
+// fit.
 std::optional<std::string> fits(std::string_view pattern, std::string_view path) {
   const std::size_t open = pattern.find("{name}");
-  if (open == std::string_view::npos) return path == pattern ? std::optional<std::string>("") : std::nullopt;
+  if (open == std::string_view::npos)
+    return path == pattern ? std::optional<std::string>("") : std::nullopt;
   const std::string_view head = pattern.substr(0, open), tail = pattern.substr(open + 6);
   if (path.size() <= head.size() + tail.size() || path.substr(0, head.size()) != head ||
       path.substr(path.size() - tail.size()) != tail)
     return {};
   const std::string_view name = path.substr(head.size(), path.size() - head.size() - tail.size());
-  if (name.find('/') != std::string_view::npos) return {};
+  if (name.find('/') != std::string_view::npos)
+    return {};
   return http::percent_decoded(name);
 }
 
@@ -287,7 +316,8 @@
 void Controller::handle(const http::ExchangePtr& exchange) {
   const http::Request& request = exchange->request;
   const std::string path(request.path());
-  if (request.method == "GET" && path == "/health") return exchange->answer(http::text_answer(200, "well\n"));
+  if (request.method == "GET" && path == "/health")
+    return exchange->answer(http::text_answer(200, "well\n"));
   const auto caller = tokens_.caller(request.headers.get("Authorization"));
   if (!caller) {
     http::Response response = problem(401, "not known", "no token, or none that is known here");
@@ -302,7 +332,8 @@
   std::string allowed;
   for (const Route& route : routes()) {
     auto name = fits(route.path, path);
-    if (!name) continue;
+    if (!name)
+      continue;
     if (request.method != route.method) {
       allowed += (allowed.empty() ? "" : ", ") + std::string(route.method);
       continue;
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,7 +1,7 @@
-// The host of the release controller's core. Releases are objects (docs/releases.md, docs/api.md): created,
-// read, patched, watched over HTTP; umpires follow them by a watch, say that they are there, and vote; orders
-// go to whoever runs the machines. Nothing is told before it is written down. GET /v1 lists what can be asked
-// for.
+// The host of the release controller's core. Releases are objects (docs/releases.md, docs/api.md):
+// created, read, patched, watched over HTTP; proxies follow them by a watch, say that they are
+// there, and vote; orders go to whoever runs the machines. Nothing is told before it is written
+// down. GET /v1 lists what can be asked for.
 #pragma once
 #include <functional>
 #include <random>
@@ -20,34 +20,35 @@
 
 namespace robinhoist::controller {
 
-
 struct Settings {
   http::ServerSettings server{};
   rollout::Settings rollout{};
   int places = 1, build = 1, proxies = 1;
   std::size_t history = 1000;  // changes kept for those that watch
-  membership::Settings members{.lease = std::chrono::seconds(3), .memory = std::chrono::minutes(10)};
+  membership::Settings members{.lease = std::chrono::seconds(3),
+                               .memory = std::chrono::minutes(10)};
   WatchSettings watches{};
   std::vector<Token> tokens{};
-  double requests_per_s = 0;               // of one client; 0: any number
+  double requests_per_s = 0;                   // of one client; 0: any number
   Duration keys_for = std::chrono::hours(24);  // Idempotency-Key of creations
-  std::string journal{};                   // a file; empty: nothing outlives the process
-  std::string steps_target{};              // an address; empty: releases have no steps
+  std::string journal{};                       // a file; empty: nothing outlives the process
+  std::string steps_target{};                  // an address; empty: releases have no steps
   Duration lease{};
-  bool throttle = true;  // backfills back off when patients fare poorly
+  bool throttle = true;  // backfills back off when clients fare poorly
   std::string who{"controller"};
   // Called between writing a change down and telling it, for tests that end the process there.
   std::function<void(const char* point)> point{};
 };
 
-// How the controller can fail its umpires, for trying it out.
+// How the controller can fail its proxies, for trying it out.
 enum class Trouble { none, silent, errors };
 
 class Controller {
  public:
   using Told = Watches::Told;
   using Orders = std::function<void(const rollout::Order&)>;
-  using Voted = std::function<void(const std::string& proxy, int build, int stage, Verdict, Outcome)>;
+  using Voted =
+      std::function<void(const std::string& proxy, int build, int stage, Verdict, Outcome)>;
 
   // Orders go to `orders`; where there is none they wait to be fetched.
   Controller(net::Loop& loop, const Settings& settings, const log::Log& log, Orders orders = {},
@@ -94,8 +95,9 @@
   void vote(const Asked& asked);
   void watch(const Asked& asked, objects::Selector selector);
   void reply(const Asked& asked, const releases::Reply& reply);
-  bool finish(const Asked& asked, releases::Reply& reply, std::optional<journal::RequestKey> key = {});
-  // Umpires.
+  bool finish(const Asked& asked, releases::Reply& reply,
+              std::optional<journal::RequestKey> key = {});
+  // Proxies.
   void proxies(const Asked& asked);
   void heartbeat(const Asked& asked);
   void proxy_leaves(const Asked& asked);
@@ -133,7 +135,7 @@
   std::vector<rollout::Order> untaken_{};  // for whoever fetches orders
   std::vector<rollout::Order> untold_{};   // decided, but not yet on disk
   std::size_t seen_changes_ = 0;
-  std::pair<int, int> seen_stage_{-1, -1};  // build and wave
+  std::pair<int, int> seen_stage_{-1, -1};  // build and stage
   Duration lag_{};
   TimePoint last_due_{};
   Trouble trouble_ = Trouble::none;
@@ -143,11 +145,13 @@
   std::unique_ptr<journal::Journal> journal_{};
   std::unique_ptr<steps::Target> target_{};
   std::unique_ptr<steps::Runner> runner_{};
-  std::map<std::pair<int, int>, bool> gates_{};  // by build and wave, as last told to the core
+  std::map<std::pair<int, int>, bool> gates_{};  // by build and stage, as last told to the core
   std::string kept_{};
-  std::optional<std::pair<std::string, std::string>> pending_state_{};  // to be written with the objects
+  std::optional<std::pair<std::string, std::string>>
+      pending_state_{};  // to be written with the objects
   releases::Catalog catalog_;
-  objects::Store told_objects_;  // as lists and watches have it: the catalog's store, later by the lag
+  objects::Store
+      told_objects_;  // as lists and watches have it: the catalog's store, later by the lag
   std::string series_{};
   membership::Members members_;
   Tokens tokens_;
--- a/src/controller/problem.h
+++ b/src/controller/problem.h
@@ -11,10 +11,16 @@
 
 // `present`: the object's version, told with a 409; 0: none.
 inline http::Response problem(int status, const std::string& title, const std::string& detail,
-                              const std::vector<releases::Problem>& problems = {}, std::int64_t present = 0) {
+                              const std::vector<releases::Problem>& problems = {},
+                              std::int64_t present = 0) {
   json::Out out;
-  out.open().put("type", "about:blank").put("title", title).put("status", status).put("detail", detail);
-  if (present > 0) out.put("presentVersion", std::to_string(present));
+  out.open()
+      .put("type", "about:blank")
+      .put("title", title)
+      .put("status", status)
+      .put("detail", detail);
+  if (present > 0)
+    out.put("presentVersion", std::to_string(present));
   if (!problems.empty()) {
     out.open_list("errors");
     for (const releases::Problem& one : problems)
--- a/src/controller/process.cpp
+++ b/src/controller/process.cpp
@@ -2,8 +2,8 @@
 
 #include <csignal>
 
-#include "registry/service.h"
 #include "net/signals.h"
+#include "registry/service.h"
 
 namespace robinhoist::controller {
 namespace {
@@ -11,17 +11,20 @@
 Token read_token(settings::Form form) {
   Token token;
   token.name = form.own_word(0, "a name");
-  token.role =
-      form.enumerator<Role>("role", {{"read", Role::read}, {"umpire", Role::proxy}, {"operate", Role::operate}});
+  token.role = form.enumerator<Role>(
+      "role", {{"read", Role::read}, {"umpire", Role::proxy}, {"operate", Role::operate}});
   token.sha256 = form.text("sha256");
-  if (token.sha256.size() != 64 || token.sha256.find_first_not_of("0123456789abcdef") != std::string::npos)
+  if (token.sha256.size() != 64 ||
+      token.sha256.find_first_not_of("0123456789abcdef") != std::string::npos)
     form.problem("sha256", "is not 64 digits of lower-case hex (printf %s TOKEN | sha256sum)");
   form.finish();
   return token;
 }
 
 // A series of versions lives as long as the process does.
-std::string fresh_series() { return std::to_string(net::wall_now().time_since_epoch().count()); }
+std::string fresh_series() {
+  return std::to_string(net::wall_now().time_since_epoch().count());
+}
 
 template <class Make>
 int serve(const char* who, Make make) {
@@ -48,13 +51,15 @@
   to.who = form.text("name", "controller");
   if (auto steps = form.maybe("steps")) {
     to.steps_target = steps->text("target");
-    to.lease =
-        steps->span("lease", std::chrono::milliseconds(100), std::chrono::hours(1), std::chrono::seconds(10));
+    to.lease = steps->span("lease", std::chrono::milliseconds(100), std::chrono::hours(1),
+                           std::chrono::seconds(10));
     to.throttle = steps->truth("throttle", true);
     steps->finish();
-    if (to.journal.empty()) form.problem("steps", "need a (journal FILE): what ran must outlive the process");
+    if (to.journal.empty())
+      form.problem("steps", "need a (journal FILE): what ran must outlive the process");
   }
-  for (settings::Form& token : form.each("token")) to.tokens.push_back(read_token(token));
+  for (settings::Form& token : form.each("token"))
+    to.tokens.push_back(read_token(token));
   // What anybody may do must not be within anybody's reach.
   const std::string host = to.server.listen.substr(0, to.server.listen.rfind(':'));
   if (to.tokens.empty() && host != "localhost" && host != "[::1]" && host.rfind("127.", 0) != 0)
@@ -62,11 +67,12 @@
   to.requests_per_s = form.number("requests-per-s", 0, 1e6, 0.0);
   to.history = static_cast<std::size_t>(form.whole("history", 10, 1000000, 1000));
   to.watches.most = static_cast<std::size_t>(form.whole("watches", 1, 100000, 5000));
-  to.members.lease = form.span("umpire-lease", std::chrono::milliseconds(100), std::chrono::hours(1),
-                               std::chrono::seconds(3));
-  to.members.memory = form.span("umpire-memory", std::chrono::seconds(1), std::chrono::hours(24 * 7),
-                                std::chrono::minutes(10));
-  if (to.members.memory < to.members.lease) form.problem("umpire-memory", "is less than umpire-lease");
+  to.members.lease = form.span("umpire-lease", std::chrono::milliseconds(100),
+                               std::chrono::hours(1), std::chrono::seconds(3));
+  to.members.memory = form.span("umpire-memory", std::chrono::seconds(1),
+                                std::chrono::hours(24 * 7), std::chrono::minutes(10));
+  if (to.members.memory < to.members.lease)
+    form.problem("umpire-memory", "is less than umpire-lease");
   form.finish();
   root.finish();
   to.proxies = deployment.proxies;
--- a/src/controller/releases.cpp
+++ b/src/controller/releases.cpp
@@ -1,6 +1,6 @@
-// The controller's REST API of releases and umpires. What a request may change is decided in
-// releases::Catalog, who counts in membership::Members; here requests are read, changes written down, answers
-// given.
+// The controller's REST API of releases and proxies. What a request may change is decided in
+// releases::Catalog, who counts in membership::Members; here requests are read, changes written
+// down, answers given.
 #include <algorithm>
 #include <cmath>
 #include <random>
@@ -14,10 +14,13 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr Duration soon = 200ms;  // what only tells of votes and acknowledgements waits for more of it
+constexpr Duration soon =
+    200ms;  // what only tells of votes and acknowledgements waits for more of it
 constexpr int most_items = 500;
 
-std::int64_t wall_ms() { return net::wall_now().time_since_epoch().count() / 1000; }
+std::int64_t wall_ms() {
+  return net::wall_now().time_since_epoch().count() / 1000;
+}
 
 struct Refused {
   http::Response response;
@@ -33,8 +36,10 @@
 // "12" or W/"12" in If-Match; * is any.
 releases::Believed believed_of(const http::Request& request) {
   std::string_view text = request.headers.get("If-Match");
-  if (text.empty() || text == "*") return {};
-  if (text.substr(0, 2) == "W/") text.remove_prefix(2);
+  if (text.empty() || text == "*")
+    return {};
+  if (text.substr(0, 2) == "W/")
+    text.remove_prefix(2);
   if (text.size() < 2 || text.front() != '"' || text.back() != '"')
     throw Refused{problem(400, "the request makes no sense", "If-Match holds no quoted version")};
   return number_of(std::string(text.substr(1, text.size() - 2)), "If-Match");
@@ -42,9 +47,12 @@
 
 bool dry(const http::Request& request) {
   const std::string word = request.query("dryRun");
-  if (word.empty() || word == "false") return false;
-  if (word == "All" || word == "true") return true;
-  throw Refused{problem(400, "the request makes no sense", "dryRun is '" + word + "', not All or true")};
+  if (word.empty() || word == "false")
+    return false;
+  if (word == "All" || word == "true")
+    return true;
+  throw Refused{
+      problem(400, "the request makes no sense", "dryRun is '" + word + "', not All or true")};
 }
 
 rapidjson::Document body_of(const http::Request& request) {
@@ -96,19 +104,25 @@
   return text;
 }
 
-// From the journal; a controller without one, or with one from before there were objects, begins with none.
+// From the journal; a controller without one, or with one from before there were objects, begins
+// with none.
 void Controller::restore_objects() {
   series_ = fresh_id();
   if (journal_) {
-    if (auto series = journal_->get("series")) series_ = *series;
-    else journal_->put("series", series_);
+    if (auto series = journal_->get("series"))
+      series_ = *series;
+    else
+      journal_->put("series", series_);
     std::map<std::string, releases::Release> all;
-    for (auto& [name, body] : journal_->objects()) all[name] = releases::decoded(body);
+    for (auto& [name, body] : journal_->objects())
+      all[name] = releases::decoded(body);
     std::deque<objects::Event> events;
     std::int64_t oldest = journal_->object_version();
     for (const journal::ObjectChange& one : journal_->changes()) {
-      if (events.empty()) oldest = one.version - 1;
-      const auto before = one.before.empty() ? nullptr : releases::snapshot(releases::decoded(one.before));
+      if (events.empty())
+        oldest = one.version - 1;
+      const auto before =
+          one.before.empty() ? nullptr : releases::snapshot(releases::decoded(one.before));
       events.push_back({static_cast<objects::Change>(one.change),
                         releases::snapshot(releases::decoded(one.body)), before});
     }
@@ -121,9 +135,11 @@
 void Controller::offer_pending() {
   std::vector<const releases::Release*> pending;
   for (auto& [name, release] : catalog_.all())
-    if (release.build > core_->newest_offered() && release.deleting_ms == 0) pending.push_back(&release);
+    if (release.build > core_->newest_offered() && release.deleting_ms == 0)
+      pending.push_back(&release);
   std::sort(pending.begin(), pending.end(), [](auto* a, auto* b) { return a->build < b->build; });
-  for (const releases::Release* one : pending) core_->offer(one->build, loop_.now());
+  for (const releases::Release* one : pending)
+    core_->offer(one->build, loop_.now());
 }
 
 releases::Status Controller::status_of(const releases::Release& release, TimePoint now) const {
@@ -154,7 +170,8 @@
       break;
     }
   for (auto& [id, machine] : core_->machines()) {
-    if (machine.build != release.build) continue;
+    if (machine.build != release.build)
+      continue;
     ++status.machines;
     status.machines_up += machine.phase == rollout::MachinePhase::up;
   }
@@ -166,9 +183,12 @@
   const int running = present ? core_->running_stage() : status.stage;
   for (int stage = 0; stage < static_cast<int>(stages.size()); ++stage) {
     const char* state = "not reached";
-    if (status.phase == "released" || stage < running) state = "done";
-    else if (present && stage == running && status.phase == "trial") state = "running";
-    else if (stage == running && status.phase != "pending") state = "sent back";
+    if (status.phase == "released" || stage < running)
+      state = "done";
+    else if (present && stage == running && status.phase == "trial")
+      state = "running";
+    else if (stage == running && status.phase != "pending")
+      state = "sent back";
     else if (present && status.phase == "trial" && stage == running + 1) {
       const bool ready =
           !runner_ || runner_->allows(release.build, stage, missing.empty() ? &missing : nullptr);
@@ -180,14 +200,16 @@
     const auto votes = core_->votes(now);
     for (auto& [name, member] : members_.all()) {
       releases::ProxyReport says{.proxy = name, .vote = "none"};
-      if (auto vote = votes.find(name); vote != votes.end()) says.vote = rollout::to_string(vote->second.verdict);
+      if (auto vote = votes.find(name); vote != votes.end())
+        says.vote = rollout::to_string(vote->second.verdict);
       if (member.acknowledged && member.acknowledged->build == release.build) {
         says.cap = member.acknowledged->cap;
         says.stage = member.acknowledged->stage;
         says.at_ms = wall_ms() - (now - member.acknowledged->at).count() / 1000;
         // To the millisecond, and not one off for the clocks' grain.
         for (const releases::ProxyReport& old : release.status.proxies)
-          if (old.proxy == name && old.cap == says.cap && old.stage == says.stage) says.at_ms = old.at_ms;
+          if (old.proxy == name && old.cap == says.cap && old.stage == says.stage)
+            says.at_ms = old.at_ms;
       }
       status.proxies.push_back(says);
     }
@@ -203,16 +225,17 @@
                    : trial            ? "OnTrial"
                                       : "Settled",
                    status.held ? status.why : missing, ms);
-  status.condition("Available", status.machines > 0 && status.machines_up == status.machines,
-                   status.machines == 0                    ? "NoMachines"
-                   : status.machines_up == status.machines ? "AllUp"
-                                                           : "SomeDown",
-                   std::to_string(status.machines_up) + " of " + std::to_string(status.machines) + " up", ms);
+  status.condition(
+      "Available", status.machines > 0 && status.machines_up == status.machines,
+      status.machines == 0                    ? "NoMachines"
+      : status.machines_up == status.machines ? "AllUp"
+                                              : "SomeDown",
+      std::to_string(status.machines_up) + " of " + std::to_string(status.machines) + " up", ms);
   status.condition("SentBack", back, back ? "Back" : "NotSentBack", back ? status.why : "", ms);
   return status;
 }
 
-// What the objects don't show yet. `urgent`: umpires go by some of it.
+// What the objects don't show yet. `urgent`: proxies go by some of it.
 std::vector<releases::Draft> Controller::observed(bool& urgent) {
   std::vector<releases::Draft> drafts;
   const TimePoint now = loop_.now();
@@ -222,9 +245,11 @@
     drafts.push_back(catalog_.found(build, fresh_id(), wall_ms()));
   for (auto& [name, release] : catalog_.all()) {
     const std::string& phase = release.status.phase;
-    const bool succeeded = (phase == "withdrawn" || phase == "released") && release.build != build &&
-                         release.status.machines == 0 && release.deleting_ms == 0;
-    if (succeeded) continue;
+    const bool succeeded = (phase == "withdrawn" || phase == "released") &&
+                           release.build != build && release.status.machines == 0 &&
+                           release.deleting_ms == 0;
+    if (succeeded)
+      continue;
     if (auto draft = catalog_.observe(name, status_of(release, now), wall_ms())) {
       urgent |= catalog_.urgent(*draft);
       drafts.push_back(std::move(*draft));
@@ -248,8 +273,10 @@
     keep_soon();
     drafts.clear();
   }
-  if (!moved && drafts.empty()) return;
-  if (urgent) loop_.cancel(soon_);
+  if (!moved && drafts.empty())
+    return;
+  if (urgent)
+    loop_.cancel(soon_);
   if (journal_ && moved) {
     // State and objects in one: a reader of either never sees the one without the other.
     pending_state_.emplace("rollout", rollout::encoded(kept));
@@ -259,30 +286,35 @@
   // One that had no object before has one now, and its state with it.
   if (urgent && !all) {
     bool more = false;
-    if (auto rest = observed(more); !rest.empty() && more) commit(std::move(rest));
+    if (auto rest = observed(more); !rest.empty() && more)
+      commit(std::move(rest));
   }
 }
 
 void Controller::keep_soon() {
-  if (soon_ != net::Loop::no_timer) return;
+  if (soon_ != net::Loop::no_timer)
+    return;
   soon_ = loop_.in(soon, [this] {
     soon_ = net::Loop::no_timer;
     try {
-      if (trouble_ == Trouble::none) keep(true);
+      if (trouble_ == Trouble::none)
+        keep(true);
     } catch (const journal::Failed& bad) {
       log_.error("objects are not told: the journal takes nothing", {{"why", bad.what()}});
     }
   });
 }
 
-void Controller::commit(std::vector<releases::Draft> drafts, std::optional<journal::RequestKey> key) {
+void Controller::commit(std::vector<releases::Draft> drafts,
+                        std::optional<journal::RequestKey> key) {
   std::int64_t version = catalog_.store().version();
   journal::Journal::Commit commit;
   std::vector<objects::SnapshotPtr> snapshots;
   for (releases::Draft& draft : drafts) {
     draft.release.version = ++version;
     snapshots.push_back(releases::snapshot(draft.release));
-    if (!journal_) continue;
+    if (!journal_)
+      continue;
     const auto before = catalog_.store().find(draft.release.name);
     commit.changes.push_back({version, static_cast<int>(draft.change), draft.release.name,
                               snapshots.back()->full, before ? before->full : ""});
@@ -293,8 +325,10 @@
     if (!commit.changes.empty() || commit.key || commit.state)
       journal_->commit(commit, settings_.history, settings_.keys_for.count() / 1000);
   }
-  if (settings_.point && !drafts.empty()) settings_.point("written");
-  for (std::size_t i = 0; i < drafts.size(); ++i) publish(catalog_.committed(drafts[i], snapshots[i]));
+  if (settings_.point && !drafts.empty())
+    settings_.point("written");
+  for (std::size_t i = 0; i < drafts.size(); ++i)
+    publish(catalog_.committed(drafts[i], snapshots[i]));
 }
 
 // Told after the lag that holds now, and never before what was said earlier.
@@ -315,7 +349,8 @@
 void Controller::list_routes(const Asked& asked) {
   json::Out out;
   out.open().open_list("routes");
-  for (const Route& one : routes()) out.open().put("method", one.method).put("path", one.path).close();
+  for (const Route& one : routes())
+    out.open().put("method", one.method).put("path", one.path).close();
   asked.exchange->answer(http::json_answer(200, out.close_list().close().text()));
 }
 
@@ -324,16 +359,19 @@
   guarded(asked.exchange, [&] {
     objects::Selector selector(request.query("labelSelector"), request.query("fieldSelector"));
     const std::string watching = request.query("watch");
-    if (watching == "1" || watching == "true") return watch(asked, std::move(selector));
+    if (watching == "1" || watching == "true")
+      return watch(asked, std::move(selector));
     const std::string limit = request.query("limit"), on = request.query("continue");
     const std::int64_t most =
-        limit.empty() ? most_items : std::clamp<std::int64_t>(number_of(limit, "limit"), 1, most_items);
+        limit.empty() ? most_items
+                      : std::clamp<std::int64_t>(number_of(limit, "limit"), 1, most_items);
     std::int64_t version = told_objects_.version();
     std::string last;
     if (!on.empty()) {
       const std::size_t dot = on.find('.');
       version = number_of(on.substr(0, dot), "continue");
-      if (dot != std::string::npos) last = on.substr(dot + 1);
+      if (dot != std::string::npos)
+        last = on.substr(dot + 1);
       // A watch from the first page's version must still tell what the pages missed.
       if (told_objects_.since(version) != objects::Since::held)
         throw Refused{problem(410, "the list has expired",
@@ -341,10 +379,14 @@
     }
     std::vector<objects::SnapshotPtr> items;
     std::size_t left = 0;
-    for (auto at = told_objects_.objects().upper_bound(last); at != told_objects_.objects().end(); ++at) {
-      if (!selector.takes(at->second->labels, at->second->fields)) continue;
-      if (static_cast<std::int64_t>(items.size()) < most) items.push_back(at->second);
-      else ++left;
+    for (auto at = told_objects_.objects().upper_bound(last); at != told_objects_.objects().end();
+         ++at) {
+      if (!selector.takes(at->second->labels, at->second->fields))
+        continue;
+      if (static_cast<std::int64_t>(items.size()) < most)
+        items.push_back(at->second);
+      else
+        ++left;
     }
     json::Out metadata;
     metadata.open().put("resourceVersion", std::to_string(version)).put("series", series_);
@@ -354,7 +396,8 @@
     std::string body =
         "{\"kind\":\"ReleaseList\",\"apiVersion\":\"v1\",\"metadata\":" + metadata.close().text() +
         ",\"items\":[";
-    for (std::size_t i = 0; i < items.size(); ++i) body += (i > 0 ? "," : "") + items[i]->full;
+    for (std::size_t i = 0; i < items.size(); ++i)
+      body += (i > 0 ? "," : "") + items[i]->full;
     asked.exchange->answer(http::json_answer(200, body + "]}"));
   });
 }
@@ -367,14 +410,17 @@
   ask.proxy = request.query("umpire");
   if (!ask.proxy.empty() && !may(asked.caller.role, Role::proxy))
     throw Refused{problem(403, "not allowed", "this token may not watch as an umpire")};
-  const std::string since = request.query("resourceVersion"), within = request.query("timeoutSeconds"),
-                    series = request.query("series");
-  if (!since.empty()) ask.since = number_of(since, "resourceVersion");
-  if (!within.empty()) ask.within = std::chrono::seconds(number_of(within, "timeoutSeconds") % 1000000);
-  if (ask.since &&
-      ((!series.empty() && series != series_) || told_objects_.since(*ask.since) != objects::Since::held))
-    throw Refused{problem(410, "the version has expired",
-                          "what changed since then is no longer known: list anew and watch from there")};
+  const std::string since = request.query("resourceVersion"),
+                    within = request.query("timeoutSeconds"), series = request.query("series");
+  if (!since.empty())
+    ask.since = number_of(since, "resourceVersion");
+  if (!within.empty())
+    ask.within = std::chrono::seconds(number_of(within, "timeoutSeconds") % 1000000);
+  if (ask.since && ((!series.empty() && series != series_) ||
+                    told_objects_.since(*ask.since) != objects::Since::held))
+    throw Refused{
+        problem(410, "the version has expired",
+                "what changed since then is no longer known: list anew and watch from there")};
   if (!watches_->add(asked.exchange, std::move(ask)))
     throw Refused{retry_later(1s, std::to_string(settings_.watches.most) + " watches are open")};
 }
@@ -391,21 +437,26 @@
         problem(reply.status, reply.title, reply.detail, reply.problems, reply.present_version));
   if (const auto release = catalog_.store().find(reply.name))
     return asked.exchange->answer(shown(*release, reply.status));
-  asked.exchange->answer(http::json_answer(reply.status, "{\"kind\":\"Status\",\"status\":\"Success\"}"));
+  asked.exchange->answer(
+      http::json_answer(reply.status, "{\"kind\":\"Status\",\"status\":\"Success\"}"));
 }
 
 // Writes a request's change down; false when it was a dry run, which is answered here.
-bool Controller::finish(const Asked& asked, releases::Reply& what, std::optional<journal::RequestKey> key) {
+bool Controller::finish(const Asked& asked, releases::Reply& what,
+                        std::optional<journal::RequestKey> key) {
   if (what.status >= 300) {
     reply(asked, what);
     return false;
   }
   if (dry(asked.exchange->request)) {
-    if (what.draft) asked.exchange->answer(shown(*releases::snapshot(what.draft->release), what.status));
-    else reply(asked, what);
+    if (what.draft)
+      asked.exchange->answer(shown(*releases::snapshot(what.draft->release), what.status));
+    else
+      reply(asked, what);
     return false;
   }
-  if (what.draft) commit({*what.draft}, std::move(key));
+  if (what.draft)
+    commit({*what.draft}, std::move(key));
   return true;
 }
 
@@ -416,7 +467,8 @@
     std::optional<journal::RequestKey> key;
     if (const std::string given(request.headers.get("Idempotency-Key")); !given.empty()) {
       if (given.size() > 255)
-        throw Refused{problem(400, "the request makes no sense", "Idempotency-Key is longer than 255 bytes")};
+        throw Refused{
+            problem(400, "the request makes no sense", "Idempotency-Key is longer than 255 bytes")};
       key = journal::RequestKey{asked.caller.name + "/" + given, sha256(request.body), ""};
       const auto before = journal_ ? journal_->request(key->key) : std::nullopt;
       if (before && before->digest != key->digest)
@@ -425,17 +477,20 @@
       if (before) {
         http::Response again =
             problem(410, "the release is gone", "it was created by this key and deleted since");
-        if (const auto release = catalog_.store().find(before->name)) again = shown(*release, 201);
+        if (const auto release = catalog_.store().find(before->name))
+          again = shown(*release, 201);
         again.headers.add("Idempotency-Replayed", "true");
         return asked.exchange->answer(again);
       }
     }
     releases::Reply made = catalog_.create(body, fresh_id(), core_->newest_offered(), wall_ms());
-    if (key) key->name = made.name;
-    if (!finish(asked, made, std::move(key))) return;
-    log_.info(
-        "release created",
-        {{"name", made.name}, {"build", log::text(made.draft->release.build)}, {"who", asked.caller.name}});
+    if (key)
+      key->name = made.name;
+    if (!finish(asked, made, std::move(key)))
+      return;
+    log_.info("release created", {{"name", made.name},
+                                  {"build", log::text(made.draft->release.build)},
+                                  {"who", asked.caller.name}});
     core_->offer(made.draft->release.build, loop_.now());
     pull();
     reply(asked, made);
@@ -444,8 +499,10 @@
 
 bool Controller::offer(int build, const std::string& who) {
   const auto body = json::object_of("{\"spec\":{\"build\":" + std::to_string(build) + "}}");
-  const releases::Reply made = catalog_.create(body, fresh_id(), core_->newest_offered(), wall_ms());
-  if (!made.draft) return false;
+  const releases::Reply made =
+      catalog_.create(body, fresh_id(), core_->newest_offered(), wall_ms());
+  if (!made.draft)
+    return false;
   commit({*made.draft});
   log_.info("release created", {{"name", made.name}, {"build", log::text(build)}, {"who", who}});
   core_->offer(build, loop_.now());
@@ -457,18 +514,22 @@
   guarded(asked.exchange, [&] {
     const auto body = body_of(asked.exchange->request);
     releases::Reply made = catalog_.patch(asked.name, body, believed_of(asked.exchange->request));
-    if (finish(asked, made)) reply(asked, made);
+    if (finish(asked, made))
+      reply(asked, made);
   });
 }
 
 void Controller::remove(const Asked& asked) {
   guarded(asked.exchange, [&] {
-    releases::Reply made = catalog_.remove(asked.name, believed_of(asked.exchange->request), wall_ms());
+    releases::Reply made =
+        catalog_.remove(asked.name, believed_of(asked.exchange->request), wall_ms());
     const releases::Release* release = catalog_.find(asked.name);
     const int build = release ? release->build : 0;
-    if (!finish(asked, made)) return;
-    // One on trial goes back first; its object goes when none of its machines runs.
-    if (build == core_->news(loop_.now()).build) core_->back("deleted by " + asked.caller.name, loop_.now());
+    if (!finish(asked, made))
+      return;
+    // One as a canary goes back first; its object goes when none of its machines runs.
+    if (build == core_->news(loop_.now()).build)
+      core_->back("deleted by " + asked.caller.name, loop_.now());
     log_.info("release deleted", {{"name", asked.name}, {"who", asked.caller.name}});
     pull();
     reply(asked, made);
@@ -480,13 +541,16 @@
     const auto body = body_of(asked.exchange->request);
     const std::string reason = json::text(body, "reason");
     const std::string author = json::text_or(body, "author", asked.caller.name);
-    if (reason.empty() || author.empty()) json::mistyped(reason.empty() ? "reason" : "author", "a word");
+    if (reason.empty() || author.empty())
+      json::mistyped(reason.empty() ? "reason" : "author", "a word");
     const releases::Reply may = catalog_.act(asked.name, believed_of(asked.exchange->request));
-    if (may.status != 200) return reply(asked, may);
+    if (may.status != 200)
+      return reply(asked, may);
     const TimePoint now = loop_.now();
     const std::string why = reason + " (" + author + ")";
     const bool present = catalog_.find(asked.name)->build == core_->news(now).build;
-    if (dry(asked.exchange->request)) return reply(asked, may);
+    if (dry(asked.exchange->request))
+      return reply(asked, may);
     const bool done =
         present && (what == "back" ? core_->back(why, now) : core_->hold(what == "hold", why, now));
     if (!done)
@@ -494,7 +558,8 @@
                             "it is " + catalog_.find(asked.name)->status.phase +
                                 (catalog_.find(asked.name)->status.held ? ", held" : ""),
                             {}, catalog_.find(asked.name)->version)};
-    log_.info("operator", {{"says", what}, {"release", asked.name}, {"why", reason}, {"who", author}});
+    log_.info("operator",
+              {{"says", what}, {"release", asked.name}, {"why", reason}, {"who", author}});
     pull();
     reply(asked, {.name = asked.name});
   });
@@ -502,11 +567,12 @@
 
 // Silent or failing, as told to be for trying it out.
 bool Controller::in_trouble(const http::ExchangePtr& exchange) {
-  if (trouble_ == Trouble::none) return false;
+  if (trouble_ == Trouble::none)
+    return false;
   if (trouble_ == Trouble::errors) {
     exchange->answer(http::text_answer(503, "out of order\n"));
   } else {
-    // Never answered; it goes when the umpire hangs up.
+    // Never answered; it goes when the proxy hangs up.
     exchange->on_gone = [keep = exchange]() mutable { keep.reset(); };
   }
   return true;
@@ -517,33 +583,42 @@
     const auto body = body_of(asked.exchange->request);
     const std::string proxy = json::text(body, "umpire"), session = json::text(body, "session");
     const int stage = json::whole(body, "stage", 0, 1000);
-    const Verdict verdict = json::enumerator<Verdict>(
-        body, "verdict",
-        {{"none", Verdict::none}, {"on", Verdict::promote}, {"hold", Verdict::hold}, {"back", Verdict::roll_back}});
-    if (proxy.empty()) json::mistyped("umpire", "a name");
+    const Verdict verdict = json::enumerator<Verdict>(body, "verdict",
+                                                      {{"none", Verdict::none},
+                                                       {"on", Verdict::promote},
+                                                       {"hold", Verdict::hold},
+                                                       {"back", Verdict::roll_back}});
+    if (proxy.empty())
+      json::mistyped("umpire", "a name");
     const releases::Release* release = catalog_.find(asked.name);
-    if (!release) return reply(asked, catalog_.act(asked.name, {}));
+    if (!release)
+      return reply(asked, catalog_.act(asked.name, {}));
     const int build = release->build;
     const TimePoint now = loop_.now();
-    const bool counts =
-        trouble_ == Trouble::none ||
-        (trouble_ == Trouble::silent && std::uniform_real_distribution<double>(0, 1)(random_) < count_share_);
+    const bool counts = trouble_ == Trouble::none ||
+                        (trouble_ == Trouble::silent &&
+                         std::uniform_real_distribution<double>(0, 1)(random_) < count_share_);
     Outcome outcome = Outcome::error;
     bool superseded = false;
     if (counts) {
-      // A vote says as much as a heartbeat that the umpire is there.
+      // A vote says as much as a heartbeat that the proxy is there.
       superseded = members_.heard(proxy, session, now) == membership::Heard::superseded;
       look_at_members();
       outcome = superseded ? Outcome::obsolete : core_->vote(proxy, build, stage, verdict, now);
     }
-    if (voted_) voted_(proxy, build, stage, verdict, outcome);
-    if (in_trouble(asked.exchange)) return;
-    if (superseded) asked.exchange->answer(problem(409, "superseded", "another process votes by that name"));
-    else if (outcome == Outcome::rejected) asked.exchange->answer(retry_later(1s, "too many votes"));
+    if (voted_)
+      voted_(proxy, build, stage, verdict, outcome);
+    if (in_trouble(asked.exchange))
+      return;
+    if (superseded)
+      asked.exchange->answer(problem(409, "superseded", "another process votes by that name"));
+    else if (outcome == Outcome::rejected)
+      asked.exchange->answer(retry_later(1s, "too many votes"));
     else if (outcome == Outcome::obsolete)
       asked.exchange->answer(
           problem(409, "moot", "the release is not in that wave, or such a vote has no meaning"));
-    else asked.exchange->answer(http::json_answer(200, "{\"result\":\"ok\"}"));
+    else
+      asked.exchange->answer(http::json_answer(200, "{\"result\":\"ok\"}"));
     pull();
   });
 }
@@ -567,11 +642,13 @@
 }
 
 void Controller::heartbeat(const Asked& asked) {
-  if (in_trouble(asked.exchange)) return;
+  if (in_trouble(asked.exchange))
+    return;
   guarded(asked.exchange, [&] {
     const auto body = body_of(asked.exchange->request);
     const std::string session = json::text(body, "session");
-    if (!objects::label_value(asked.name) || session.empty()) json::mistyped("session", "a word");
+    if (!objects::label_value(asked.name) || session.empty())
+      json::mistyped("session", "a word");
     const TimePoint now = loop_.now();
     const membership::Heard heard = members_.heard(asked.name, session, now);
     if (heard != membership::Heard::renewed)
@@ -580,20 +657,21 @@
       throw Refused{problem(409, "superseded", "another process has taken the name " + asked.name)};
     if (json::present(body, "acknowledged")) {
       const json::Json& told = json::inner(body, "acknowledged");
-      membership::Acknowledged what{json::whole(told, "build", 0, 65535), json::whole(told, "stage", 0, 1000),
-                                    json::number(told, "cap"),
+      membership::Acknowledged what{json::whole(told, "build", 0, 65535),
+                                    json::whole(told, "stage", 0, 1000), json::number(told, "cap"),
                                     static_cast<std::int64_t>(json::number(told, "version")), now};
       members_.acknowledges(asked.name, session, what);
     }
     look_at_members();
     pull();
-    asked.exchange->answer(http::json_answer(200, json::Out()
-                                                      .open()
-                                                      .put("leaseMs", settings_.members.lease.count() / 1000)
-                                                      .put("known", members_.known())
-                                                      .put("live", members_.live())
-                                                      .close()
-                                                      .text()));
+    asked.exchange->answer(
+        http::json_answer(200, json::Out()
+                                   .open()
+                                   .put("leaseMs", settings_.members.lease.count() / 1000)
+                                   .put("known", members_.known())
+                                   .put("live", members_.live())
+                                   .close()
+                                   .text()));
   });
 }
 
@@ -633,7 +711,8 @@
   guarded(asked.exchange, [&] {
     const auto body = releases::strict(asked.exchange->request.body);
     const int requests = json::whole(body, "txns"), unsuccessful = json::whole(body, "poorly");
-    if (runner_ && settings_.throttle) runner_->client_outcomes(requests, unsuccessful);
+    if (runner_ && settings_.throttle)
+      runner_->client_outcomes(requests, unsuccessful);
     asked.exchange->answer(http::json_answer(200, "{}"));
   });
 }
--- a/src/controller/tokens.h
+++ b/src/controller/tokens.h
@@ -1,5 +1,5 @@
-// Who may do what: API tokens, held as SHA-256 only. Without any token everybody may do everything, which is
-// why the settings then allow no other address than loopback.
+// Who may do what: API tokens, held as SHA-256 only. Without any token everybody may do everything,
+// which is why the settings then allow no other address than loopback.
 #pragma once
 #include <optional>
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace robinhoist::controller {
 
-// read: get, list, watch. umpire: the same, and heartbeats and votes. operate: everything.
+// read: get, list, watch. proxy: the same, and heartbeats and votes. operate: everything.
 enum class Role { read, proxy, operate };
 
 struct Token {
--- a/src/controller/watches.cpp
+++ b/src/controller/watches.cpp
@@ -24,7 +24,11 @@
 
 Watches::Watches(net::Loop& loop, const objects::Store& store, const std::string& series,
                  const WatchSettings& settings, Told told)
-    : loop_(loop), store_(store), series_(series), settings_(settings), told_(std::move(told)),
+    : loop_(loop),
+      store_(store),
+      series_(series),
+      settings_(settings),
+      told_(std::move(told)),
       timers_(loop) {
   timers_.in(settings_.bookmark_every, [this] { bookmarks(); });
 }
@@ -37,7 +41,8 @@
 }
 
 double Watches::age_ms(const objects::Snapshot& what) const {
-  const double age = static_cast<double>(net::wall_now().time_since_epoch().count()) / 1e3 - static_cast<double>(what.since_ms);
+  const double age = static_cast<double>(net::wall_now().time_since_epoch().count()) / 1e3 -
+                     static_cast<double>(what.since_ms);
   return age > 0 ? age : 0;
 }
 
@@ -51,7 +56,8 @@
                          .text();
   line.pop_back();
   line += ",\"object\":" + (watcher.ask.brief ? what.brief : what.full) + "}\n";
-  if (told_ && !watcher.ask.proxy.empty()) told_(watcher.ask.proxy, what);
+  if (told_ && !watcher.ask.proxy.empty())
+    told_(watcher.ask.proxy, what);
   return watcher.exchange->write(line);
 }
 
@@ -67,9 +73,11 @@
 }
 
 bool Watches::add(const http::ExchangePtr& exchange, WatchAsk ask) {
-  if (watchers_.size() >= settings_.most) return false;
+  if (watchers_.size() >= settings_.most)
+    return false;
   const bool first = !ask.proxy.empty();
-  const At at = watchers_.insert(first ? watchers_.begin() : watchers_.end(), {exchange, std::move(ask)});
+  const At at =
+      watchers_.insert(first ? watchers_.begin() : watchers_.end(), {exchange, std::move(ask)});
   http::Response head;
   head.headers.add("Content-Type", "application/json;stream=watch");
   head.headers.add("Cache-Control", "no-store");
@@ -89,16 +97,19 @@
   } else {
     at->version = store_.version();
     for (auto& [name, object] : store_.objects())
-      if (at->ask.selector.takes(object->labels, object->fields)) well = well && write(*at, "ADDED", *object);
+      if (at->ask.selector.takes(object->labels, object->fields))
+        well = well && write(*at, "ADDED", *object);
   }
   // The first bookmark says that all there was has been told, and of which series the versions are.
-  if (!(well && bookmark(*at) && serve(*at))) remove(at);
+  if (!(well && bookmark(*at) && serve(*at)))
+    remove(at);
   return true;
 }
 
 // False: it is to be removed.
 bool Watches::serve(Watcher& watcher) {
-  if (watcher.gone) return false;
+  if (watcher.gone)
+    return false;
   if (store_.since(watcher.version) != objects::Since::held) {
     watcher.exchange->write(error_line(410, "Expired", watcher.version));
     return false;
@@ -106,7 +117,8 @@
   while (const objects::Event* event = store_.after(watcher.version)) {
     watcher.version = event->now->version;
     const auto change = objects::seen(*event, watcher.ask.selector, watcher.ask.brief);
-    if (!change) continue;
+    if (!change)
+      continue;
     if (!write(watcher, objects::to_string(*change), *event->now)) {
       ++cut_;
       watcher.exchange->write(error_line(429, "TooSlow", watcher.version));
@@ -119,7 +131,8 @@
 void Watches::wake() {
   for (At at = watchers_.begin(); at != watchers_.end() && !at->ask.proxy.empty();) {
     const At one = at++;
-    if (!serve(*one)) remove(one);
+    if (!serve(*one))
+      remove(one);
   }
   if (serving_) {
     again_ = true;
@@ -133,13 +146,16 @@
 void Watches::serve_some() {
   for (int served = 0; served < at_a_time && next_ != watchers_.end();) {
     const At at = next_++;
-    if (!at->ask.proxy.empty()) continue;
+    if (!at->ask.proxy.empty())
+      continue;
     ++served;
-    if (!serve(*at)) remove(at);
+    if (!serve(*at))
+      remove(at);
   }
   if (next_ == watchers_.end()) {
     serving_ = false;
-    if (!again_) return;
+    if (!again_)
+      return;
     again_ = false;
     serving_ = true;
     next_ = watchers_.begin();
@@ -148,7 +164,8 @@
 }
 
 void Watches::remove(At at) {
-  if (next_ == at) ++next_;
+  if (next_ == at)
+    ++next_;
   loop_.cancel(at->end);
   if (!at->gone) {
     at->exchange->on_gone = nullptr;
@@ -160,7 +177,8 @@
 void Watches::bookmarks() {
   for (At at = watchers_.begin(); at != watchers_.end();) {
     const At one = at++;
-    if (one->version == store_.version() && !bookmark(*one)) remove(one);
+    if (one->version == store_.version() && !bookmark(*one))
+      remove(one);
   }
   timers_.in(settings_.bookmark_every, [this] { bookmarks(); });
 }
--- a/src/controller/watches.h
+++ b/src/controller/watches.h
@@ -1,10 +1,10 @@
-// Those that watch releases: each gets every change of its selection once, in order, as a line of JSON in a
-// chunked answer. Umpires come first and in one go; the rest are served a few at a time, so that a thousand
-// of them keep neither umpires nor votes waiting. One that does not read is cut, with a last line that says
-// so.
+// Those that watch releases: each gets every change of its selection once, in order, as a line of
+// JSON in a chunked answer. Proxies come first and in one go; the rest are served a few at a time,
+// so that a thousand of them keep neither proxies nor votes waiting. One that does not read is cut,
+// with a last line that says so.
 //
-// Lines rather than server-sent events: an umpire and a shell read lines with what they have, a resumption by
-// version needs no event ids, and browsers are served by the console's own stream.
+// Lines rather than server-sent events: an proxy and a shell read lines with what they have, a
+// resumption by version needs no event ids, and browsers are served by the console's own stream.
 #pragma once
 #include <functional>
 #include <list>
@@ -32,7 +32,7 @@
 
 class Watches {
  public:
-  // What was written to an umpire's connection.
+  // What was written to an proxy's connection.
   using Told = std::function<void(const std::string& proxy, const objects::Snapshot& what)>;
   Watches(net::Loop& loop, const objects::Store& store, const std::string& series,
           const WatchSettings& settings, Told told);
@@ -69,7 +69,7 @@
   std::string series_;
   WatchSettings settings_;
   Told told_;
-  std::list<Watcher> watchers_{};  // umpires in front
+  std::list<Watcher> watchers_{};  // proxies in front
   At next_ = watchers_.end();      // of those served a few at a time
   bool serving_ = false, again_ = false;
   long cut_ = 0;
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -7,7 +7,9 @@
 namespace robinhoist::day {
 namespace {
 using namespace std::chrono_literals;
-Duration seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
+Duration seconds(double s) {
+  return Duration(static_cast<std::int64_t>(s * 1e6));
+}
 
 http::CallerSettings call_settings() {
   http::CallerSettings settings;
@@ -17,11 +19,13 @@
 }
 }  // namespace
 
-Clients::Clients(net::Loop& loop, const Day& day, unsigned salt, const std::vector<ProxyPorts>& proxies,
-                 record::Writer& record)
+Clients::Clients(net::Loop& loop, const Day& day, unsigned salt,
+                 const std::vector<ProxyPorts>& proxies, record::Writer& record)
     : loop_(loop), day_(day), load_(day.load, salt), random_(salt + 1), record_(record) {
   for (const ProxyPorts& ports : proxies) {
-    auto at = [](int port) { return Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(port)); };
+    auto at = [](int port) {
+      return Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(port));
+    };
     fronts_.push_back(std::make_unique<http::Caller>(loop, at(ports.front), call_settings()));
     admins_.push_back(std::make_unique<http::Caller>(loop, at(ports.admin), call_settings()));
   }
@@ -35,7 +39,9 @@
   pull();
 }
 
-void Clients::proxy(int number, bool up) { load_.proxy(number, up, now()); }
+void Clients::proxy(int number, bool up) {
+  load_.proxy(number, up, now());
+}
 
 void Clients::begin_trouble(const Trouble& trouble) {
   const auto at_end = [&](std::function<void()> undo) { loop_.in(trouble.lasts, std::move(undo)); };
@@ -48,7 +54,8 @@
     case Kind::hot_caller: {
       std::vector<int> some;
       const int many = std::max(1, static_cast<int>(trouble.part * d.proxies + 0.5));
-      for (int u = 0; u < many; ++u) some.push_back((u * 7 + 1) % d.proxies);
+      for (int u = 0; u < many; ++u)
+        some.push_back((u * 7 + 1) % d.proxies);
       load_.hot(some, trouble.size);
       at_end([this] { load_.hot({}, 0); });
       break;
@@ -68,9 +75,12 @@
 
 void Clients::pull() {
   loop_.cancel(timer_);
-  if (!begun_) return;
-  while (auto one = load_.next(now())) send(*one);
-  if (auto at = load_.next_at()) timer_ = loop_.at(loop_time(*at), [this] { pull(); });
+  if (!begun_)
+    return;
+  while (auto one = load_.next(now()))
+    send(*one);
+  if (auto at = load_.next_at())
+    timer_ = loop_.at(loop_time(*at), [this] { pull(); });
 }
 
 void Clients::send(const load::Try& one) {
@@ -82,41 +92,53 @@
   request.headers.add("X-Try", std::to_string(one.id));
   request.headers.add("X-Work-Us", std::to_string(one.work.count()));
   const Duration left = one.until - now();
-  request.headers.add("X-Remaining-Ms",
-                      std::to_string(static_cast<double>(std::max(Duration(1), left).count()) / 1e3));
+  request.headers.add(
+      "X-Remaining-Ms",
+      std::to_string(static_cast<double>(std::max(Duration(1), left).count()) / 1e3));
   if (!day_.deployment.tenants.empty())
     request.headers.add("X-Tenant", day_.deployment.tenants[one.tenant].name);
-  if (!one.key.empty()) request.headers.add("Idempotency-Key", one.key);
-  if (one.poison) request.headers.add("X-Poison", "1");
-  if (request.method != "GET") request.body = "{\"txn\":" + std::to_string(one.first) + "}";
-  // A client listens a little longer than it told, so that an answer that comes too late is seen to.
+  if (!one.key.empty())
+    request.headers.add("Idempotency-Key", one.key);
+  if (one.poison)
+    request.headers.add("X-Poison", "1");
+  if (request.method != "GET")
+    request.body = "{\"txn\":" + std::to_string(one.first) + "}";
+  // A client listens a little longer than it told, so that an answer that comes too late is seen
+  // to.
   const auto call = fronts_[one.proxy]->call(
       request, std::max(Duration(1), left) + 2 * day_.answer_slack,
       [this, one](http::Ended how, http::Response&& response) { ended(one, how, response); });
   calls_[one.id] = {one.proxy, call};
-  if (one.leaves == TimePoint{}) return;
+  if (one.leaves == TimePoint{})
+    return;
   loop_.at(loop_time(one.leaves), [this, one] {
     auto at = calls_.find(one.id);
-    if (at == calls_.end()) return;
+    if (at == calls_.end())
+      return;
     fronts_[at->second.first]->cancel(at->second.second);
     ended(one, http::Ended::cancelled, {});
   });
 }
 
 void Clients::ended(const load::Try& one, http::Ended how, const http::Response& response) {
-  if (calls_.erase(one.id) == 0) return;
+  if (calls_.erase(one.id) == 0)
+    return;
   load::End end = load::End::broken;
   const std::string_view said = response.headers.get("Robinhoist-Outcome");
-  if (how == http::Ended::unreached) end = load::End::unreached;
-  if (how == http::Ended::timed_out) end = load::End::timed_out;
-  if (how == http::Ended::cancelled) end = load::End::left;
+  if (how == http::Ended::unreached)
+    end = load::End::unreached;
+  if (how == http::Ended::timed_out)
+    end = load::End::timed_out;
+  if (how == http::Ended::cancelled)
+    end = load::End::left;
   if (how == http::Ended::answered)
     end = said == "settled"    ? load::End::succeeded
           : said == "declined" ? load::End::rejected
           : said == "voided"   ? load::End::failed
                                : load::End::rejected_before_routing;
   bool right = true;
-  if (end == load::End::succeeded && response.body.find("\"right\":false") != std::string::npos) right = false;
+  if (end == load::End::succeeded && response.body.find("\"right\":false") != std::string::npos)
+    right = false;
   const std::string node(response.headers.get("Robinhoist-Node"));
   auto pause = settings::number_of(std::string(response.headers.get("Robinhoist-Retry-After-Ms")));
   const std::string proxy = "umpire-" + std::to_string(one.proxy);
@@ -137,7 +159,8 @@
        .status = response.status,
        .why = response.headers.get("Robinhoist-Why"),
        .endpoint = node,
-       .build = settings::number_of(std::string(response.headers.get("Robinhoist-Build"))).value_or(-1),
+       .build =
+           settings::number_of(std::string(response.headers.get("Robinhoist-Build"))).value_or(-1),
        .right = right});
   if (end == load::End::succeeded) {
     const double random = std::uniform_real_distribution<double>(0, 1)(random_);
--- a/src/day/clients.h
+++ b/src/day/clients.h
@@ -1,5 +1,5 @@
-// A day's clients on a loop of their own: they send what the load says, to umpires on loopback, and note what
-// came of it.
+// A day's clients on a loop of their own: they send what the load says, to proxies on loopback, and
+// note what came of it.
 #pragma once
 #include <map>
 #include <memory>
--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -37,12 +37,15 @@
 // (key LEAST MOST) or (key BOTH).
 std::pair<Duration, Duration> range(Form& form, const char* key, Duration absent) {
   auto inner = form.maybe(key);
-  if (!inner) return {absent, absent};
+  if (!inner)
+    return {absent, absent};
   std::vector<Duration> read;
   for (std::size_t i = 0; i < inner->own_words(); ++i) {
     auto one = settings::span_of(inner->own_word(i, ""));
-    if (!one || *one < Duration{}) inner->problem(inner->own_word(i, "") + " is not a span such as 250ms");
-    else read.push_back(*one);
+    if (!one || *one < Duration{})
+      inner->problem(inner->own_word(i, "") + " is not a span such as 250ms");
+    else
+      read.push_back(*one);
   }
   inner->finish();
   if (read.empty() || read.size() > 2 || read.front() > read.back()) {
@@ -57,10 +60,12 @@
   const std::string name = form.own_word(0, "a kind");
   bool known = false;
   for (auto& [word, kind] : kinds)
-    if (name == word) trouble.kind = kind, known = true;
+    if (name == word)
+      trouble.kind = kind, known = true;
   if (!known) {
     std::string all;
-    for (auto& [word, kind] : kinds) all += (all.empty() ? "" : ", ") + std::string(word);
+    for (auto& [word, kind] : kinds)
+      all += (all.empty() ? "" : ", ") + std::string(word);
     form.problem(name + " is none of " + all);
   }
   trouble.at = form.span("at", 0ms, day.length);
@@ -68,25 +73,32 @@
   const auto is = [&](std::initializer_list<Kind> of) {
     return std::find(of.begin(), of.end(), trouble.kind) != of.end();
   };
-  if (is({Kind::crash, Kind::vanish, Kind::slow, Kind::fast_errors, Kind::neighbour, Kind::probe_fail,
-          Kind::connection_squeeze, Kind::slow_handshakes, Kind::hot_caller, Kind::proxy_crash,
-          Kind::proxy_roll}))
+  if (is({Kind::crash, Kind::vanish, Kind::slow, Kind::fast_errors, Kind::neighbour,
+          Kind::probe_fail, Kind::connection_squeeze, Kind::slow_handshakes, Kind::hot_caller,
+          Kind::proxy_crash, Kind::proxy_roll}))
     trouble.part = form.number("part", 0, 1);
-  if (is({Kind::slow, Kind::burst})) trouble.size = form.number("times", 0.01, 1000);
-  if (is({Kind::fast_errors, Kind::neighbour, Kind::probe_fail, Kind::hot_caller, Kind::bad_requests}))
+  if (is({Kind::slow, Kind::burst}))
+    trouble.size = form.number("times", 0.01, 1000);
+  if (is({Kind::fast_errors, Kind::neighbour, Kind::probe_fail, Kind::hot_caller,
+          Kind::bad_requests}))
     trouble.size = form.number("share", 0, 0.99);
-  if (is({Kind::neighbour})) trouble.extra = form.span("every", 10ms, 1h, 2s).count() / 1e6;
-  if (is({Kind::connection_squeeze})) trouble.size = form.number("connections-an-umpire", 0.01, 1e6);
-  if (is({Kind::slow_handshakes})) trouble.size = form.span("by", 0ms, 1min).count() / 1e6;
+  if (is({Kind::neighbour}))
+    trouble.extra = form.span("every", 10ms, 1h, 2s).count() / 1e6;
+  if (is({Kind::connection_squeeze}))
+    trouble.size = form.number("connections-an-umpire", 0.01, 1e6);
+  if (is({Kind::slow_handshakes}))
+    trouble.size = form.span("by", 0ms, 1min).count() / 1e6;
   if (is({Kind::slow_link})) {
     trouble.size = form.span("by", 0ms, 1min).count() / 1e6;
     trouble.extra = form.number("lost", 0, 1, 0.0);
   }
   if (is({Kind::slow_link, Kind::zone_cut})) {
     trouble.zone = form.text("zone");
-    if (day.deployment.zone(trouble.zone) < 0) form.problem("zone", "is none of the deployment's");
+    if (day.deployment.zone(trouble.zone) < 0)
+      form.problem("zone", "is none of the deployment's");
   }
-  if (is({Kind::bad_requests})) trouble.tenant = form.text("tenant", "");
+  if (is({Kind::bad_requests}))
+    trouble.tenant = form.text("tenant", "");
   if (is({Kind::retry_abuse})) {
     trouble.tenant = form.text("tenant");
     trouble.size = form.whole("tries", 1, 100);
@@ -94,17 +106,21 @@
   }
   if (!trouble.tenant.empty() && day.deployment.tenant(trouble.tenant) < 0)
     form.problem("tenant", "is none of the deployment's");
-  if (is({Kind::watch_breaks})) trouble.size = form.span("every", 20ms, 1h).count() / 1e6;
-  if (is({Kind::stale_list})) trouble.size = form.span("by", 0ms, 1h).count() / 1e6;
+  if (is({Kind::watch_breaks}))
+    trouble.size = form.span("every", 20ms, 1h).count() / 1e6;
+  if (is({Kind::stale_list}))
+    trouble.size = form.span("by", 0ms, 1h).count() / 1e6;
   if (is({Kind::proxy_roll})) {
     trouble.size = form.number("batch", 0.001, 1);
     trouble.extra = form.span("down", 0ms, 1min, 500ms).count() / 1e6;
   }
   if (is({Kind::controller_down})) {
-    trouble.how =
-        form.enumerator<std::string>("how", {{"silence", "silence"}, {"errors", "errors"}, {"stale", "stale"}});
-    if (trouble.how == "stale") trouble.size = form.span("by", 0ms, 1h).count() / 1e6;
-    if (trouble.how == "silence") trouble.size = form.number("counted", 0, 1, 0.5);
+    trouble.how = form.enumerator<std::string>(
+        "how", {{"silence", "silence"}, {"errors", "errors"}, {"stale", "stale"}});
+    if (trouble.how == "stale")
+      trouble.size = form.span("by", 0ms, 1h).count() / 1e6;
+    if (trouble.how == "silence")
+      trouble.size = form.number("counted", 0, 1, 0.5);
   }
   form.finish();
   return trouble;
@@ -114,11 +130,11 @@
   load::Settings& to = day.load;
   to.rate = form.number("rate", 0.1, 1e6);
   to.shape = form.enumerator<load::Shape>("shape",
-                                    {{"steady", load::Shape::steady},
-                                     {"wave", load::Shape::wave},
-                                     {"ramp", load::Shape::ramp},
-                                     {"bursty", load::Shape::bursty}},
-                                    load::Shape::steady);
+                                          {{"steady", load::Shape::steady},
+                                           {"wave", load::Shape::wave},
+                                           {"ramp", load::Shape::ramp},
+                                           {"bursty", load::Shape::bursty}},
+                                          load::Shape::steady);
   to.swing = form.number("swing", 0, 0.95, 0.0);
   to.request_classes.resize(day.deployment.request_classes.size());
   std::vector<bool> given(to.request_classes.size(), false);
@@ -134,28 +150,32 @@
     sum += request_class.share = one.number("share", 0, 1);
     request_class.work = one.span("work", 1us, 1h);
     request_class.spread = one.enumerator<load::Spread>(
-        "spread", {{"exponential", load::Spread::exponential}, {"lognormal", load::Spread::lognormal}},
+        "spread",
+        {{"exponential", load::Spread::exponential}, {"lognormal", load::Spread::lognormal}},
         load::Spread::exponential);
     request_class.cv = one.number("cv", 0.01, 20, 1.0);
     one.finish();
   }
   for (std::size_t p = 0; p < to.request_classes.size(); ++p) {
     const RequestClass& of = day.deployment.request_classes[p].request_class;
-    if (!given[p]) form.problem("product " + day.deployment.request_classes[p].name + " is missing");
+    if (!given[p])
+      form.problem("product " + day.deployment.request_classes[p].name + " is missing");
     to.request_classes[p].deadline = of.deadline;
     to.request_classes[p].dedup_window = of.dedup_window;
     to.request_classes[p].keyed = of.idempotency == Idempotency::idempotent_with_key;
-    to.request_classes[p].repeats = of.idempotency == Idempotency::idempotent ? load::Repeats::always
-                             : of.idempotency == Idempotency::idempotent_with_key && of.dedup_scope == DedupScope::all
-                                 ? load::Repeats::within_memory
-                                 : load::Repeats::only_rejected;
+    to.request_classes[p].repeats =
+        of.idempotency == Idempotency::idempotent ? load::Repeats::always
+        : of.idempotency == Idempotency::idempotent_with_key && of.dedup_scope == DedupScope::all
+            ? load::Repeats::within_memory
+            : load::Repeats::only_rejected;
   }
   if (sum < 0.999 || sum > 1.001)
     form.problem("the products' shares must add up to 1, not " + std::to_string(sum));
   form.finish();
   if (!day.deployment.tenants.empty()) {
     to.tenants.clear();
-    for (auto& tenant : day.deployment.tenants) to.tenants.push_back(tenant.tenant.share);
+    for (auto& tenant : day.deployment.tenants)
+      to.tenants.push_back(tenant.tenant.share);
   }
 }
 
@@ -166,10 +186,11 @@
     to.patience_least = *std::min_element(patience.begin(), patience.end());
     to.patience_most = *std::max_element(patience.begin(), patience.end());
   }
-  to.pause = form.enumerator<load::Pause>(
-      "backoff",
-      {{"none", load::Pause::none}, {"fixed", load::Pause::fixed}, {"growing", load::Pause::growing}},
-      load::Pause::none);
+  to.pause = form.enumerator<load::Pause>("backoff",
+                                          {{"none", load::Pause::none},
+                                           {"fixed", load::Pause::fixed},
+                                           {"growing", load::Pause::growing}},
+                                          load::Pause::none);
   std::tie(to.pause_least, to.pause_most) = range(form, "pause", 50ms);
   to.heeds = form.number("heed", 0, 1, 1.0);
   to.leaves = form.number("leave", 0, 1, 0.0);
@@ -180,7 +201,8 @@
 
 const char* to_string(Kind kind) {
   for (auto& [word, which] : kinds)
-    if (which == kind) return word;
+    if (which == kind)
+      return word;
   return "?";
 }
 
@@ -199,10 +221,10 @@
   std::tie(day.boot_least, day.boot_most) = range(fleet, "boot", 1s);
   day.capacity = machine::read_capacity(fleet.sub("capacity"), day.deployment);
   day.cancelled = fleet.enumerator<machine::Cancelled>("cancelled",
-                                                 {{"nothing", machine::Cancelled::nothing},
-                                                  {"queued", machine::Cancelled::queued},
-                                                  {"all", machine::Cancelled::all}},
-                                                 machine::Cancelled::nothing);
+                                                       {{"nothing", machine::Cancelled::nothing},
+                                                        {"queued", machine::Cancelled::queued},
+                                                        {"all", machine::Cancelled::all}},
+                                                       machine::Cancelled::nothing);
   fleet.finish();
   if (auto list = form.maybe("list")) {
     std::tie(day.list_least, day.list_most) = range(*list, "told-after", 0ms);
@@ -225,7 +247,8 @@
     front->finish();
   }
   read_load(form.sub("load"), day);
-  if (auto clients = form.maybe("clients")) read_clients(*clients, day.load);
+  if (auto clients = form.maybe("clients"))
+    read_clients(*clients, day.load);
   if (auto database = form.maybe("database")) {
     day.database = true;
     day.database_setup = database->text("setup");
@@ -238,19 +261,23 @@
     offer.at = release.span("at", 0ms, day.length);
     offer.needs = release.text("needs", "");
     if (auto plan = release.maybe("plan")) {
-      if (!day.database) release.problem("plan", "has no (database ...) to run against");
+      if (!day.database)
+        release.problem("plan", "has no (database ...) to run against");
       offer.plan = release.written("plan");
       steps::Plan read = steps::read(*plan, static_cast<int>(day.deployment.rollout.stages.size()));
-      for (const steps::Step& step : read.steps) offer.steps.push_back(step.id);
+      for (const steps::Step& step : read.steps)
+        offer.steps.push_back(step.id);
     }
     offer.build = machine::read_build(release, day.deployment);
-    if (offer.build.number <= (day.offers.empty() ? day.first.number : day.offers.back().build.number))
+    if (offer.build.number <=
+        (day.offers.empty() ? day.first.number : day.offers.back().build.number))
       release.problem("its build is not newer than the one before");
     if (!day.offers.empty() && offer.at < day.offers.back().at)
       release.problem("at", "is before the release given before it");
     day.offers.push_back(offer);
   }
-  for (Form& trouble : form.each("trouble")) day.troubles.push_back(read_trouble(trouble, day));
+  for (Form& trouble : form.each("trouble"))
+    day.troubles.push_back(read_trouble(trouble, day));
   form.finish();
   root.finish();
   return day;
--- a/src/day/notation.h
+++ b/src/day/notation.h
@@ -1,5 +1,5 @@
-// A scripted day: fleet, load, releases and troubles of one deployment, read from S-expressions. The notation
-// is described in days/README.md.
+// A scripted day: fleet, load, releases and troubles of one deployment, read from S-expressions.
+// The notation is described in days/README.md.
 #pragma once
 #include <string>
 #include <vector>
@@ -44,14 +44,14 @@
 struct Offer {
   Duration at{};
   machine::Build build{};
-  std::string needs{};               // a query that says whether its tables are ready; empty: it needs none
-  std::string plan{};                // its steps, as text
+  std::string needs{};  // a query that says whether its tables are ready; empty: it needs none
+  std::string plan{};   // its steps, as text
   std::vector<std::string> steps{};  // their ids, in order
 };
 
 struct Day {
   deployment::Deployment deployment{};
-  std::string deployment_text{};  // where it came from, for the umpires' own files
+  std::string deployment_text{};  // where it came from, for the proxies' own files
   Duration length{};
   int places = 1, cell_size = 4;
   machine::Build first{};
@@ -59,14 +59,15 @@
   double speed_spread = 0;
   Duration boot_least{}, boot_most{};
   machine::Cancelled cancelled = machine::Cancelled::nothing;
-  Duration list_least{}, list_most{}, silent_after{};  // how late the list is told, and of a silent node
+  Duration list_least{}, list_most{},
+      silent_after{};  // how late the list is told, and of a silent endpoint
   Duration news_least{}, news_most{};
   Duration reports_least{}, reports_most{};
   double false_reports = 0;
   Duration answer_slack{};
   bool database = false;
   std::string database_setup{};
-  double batch_slows = 1;  // all nodes, by so many times while the database runs a batch
+  double batch_slows = 1;  // all endpoints, by so many times while the database runs a batch
   bool throttle = true;
   load::Settings load{};
   std::vector<Offer> offers{};
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -24,15 +24,16 @@
 using namespace std::chrono_literals;
 namespace fs = std::filesystem;
 
-// Ports that nobody has now, below those that the kernel gives to whoever asks for any: a node that starts
-// later must not get the port of an umpire that is down.
+// Ports that nobody has now, below those that the kernel gives to whoever asks for any: an endpoint
+// that starts later must not get the port of an proxy that is down.
 std::vector<int> free_ports(std::size_t many) {
   constexpr int first = 18000, last = 32000;
   net::Loop loop;
   std::vector<std::unique_ptr<net::Listener>> held;
   std::vector<int> ports;
   for (int port = first + ::getpid() * 97 % (last - first - 2000); ports.size() < many; ++port) {
-    if (port > last) throw std::runtime_error("no free ports for the umpires");
+    if (port > last)
+      throw std::runtime_error("no free ports for the umpires");
     try {
       held.push_back(std::make_unique<net::Listener>(loop, "127.0.0.1:" + std::to_string(port),
                                                      [](int fd) { ::close(fd); }));
@@ -44,13 +45,14 @@
   return ports;
 }
 
-// One umpire's process, started anew after each death.
+// One proxy's process, started anew after each death.
 class Process {
  public:
   Process(std::string program, std::string config, std::string log)
       : program_(std::move(program)), config_(std::move(config)), log_(std::move(log)) {}
   ~Process() {
-    if (pid_ > 0) kill9();
+    if (pid_ > 0)
+      kill9();
   }
   void start() {
     posix_spawn_file_actions_t files;
@@ -64,14 +66,16 @@
     sigemptyset(&none);
     posix_spawnattr_setsigmask(&attributes, &none);
     posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETSIGMASK);
-    const int failed =
-        posix_spawn(&pid_, program_.c_str(), &files, &attributes, const_cast<char**>(words), environ);
+    const int failed = posix_spawn(&pid_, program_.c_str(), &files, &attributes,
+                                   const_cast<char**>(words), environ);
     posix_spawnattr_destroy(&attributes);
     posix_spawn_file_actions_destroy(&files);
-    if (failed) throw std::runtime_error("can't start " + program_);
+    if (failed)
+      throw std::runtime_error("can't start " + program_);
   }
   void kill9() {
-    if (pid_ <= 0) return;
+    if (pid_ <= 0)
+      return;
     ::kill(pid_, SIGKILL);
     ::waitpid(pid_, nullptr, 0);
     pid_ = 0;
@@ -92,7 +96,8 @@
   }
   bool died() {
     int status = 0;
-    if (pid_ <= 0 || ::waitpid(pid_, &status, WNOHANG) != pid_) return false;
+    if (pid_ <= 0 || ::waitpid(pid_, &status, WNOHANG) != pid_)
+      return false;
     pid_ = 0;
     return true;
   }
@@ -110,7 +115,8 @@
     thread = std::thread([this] { loop.run(); });
   }
   void stop() {
-    if (!thread.joinable()) return;
+    if (!thread.joinable())
+      return;
     loop.quit();
     thread.join();
   }
@@ -134,15 +140,17 @@
   record::Writer nodes(dir + "/nodes.jsonl"), told(dir + "/told.jsonl"),
       clients_record(dir + "/clients.jsonl"), lives(dir + "/umpires.jsonl"),
       database(dir + "/database.jsonl");
-  for (const char* old : {"/journal", "/journal-wal", "/journal-shm"}) fs::remove(dir + old);
+  for (const char* old : {"/journal", "/journal-wal", "/journal-shm"})
+    fs::remove(dir + old);
   const int proxies = day.deployment.proxies;
   const auto ports = free_ports(static_cast<std::size_t>(2 * proxies));
   std::vector<ProxyPorts> at;
-  for (int u = 0; u < proxies; ++u) at.push_back({ports[2 * u], ports[2 * u + 1]});
+  for (int u = 0; u < proxies; ++u)
+    at.push_back({ports[2 * u], ports[2 * u + 1]});
 
   Running database_runs(epoch), world_runs(epoch), clients_run(epoch);
-  World world(world_runs.loop, database_runs.loop, day, static_cast<unsigned>(seed * 2 + 1), log, nodes, told,
-              dir, &database);
+  World world(world_runs.loop, database_runs.loop, day, static_cast<unsigned>(seed * 2 + 1), log,
+              nodes, told, dir, &database);
   Clients clients(clients_run.loop, day, static_cast<unsigned>(seed * 2 + 101), at, clients_record);
   // Loops stop before what runs on them goes.
   struct Stop {
@@ -163,19 +171,22 @@
   std::vector<std::unique_ptr<Process>> processes;
   for (int u = 0; u < proxies; ++u) {
     const std::string name = "umpire-" + std::to_string(u), config = dir + "/" + name + ".conf";
-    std::ofstream(config) << "(include \"deployment.conf\")\n(umpire\n  (name " << name << ")\n  (number "
-                          << u << ")\n  (salt " << 1 + (seed * 7919 + u) % 2000000000
+    std::ofstream(config) << "(include \"deployment.conf\")\n(umpire\n  (name " << name
+                          << ")\n  (number " << u << ")\n  (salt "
+                          << 1 + (seed * 7919 + u) % 2000000000
                           << ")\n  (listen 127.0.0.1:" << at[u].front
                           << ")\n  (admin 127.0.0.1:" << at[u].admin
                           << ")\n  (list-from 127.0.0.1:" << world.list_port()
-                          << ")\n  (releases-from 127.0.0.1:" << world.controller_port() << ")\n  (zone "
-                          << zone_of(day, u) << ")\n  (saved-list \"" << dir << "/" << name << ".nodes\"))\n";
+                          << ")\n  (releases-from 127.0.0.1:" << world.controller_port()
+                          << ")\n  (zone " << zone_of(day, u) << ")\n  (saved-list \"" << dir << "/"
+                          << name << ".nodes\"))\n";
     fs::remove(dir + "/" + name + ".nodes");
     fs::remove(dir + "/" + name + ".log");
     processes.push_back(std::make_unique<Process>(program, config, dir + "/" + name + ".log"));
   }
   auto life = [&](int u, const char* what) {
-    record::proxy_life(lives, TimePoint(net::steady_now() - epoch), "umpire-" + std::to_string(u), what);
+    record::proxy_life(lives, TimePoint(net::steady_now() - epoch), "umpire-" + std::to_string(u),
+                       what);
   };
   for (int u = 0; u < proxies; ++u) {
     life(u, "start");
@@ -185,7 +196,8 @@
   for (int u = 0; u < proxies; ++u) {
     for (int tries = 0;; ++tries) {
       try {
-        Poco::Net::StreamSocket probe(Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(at[u].front)));
+        Poco::Net::StreamSocket probe(
+            Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(at[u].front)));
         break;
       } catch (const Poco::Exception&) {
         if (tries > 500)
@@ -196,7 +208,7 @@
   }
   std::this_thread::sleep_for(300ms);
 
-  // What befalls umpires happens here, in the order of time.
+  // What befalls proxies happens here, in the order of time.
   struct Event {
     TimePoint at;
     int proxy;
@@ -206,9 +218,11 @@
   std::vector<Event> events;
   std::minstd_rand random(static_cast<unsigned>(seed + 5));
   for (const Trouble& trouble : day.troubles) {
-    if (trouble.kind != Kind::proxy_crash && trouble.kind != Kind::proxy_roll) continue;
+    if (trouble.kind != Kind::proxy_crash && trouble.kind != Kind::proxy_roll)
+      continue;
     std::vector<int> order(proxies);
-    for (int u = 0; u < proxies; ++u) order[u] = u;
+    for (int u = 0; u < proxies; ++u)
+      order[u] = u;
     std::shuffle(order.begin(), order.end(), random);
     order.resize(std::clamp(static_cast<int>(trouble.part * proxies + 0.5), 1, proxies));
     const bool roll = trouble.kind == Kind::proxy_roll;
@@ -216,7 +230,8 @@
     const int batches = (static_cast<int>(order.size()) + batch - 1) / batch;
     for (std::size_t i = 0; i < order.size(); ++i) {
       const TimePoint begins =
-          from + trouble.at + (roll ? trouble.lasts * (static_cast<int>(i) / batch) / batches : Duration{});
+          from + trouble.at +
+          (roll ? trouble.lasts * (static_cast<int>(i) / batch) / batches : Duration{});
       const Duration down = roll ? Duration(static_cast<long>(trouble.extra * 1e6)) : trouble.lasts;
       events.push_back({begins, order[i], false});
       events.push_back({begins + down, order[i], true});
@@ -232,7 +247,8 @@
   for (bool over = false; !over; std::this_thread::sleep_for(2ms)) {
     for (; next < events.size() && events[next].at <= now(); ++next) {
       const Event& event = events[next];
-      if (up[event.proxy] == event.up) continue;
+      if (up[event.proxy] == event.up)
+        continue;
       up[event.proxy] = event.up;
       if (event.up) {
         life(event.proxy, "start");
@@ -250,19 +266,23 @@
         played.ended_well = false;
         played.trouble += "umpire-" + std::to_string(u) + " died by itself; ";
       }
-    if (now() < from + day.length) continue;
+    if (now() < from + day.length)
+      continue;
     clients_run.loop.call([&] { over = clients.over(); });
-    if (now() > from + day.length + 30s) over = true;
+    if (now() > from + day.length + 30s)
+      over = true;
   }
   std::this_thread::sleep_for(200ms);
   for (int u = 0; u < proxies; ++u) {
-    if (!up[u]) continue;
+    if (!up[u])
+      continue;
     life(u, "stopped");
     processes[u]->term();
     const int status = processes[u]->wait(10s);
     if (status != 0) {
       played.ended_well = false;
-      played.trouble += "umpire-" + std::to_string(u) + " ended with status " + std::to_string(status) + "; ";
+      played.trouble +=
+          "umpire-" + std::to_string(u) + " ended with status " + std::to_string(status) + "; ";
     }
   }
   clients_run.loop.call([&] { clients.note_unasked(); });
--- a/src/day/play.h
+++ b/src/day/play.h
@@ -1,5 +1,5 @@
-// Plays a day on loopback sockets: umpires as processes of their own, the rest on threads of this one; leaves
-// the record in a folder. Simulated servers, real umpires.
+// Plays a day on loopback sockets: proxies as processes of their own, the rest on threads of this
+// one; leaves the record in a folder. Simulated servers, real proxies.
 #pragma once
 #include <string>
 
@@ -8,11 +8,12 @@
 namespace robinhoist::day {
 
 struct Played {
-  bool ended_well = true;  // each umpire that was told to stop did so by itself
+  bool ended_well = true;  // each proxy that was told to stop did so by itself
   std::string trouble{};   // why not
 };
 
-// `program` is the file to start umpires from. Throws std::runtime_error when the day can't be played.
+// `program` is the file to start proxies from. Throws std::runtime_error when the day can't be
+// played.
 Played play(const Day& day, long seed, const std::string& folder, const std::string& program);
 
 }  // namespace robinhoist::day
--- a/src/day/record_meta.cpp
+++ b/src/day/record_meta.cpp
@@ -6,10 +6,13 @@
   record::Meta meta;
   const auto& d = day.deployment;
   for (auto& request_class : d.request_classes)
-    meta.request_classes.push_back({request_class.name, request_class.request_class.latency_objective, request_class.request_class.deadline,
-                             request_class.request_class.dedup_window, request_class.request_class.idempotency, request_class.request_class.dedup_scope,
-                             request_class.request_class.priority_weight});
-  for (auto& tenant : d.tenants) meta.tenants.push_back(tenant.name);
+    meta.request_classes.push_back(
+        {request_class.name, request_class.request_class.latency_objective,
+         request_class.request_class.deadline, request_class.request_class.dedup_window,
+         request_class.request_class.idempotency, request_class.request_class.dedup_scope,
+         request_class.request_class.priority_weight});
+  for (auto& tenant : d.tenants)
+    meta.tenants.push_back(tenant.name);
   meta.caps = d.rollout.caps;
   meta.length = day.length;
   meta.drain_grace = d.drain_grace;
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -10,7 +10,9 @@
 namespace {
 using namespace std::chrono_literals;
 
-Duration seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
+Duration seconds(double s) {
+  return Duration(static_cast<std::int64_t>(s * 1e6));
+}
 
 int number_of(const std::string& proxy) {
   const std::size_t dash = proxy.rfind('-');
@@ -22,20 +24,23 @@
   return day.deployment.zones[proxy % day.deployment.zones.size()];
 }
 
-World::World(net::Loop& loop, net::Loop& database_loop, const Day& day, unsigned salt, const log::Log& log,
-             record::Writer& nodes, record::Writer& told, const std::string& folder, record::Writer* database)
+World::World(net::Loop& loop, net::Loop& database_loop, const Day& day, unsigned salt,
+             const log::Log& log, record::Writer& nodes, record::Writer& told,
+             const std::string& folder, record::Writer* database)
     : loop_(loop), day_(day), log_(log), told_(told), random_(salt), folder_(folder) {
   standin::Shared shared;
   for (auto& request_class : day.deployment.request_classes)
     shared.memory = std::max(shared.memory, request_class.request_class.dedup_window);
-  for (auto& request_class : day.load.request_classes) shared.work.push_back(request_class.work);
+  for (auto& request_class : day.load.request_classes)
+    shared.work.push_back(request_class.work);
   shared.cancelled = day.cancelled;
   nodes_ = std::make_unique<standin::Nodes>(loop, day.deployment, shared, salt + 1, &nodes);
   nodes_->way = [this](const std::string& proxy, const std::string& zone) {
     standin::Nodes::Way way;
     const int number = number_of(proxy);
     const std::string from = number >= 0 ? zone_of(day_, number) : zone;
-    if (from == zone) return way;
+    if (from == zone)
+      return way;
     way.cut = !cut_zone_.empty() && (from == cut_zone_ || zone == cut_zone_);
     if (!slow_zone_.empty() && (from == slow_zone_ || zone == slow_zone_)) {
       way.by = link_by_;
@@ -48,15 +53,19 @@
       loop, server, "list-1",
       [this](const std::string& proxy, const registry::Update& news) { told_list(proxy, news); });
   list_->told_after(0ms);
-  for (int place = 0; place < day.places; ++place) speeds_[place] = 1 + day.speed_spread * (2 * uniform_sample() - 1);
+  for (int place = 0; place < day.places; ++place)
+    speeds_[place] = 1 + day.speed_spread * (2 * uniform_sample() - 1);
   if (day.database) {
     const std::string file = folder + "/database.sqlite";
-    for (const char* end : {"", "-wal", "-shm"}) std::filesystem::remove(file + end);
+    for (const char* end : {"", "-wal", "-shm"})
+      std::filesystem::remove(file + end);
     database_ = std::make_unique<standin::Database>(database_loop, server, file, database);
     if (!database_->execute(day.database_setup))
       throw std::runtime_error("the database's set-up statements fail");
     reader_ = std::make_unique<standin::Reader>(file);
-    nodes_->ready = [this](const std::string& needs) { return reader_->ask(needs).value_or(0) != 0; };
+    nodes_->ready = [this](const std::string& needs) {
+      return reader_->ask(needs).value_or(0) != 0;
+    };
   }
   start_controller();
 }
@@ -72,7 +81,8 @@
   settings.journal = folder_ + "/journal";
   settings.lease = 2s;
   settings.throttle = day_.throttle;
-  if (database_) settings.steps_target = "127.0.0.1:" + std::to_string(database_->port());
+  if (database_)
+    settings.steps_target = "127.0.0.1:" + std::to_string(database_->port());
   controller_ = std::make_unique<controller::Controller>(
       loop_, settings, log_, [this](const rollout::Order& one) { order(one); },
       [this](const std::string& proxy, const objects::Snapshot& what) { told_news(proxy, what); },
@@ -83,12 +93,15 @@
   controller_port_ = controller_->port();
   changes_ = 0;
   for (auto& [id, place] : places_)
-    if (place.listed) controller_->core().machine_up(id, loop_.now());
+    if (place.listed)
+      controller_->core().machine_up(id, loop_.now());
 }
 
 World::~World() = default;
 
-Duration World::drawn(Duration least, Duration most) { return least + seconds(uniform_sample() * (most - least).count() / 1e6); }
+Duration World::drawn(Duration least, Duration most) {
+  return least + seconds(uniform_sample() * (most - least).count() / 1e6);
+}
 
 bool World::all_up() const {
   return static_cast<int>(places_.size()) >= day_.places &&
@@ -97,7 +110,8 @@
 
 const machine::Build& World::build(int number) const {
   for (const Offer& offer : day_.offers)
-    if (offer.build.number == number) return offer.build;
+    if (offer.build.number == number)
+      return offer.build;
   return day_.first;
 }
 
@@ -106,17 +120,22 @@
     Place place{"node-" + std::to_string(order.machine), order.place, order.build};
     places_[order.machine] = place;
     const bool first = order.build == day_.first.number && order.machine < day_.places;
-    if (first) return boot(order.machine, false);
-    loop_.in(drawn(day_.boot_least, day_.boot_most), [this, id = order.machine] { boot(id, true); });
+    if (first)
+      return boot(order.machine, false);
+    loop_.in(drawn(day_.boot_least, day_.boot_most),
+             [this, id = order.machine] { boot(id, true); });
     return;
   }
   auto at = places_.find(order.machine);
-  if (at == places_.end()) return;
+  if (at == places_.end())
+    return;
   at->second.ordered_down = true;
-  if (order.kind == rollout::OrderKind::drain) return list_->phase(at->second.name, EndpointPhase::draining);
+  if (order.kind == rollout::OrderKind::drain)
+    return list_->phase(at->second.name, EndpointPhase::draining);
   down(order.machine, false);
   places_.erase(order.machine);
-  if (controller_) controller_->core().machine_gone(order.machine, loop_.now());
+  if (controller_)
+    controller_->core().machine_gone(order.machine, loop_.now());
 }
 
 void World::enlist(int machine) {
@@ -135,7 +154,8 @@
 
 void World::boot(int machine, bool cold) {
   auto at = places_.find(machine);
-  if (at == places_.end() || nodes_->runs(at->second.name)) return;
+  if (at == places_.end() || nodes_->runs(at->second.name))
+    return;
   const Place& place = at->second;
   standin::NodeSpec spec;
   spec.name = place.name;
@@ -146,10 +166,12 @@
   spec.build = build(place.build);
   spec.cold = cold;
   for (const Offer& offer : day_.offers)
-    if (offer.build.number == place.build) spec.needs = offer.needs;
+    if (offer.build.number == place.build)
+      spec.needs = offer.needs;
   nodes_->start(spec);
   enlist(machine);
-  if (!controller_) return;
+  if (!controller_)
+    return;
   controller_->core().machine_up(machine, loop_.now());
   controller_->pull();
 }
@@ -162,7 +184,8 @@
     nodes_->silence(place.name);
     loop_.in(day_.silent_after, [this, machine, name = place.name] {
       auto at = places_.find(machine);
-      if (at == places_.end() || !at->second.listed) list_->remove(name);
+      if (at == places_.end() || !at->second.listed)
+        list_->remove(name);
     });
   } else {
     nodes_->kill(place.name);
@@ -173,25 +196,29 @@
 std::vector<int> World::pick(double part) {
   std::vector<int> running;
   for (auto& [id, place] : places_)
-    if (nodes_->runs(place.name) && !place.ordered_down) running.push_back(id);
+    if (nodes_->runs(place.name) && !place.ordered_down)
+      running.push_back(id);
   std::shuffle(running.begin(), running.end(), random_);
-  const std::size_t many = std::min(
-      running.size(),
-      std::max<std::size_t>(1, static_cast<std::size_t>(part * static_cast<double>(running.size()) + 0.5)));
+  const std::size_t many =
+      std::min(running.size(),
+               std::max<std::size_t>(
+                   1, static_cast<std::size_t>(part * static_cast<double>(running.size()) + 0.5)));
   running.resize(many);
   return running;
 }
 
-void World::each(const std::vector<int>& machines, const std::function<void(const std::string&)>& act) {
+void World::each(const std::vector<int>& machines,
+                 const std::function<void(const std::string&)>& act) {
   for (int id : machines) {
     auto at = places_.find(id);
-    if (at != places_.end()) act(at->second.name);
+    if (at != places_.end())
+      act(at->second.name);
   }
 }
 
 void World::begin_trouble(const Trouble& trouble) {
   const TimePoint end = loop_.now() + trouble.lasts;
-  // Acts on some nodes now, and undoes it at the end.
+  // Acts on some endpoints now, and undoes it at the end.
   auto on_nodes = [&](auto act, auto undo) {
     auto chosen = pick(trouble.part);
     each(chosen, act);
@@ -203,10 +230,12 @@
     case Kind::vanish:
       for (int id : pick(trouble.part)) {
         down(id, trouble.kind == Kind::vanish);
-        if (controller_) controller_->core().machine_gone(id, loop_.now());
+        if (controller_)
+          controller_->core().machine_gone(id, loop_.now());
         loop_.at(end, [this, id] {
           auto at = places_.find(id);
-          if (at == places_.end()) return;
+          if (at == places_.end())
+            return;
           nodes_->kill(at->second.name);
           boot(id, true);
         });
@@ -227,8 +256,9 @@
         loop_.in(every * k, [this, chosen, size, k] {
           each(chosen, [&](const std::string& n) { nodes_->neighbour(n, k % 2 == 0 ? size : 0); });
         });
-      loop_.at(end,
-               [this, chosen] { each(chosen, [this](const std::string& n) { nodes_->neighbour(n, 0); }); });
+      loop_.at(end, [this, chosen] {
+        each(chosen, [this](const std::string& n) { nodes_->neighbour(n, 0); });
+      });
       break;
     }
     case Kind::probe_fail:
@@ -264,25 +294,31 @@
       loop_.at(end, [this] { start_controller(); });
       break;
     case Kind::watch_breaks:
-      for (Duration at = seconds(std::max(0.02, size)); at < trouble.lasts; at += seconds(std::max(0.02, size)))
+      for (Duration at = seconds(std::max(0.02, size)); at < trouble.lasts;
+           at += seconds(std::max(0.02, size)))
         loop_.in(at, [this] {
-          if (controller_) controller_->break_connections();
+          if (controller_)
+            controller_->break_connections();
         });
       break;
     case Kind::controller_down:
-      if (!controller_) return;
-      if (trouble.how == "stale") controller_->told_after(day_.news_most + seconds(size));
+      if (!controller_)
+        return;
+      if (trouble.how == "stale")
+        controller_->told_after(day_.news_most + seconds(size));
       else
         controller_->trouble(
-            trouble.how == "silence" ? controller::Trouble::silent : controller::Trouble::errors, size);
+            trouble.how == "silence" ? controller::Trouble::silent : controller::Trouble::errors,
+            size);
       loop_.at(end, [this] {
-        if (!controller_) return;
+        if (!controller_)
+          return;
         controller_->told_after(drawn(day_.news_least, day_.news_most));
         controller_->trouble(controller::Trouble::none, 0);
       });
       break;
     default:
-      return;  // the clients' or the umpires'
+      return;  // the clients' or the proxies'
   }
   log_.info("trouble", {{"is", to_string(trouble.kind)}});
 }
@@ -293,7 +329,8 @@
   controller_->told_after(drawn(day_.news_least, day_.news_most));
   for (const Trouble& trouble : day_.troubles)
     loop_.at(from + trouble.at, [this, &trouble] { begin_trouble(trouble); });
-  for (const Offer& offer : day_.offers) loop_.at(from + offer.at, [this, &offer] { this->offer(offer); });
+  for (const Offer& offer : day_.offers)
+    loop_.at(from + offer.at, [this, &offer] { this->offer(offer); });
   watch_changes();
   share_harm();
 }
@@ -304,7 +341,8 @@
     loop_.in(100ms, [this, &offer] { this->offer(offer); });
     return;
   }
-  if (!offer.plan.empty()) controller_->runner()->take_plan(offer.plan, "plan", "day");
+  if (!offer.plan.empty())
+    controller_->runner()->take_plan(offer.plan, "plan", "day");
   controller_->offer(offer.build.number, "day");
 }
 
@@ -314,14 +352,15 @@
   for (const Offer& offer : day_.offers)
     if (offer.build.flaw == machine::Flaw::shared)
       factor += (offer.build.strength - 1) * nodes_->share_of_traffic(offer.build.number, 1s);
-  // A database that is busy with steps keeps all nodes waiting, by the part of the last tenth of a second in
-  // which it was.
+  // A database that is busy with steps keeps all endpoints waiting, by the part of the last tenth
+  // of a second in which it was.
   if (database_) {
     busy_.push_back(database_->busy());
-    if (busy_.size() > 10) busy_.pop_front();
-    const double part =
-        std::min(1.0, static_cast<double>((busy_.back() - busy_.front()).count()) /
-                          (10000.0 * static_cast<double>(std::max<std::size_t>(1, busy_.size() - 1))));
+    if (busy_.size() > 10)
+      busy_.pop_front();
+    const double part = std::min(
+        1.0, static_cast<double>((busy_.back() - busy_.front()).count()) /
+                 (10000.0 * static_cast<double>(std::max<std::size_t>(1, busy_.size() - 1))));
     factor *= 1 + (day_.batch_slows - 1) * part;
   }
   nodes_->harm_all(factor);
@@ -330,12 +369,13 @@
 
 void World::watch_changes() {
   loop_.in(50ms, [this] { watch_changes(); });
-  if (!controller_) return;
+  if (!controller_)
+    return;
   const auto& changes = controller_->core().changes();
   for (; changes_ < changes.size(); ++changes_) {
     const rollout::Change& change = changes[changes_];
-    record::release_moved(told_, change.at, change.build, change.stage, rollout::to_string(change.phase),
-                          change.why);
+    record::release_moved(told_, change.at, change.build, change.stage,
+                          rollout::to_string(change.phase), change.why);
   }
 }
 
@@ -343,14 +383,16 @@
   record::told_list(told_, loop_.now(), proxy, news.entries, news.whole);
 }
 
-// As the umpire takes it: the newest release that has begun.
+// As the proxy takes it: the newest release that has begun.
 void World::told_news(const std::string& proxy, const objects::Snapshot& what) {
   const releases::Release release = releases::decoded(what.full);
   const releases::Status& status = release.status;
   int& newest = newest_told_[proxy];
-  if (status.phase == "pending" || release.build < newest) return;
+  if (status.phase == "pending" || release.build < newest)
+    return;
   newest = release.build;
-  record::told_news(told_, loop_.now(), proxy, release.build, status.stage, status.phase, status.cap);
+  record::told_news(told_, loop_.now(), proxy, release.build, status.stage, status.phase,
+                    status.cap);
 }
 
 }  // namespace robinhoist::day
--- a/src/day/world.h
+++ b/src/day/world.h
@@ -1,5 +1,5 @@
-// All of a day that is not umpires or clients, on one loop: the list, the controller, and stand-in nodes that
-// boot, break and come back.
+// All of a day that is not proxies or clients, on one loop: the list, the controller, and stand-in
+// servers that boot, break and come back.
 #pragma once
 #include <deque>
 #include <random>
@@ -7,8 +7,8 @@
 
 #include "controller/controller.h"
 #include "day/notation.h"
-#include "registry/service.h"
 #include "record/record.h"
+#include "registry/service.h"
 #include "standin/database.h"
 #include "standin/nodes.h"
 #include "time/time_types.h"
@@ -17,9 +17,11 @@
 
 class World {
  public:
-  // The database, where the day has one, runs on a loop of its own: a long step must not stop the nodes.
-  World(net::Loop& loop, net::Loop& database_loop, const Day& day, unsigned salt, const log::Log& log,
-        record::Writer& nodes, record::Writer& told, const std::string& folder, record::Writer* database);
+  // The database, where the day has one, runs on a loop of its own: a long step must not stop the
+  // endpoints.
+  World(net::Loop& loop, net::Loop& database_loop, const Day& day, unsigned salt,
+        const log::Log& log, record::Writer& nodes, record::Writer& told, const std::string& folder,
+        record::Writer* database);
   ~World();
 
   int list_port() const { return list_->port(); }
@@ -67,15 +69,15 @@
   std::map<int, Place> places_{};
   std::map<int, double> speeds_{};  // by place
   std::size_t changes_ = 0;
-  std::deque<Duration> busy_{};  // of the database, the last few readings
-  std::map<std::string, int> newest_told_{};  // build, by umpire
+  std::deque<Duration> busy_{};               // of the database, the last few readings
+  std::map<std::string, int> newest_told_{};  // build, by proxy
   std::string cut_zone_{}, slow_zone_{};
   Duration link_by_{};
   double link_lost_ = 0;
   TimePoint from_{};
 };
 
-// The umpire's zone follows from its number.
+// The proxy's zone follows from its number.
 std::string zone_of(const Day& day, int proxy);
 
 }  // namespace robinhoist::day
--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -17,16 +17,21 @@
   request_class.deadline = form.span("expiry", 1ms, 10min);
   request_class.priority_weight = form.number("revenue", 0, 1e6, 1.0);
   request_class.late_weight_share = form.number("late-share", 0, 1, 0.0);
-  request_class.idempotency = form.enumerator<Idempotency>(
-      "effect",
-      {{"inquiry", Idempotency::idempotent}, {"referenced", Idempotency::idempotent_with_key}, {"once-only", Idempotency::non_idempotent}});
+  request_class.idempotency =
+      form.enumerator<Idempotency>("effect", {{"inquiry", Idempotency::idempotent},
+                                              {"referenced", Idempotency::idempotent_with_key},
+                                              {"once-only", Idempotency::non_idempotent}});
   request_class.dedup_scope = form.enumerator<DedupScope>(
-      "group", {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}}, DedupScope::all);
+      "group", {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}},
+      DedupScope::all);
   request_class.dedup_window = form.span("memory", 0ms, 24h, 0ms);
   request_class.stream = false;
-  if (request_class.deadline < request_class.latency_objective) form.problem("expiry", "is shorter than the SLA time");
-  if (request_class.idempotency == Idempotency::idempotent_with_key && request_class.dedup_window == Duration{})
-    form.problem("memory is missing: a referenced product needs the time for which nodes drop its repeats");
+  if (request_class.deadline < request_class.latency_objective)
+    form.problem("expiry", "is shorter than the SLA time");
+  if (request_class.idempotency == Idempotency::idempotent_with_key &&
+      request_class.dedup_window == Duration{})
+    form.problem(
+        "memory is missing: a referenced product needs the time for which nodes drop its repeats");
   if (request_class.idempotency != Idempotency::idempotent_with_key && form.has("memory"))
     form.problem("memory", "has a meaning for a referenced product only");
   for (Form& match : form.each("match", 1)) {
@@ -35,8 +40,10 @@
       one.prefix = true;
       one.path.pop_back();
     }
-    if (one.path.empty() || one.path[0] != '/') match.problem("the path must begin with /");
-    if (match.own_words() != 2) match.problem("holds more than a method and a path");
+    if (one.path.empty() || one.path[0] != '/')
+      match.problem("the path must begin with /");
+    if (match.own_words() != 2)
+      match.problem("holds more than a method and a path");
     match.finish();
     named.matches.push_back(one);
   }
@@ -52,7 +59,8 @@
   to.fall_window = form.span("fall-window", 1ms, 10min);
   to.window = form.span("exposure-window", 1ms, 10min);
   to.free = form.number("exposure-free", 0, 1000);
-  to.by_request_class = form.enumerator<bool>("exposure-counts", {{"all", false}, {"each-product", true}}, false);
+  to.by_request_class =
+      form.enumerator<bool>("exposure-counts", {{"all", false}, {"each-product", true}}, false);
   to.one_way = form.truth("one-way", false);
   to.safe_only_stages = form.whole("safe-only-waves", 0, 100, 0);
   to.max_attempts = form.whole("max-submissions", 1, 100, 5);
@@ -69,13 +77,16 @@
   if (!rollout.stages.empty()) {
     if (!std::is_sorted(rollout.stages.begin(), rollout.stages.end()))
       form.problem("waves", "must not fall from one wave to the next");
-    if (rollout.stages.back() < 1) form.problem("waves", "the last must be 1, the whole fleet");
+    if (rollout.stages.back() < 1)
+      form.problem("waves", "the last must be 1, the whole fleet");
   }
   if (rollout.stages.size() != rollout.caps.size())
     form.problem("caps", std::to_string(rollout.caps.size()) + " given for " +
                              std::to_string(rollout.stages.size()) + " waves");
-  rollout.promotion_mode = form.enumerator<PromotionMode>(
-      "gate", {{"first-vote", PromotionMode::first_vote}, {"count", PromotionMode::count}, {"clock", PromotionMode::clock}});
+  rollout.promotion_mode =
+      form.enumerator<PromotionMode>("gate", {{"first-vote", PromotionMode::first_vote},
+                                              {"count", PromotionMode::count},
+                                              {"clock", PromotionMode::clock}});
   rollout.bake = form.span("bake", 0ms, 24h);
   rollout.step = form.span("step", 0ms, 24h, 0ms);
   if (rollout.promotion_mode == PromotionMode::clock && rollout.step == Duration{})
@@ -104,7 +115,8 @@
   std::set<std::string> names;
   for (Form& request_class : form.each("product", 1)) {
     to.request_classes.push_back(read_request_class(request_class));
-    if (!names.insert(to.request_classes.back().name).second) request_class.problem("a second product of that name");
+    if (!names.insert(to.request_classes.back().name).second)
+      request_class.problem("a second product of that name");
   }
   names.clear();
   for (Form& tenant : form.each("tenant")) {
@@ -113,11 +125,13 @@
     named.tenant.share = tenant.number("share", 0, 1, 1.0);
     named.tenant.allowance_per_s = tenant.number("allowance", 0, 1e9);
     tenant.finish();
-    if (!names.insert(named.name).second) tenant.problem("a second tenant of that name");
+    if (!names.insert(named.name).second)
+      tenant.problem("a second tenant of that name");
     to.tenants.push_back(named);
   }
   Form zones = form.sub("zones");
-  for (std::size_t i = 0; i < zones.own_words(); ++i) to.zones.push_back(zones.own_word(i, "a zone"));
+  for (std::size_t i = 0; i < zones.own_words(); ++i)
+    to.zones.push_back(zones.own_word(i, "a zone"));
   if (to.zones.empty()) {
     form.problem("zones", "names none");
     to.zones.push_back("");
@@ -125,8 +139,8 @@
   to.proxies = form.whole("umpires", 1, 100000);
   to.sized = form.truth("sized-nodes", false);
   to.over_quota_weight = form.number("over-share-revenue", 0, 1, 1.0);
-  to.reports = form.enumerator<Reports>("load-reports", {{"none", Reports::none}, {"answers", Reports::answers}},
-                                  Reports::answers);
+  to.reports = form.enumerator<Reports>(
+      "load-reports", {{"none", Reports::none}, {"answers", Reports::answers}}, Reports::answers);
   read_rules(form.sub("rules"), to);
   read_rollout(form.sub("rollout"), to);
   form.finish();
@@ -144,13 +158,15 @@
 
 int Deployment::request_class(const std::string& name) const {
   for (std::size_t p = 0; p < request_classes.size(); ++p)
-    if (request_classes[p].name == name) return static_cast<int>(p);
+    if (request_classes[p].name == name)
+      return static_cast<int>(p);
   return -1;
 }
 
 int Deployment::tenant(std::string_view name) const {
   for (std::size_t t = 0; t < tenants.size(); ++t)
-    if (tenants[t].name == name) return static_cast<int>(t);
+    if (tenants[t].name == name)
+      return static_cast<int>(t);
   return -1;
 }
 
@@ -176,7 +192,8 @@
 }
 
 CanaryQuotaSettings canary_quota_settings(const Deployment& d) {
-  return {d.window, d.free, d.by_request_class, d.one_way, d.rollout.in_place, d.safe_only_stages, d.rollout.caps};
+  return {d.window,           d.free,        d.by_request_class, d.one_way, d.rollout.in_place,
+          d.safe_only_stages, d.rollout.caps};
 }
 
 AnalysisSettings analysis_settings(const Deployment& d) {
@@ -189,17 +206,20 @@
           d.rollout.votes_per_s,
           d.wrong_answer_report_share,
           d.proxies,
-          d.rollout.promotion_mode == PromotionMode::clock        ? 0
-          : d.rollout.promotion_mode == PromotionMode::first_vote ? 1
-                                               : votes(d.rollout.votes_to_promote),
+          d.rollout.promotion_mode == PromotionMode::clock ? 0
+          : d.rollout.promotion_mode == PromotionMode::first_vote
+              ? 1
+              : votes(d.rollout.votes_to_promote),
           d.rollout.promotion_mode == PromotionMode::clock ? votes(d.rollout.votes_to_hold) : 0,
           votes(d.rollout.votes_to_roll_back)};
 }
 
 RequestSettings request_settings(const Deployment& d, Duration tick) {
   RequestSettings to{};
-  for (auto& request_class : d.request_classes) to.request_classes.push_back(request_class.request_class);
-  for (auto& tenant : d.tenants) to.tenants.push_back(tenant.tenant);
+  for (auto& request_class : d.request_classes)
+    to.request_classes.push_back(request_class.request_class);
+  for (auto& tenant : d.tenants)
+    to.tenants.push_back(tenant.tenant);
   to.max_attempts = d.max_attempts;
   to.proxies = d.proxies;
   to.hedging = d.hedging;
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -1,5 +1,6 @@
-// What umpires, controller and a played day of one deployment have in common: products, tenants, zones, the
-// figures of the rules and how releases come. Read from S-expressions, checked whole.
+// What proxies, controller and a played day of one deployment have in common: request classes,
+// tenants, zones, the figures of the rules and how releases come. Read from S-expressions, checked
+// whole.
 #pragma once
 #include <string>
 #include <vector>
@@ -11,7 +12,8 @@
 
 namespace robinhoist::deployment {
 
-// Which requests are txns of a product: method, and a path or, with a star at its end, the start of one.
+// Which requests are requests of a request class: method, and a path or, with a star at its end,
+// the start of one.
 struct Match {
   std::string method, path;
   bool prefix;
@@ -46,7 +48,7 @@
   Reports reports = Reports::none;
   rollout::Settings rollout{};
 
-  // -1: no product takes it.
+  // -1: no request class takes it.
   int match_request_class(std::string_view method, std::string_view path) const;
   int request_class(const std::string& name) const;
   int tenant(std::string_view name) const;  // -1: unknown
@@ -56,7 +58,7 @@
 // Reads the keys of a (deployment ...) form; problems are left with the form.
 Deployment read(settings::Form form);
 
-// The module's settings for one umpire of the deployment.
+// The module's settings for one proxy of the deployment.
 EndpointSettings endpoint_settings(const Deployment& deployment, int zone, int number);
 CanaryQuotaSettings canary_quota_settings(const Deployment& deployment);
 AnalysisSettings analysis_settings(const Deployment& deployment);
--- a/src/emulator/engine.h
+++ b/src/emulator/engine.h
@@ -1,5 +1,5 @@
-// Simulated time: tasks in the order of their times, ties in the order in which they were planned, so that
-// the same run is the same to the bit. One engine is one thread's.
+// Simulated time: tasks in the order of their times, ties in the order in which they were planned,
+// so that the same run is the same to the bit. One engine is one thread's.
 #pragma once
 #include <algorithm>
 #include <chrono>
@@ -24,7 +24,8 @@
   Engine() = default;
   ~Engine() {
     for (Slot& slot : slots_)
-      if (slot.run) slot.drop(slot.store);
+      if (slot.run)
+        slot.drop(slot.store);
   }
   Engine(const Engine&) = delete;
   Engine& operator=(const Engine&) = delete;
@@ -60,7 +61,8 @@
   }
 
   void cancel(Id& id) {
-    if (id.slot != none && slots_[id.slot].use == id.use && slots_[id.slot].run) release(id.slot);
+    if (id.slot != none && slots_[id.slot].use == id.use && slots_[id.slot].run)
+      release(id.slot);
     id = {};
   }
 
@@ -68,24 +70,28 @@
   bool step(TimePoint until) {
     while (!heap_.empty()) {
       const Entry next = heap_.front();
-      if (next.at > until) return false;
+      if (next.at > until)
+        return false;
       std::pop_heap(heap_.begin(), heap_.end(), later);
       heap_.pop_back();
       Slot& slot = slots_[next.slot];
-      if (slot.use != next.use || !slot.run) continue;  // cancelled
+      if (slot.use != next.use || !slot.run)
+        continue;  // cancelled
       now_ = next.at;
       ++events_;
       // What it plans may move slots_ on, but a deque's elements stay where they are.
       running_ = next.slot;
       slot.run(slot.store);
       running_ = none;
-      if (slot.use == next.use) release(next.slot);
+      if (slot.use == next.use)
+        release(next.slot);
       return true;
     }
     return false;
   }
   void run(TimePoint until) {
-    while (step(until)) {}
+    while (step(until)) {
+    }
     now_ = std::max(now_, until);
   }
 
@@ -103,9 +109,12 @@
     std::uint64_t order;
     std::uint32_t slot, use;
   };
-  static bool later(const Entry& a, const Entry& b) { return a.at != b.at ? a.at > b.at : a.order > b.order; }
+  static bool later(const Entry& a, const Entry& b) {
+    return a.at != b.at ? a.at > b.at : a.order > b.order;
+  }
   void release(std::uint32_t index) {
-    if (index == running_) return;  // it ends by itself
+    if (index == running_)
+      return;  // it ends by itself
     Slot& slot = slots_[index];
     slot.drop(slot.store);
     slot.run = nullptr;
--- a/src/emulator/fleet.h
+++ b/src/emulator/fleet.h
@@ -1,5 +1,5 @@
-// The servers in simulated time: the machine model behind a network, as the stand-ins have it behind sockets.
-// Writes the same lines of record.
+// The servers in simulated time: the machine model behind a network, as the stand-ins have it
+// behind sockets. Writes the same lines of record.
 #pragma once
 #include <functional>
 #include <map>
@@ -16,9 +16,9 @@
 
 namespace robinhoist::emulator {
 
-// One submission on its way. Ids are indices; names are made for the record alone.
+// One attempt on its way. Ids are indices; names are made for the record alone.
 struct Sent {
-  std::uint64_t id = 0;  // of the umpires' book of submissions
+  std::uint64_t id = 0;  // of the proxies' book of attempts
   int proxy = 0, request_class = 0, attempt = 0;
   long request_id = 0;
   std::int64_t try_id = 0;
@@ -45,20 +45,20 @@
 class Fleet {
  public:
   using Answered = std::function<void(std::uint64_t attempt, const Answer& answer)>;
-  Fleet(Engine& engine, const deployment::Deployment& deployment, Duration memory, machine::Cancelled cancelled,
-        unsigned salt, record::Writer* record);
+  Fleet(Engine& engine, const deployment::Deployment& deployment, Duration memory,
+        machine::Cancelled cancelled, unsigned salt, record::Writer* record);
 
   int start(const ServerSpec& spec);  // its index, never used again
   void kill(int server);
   bool runs(int server) const { return servers_[server]->runs; }
   const ServerSpec& spec(int server) const { return servers_[server]->spec; }
   WallTime started(int server) const { return servers_[server]->started; }  // 0: long ago
-  // Arrives there now. The answer leaves through `answered`, the way back not included; a box that is gone is
-  // a matter for whoever connects.
+  // Arrives there now. The answer leaves through `answered`, the way back not included; a server
+  // that is gone is a matter for whoever connects.
   void arrive(int server, const Sent& sent);
   // The connection that carried it is closed.
   void gone(int server, std::uint64_t id);
-  // Connections that a box holds, and the most that it takes; 0: any number.
+  // Connections that a server holds, and the most that it takes; 0: any number.
   int& connections(int server) { return servers_[server]->connections; }
   int most_connections(int server) const { return servers_[server]->most; }
 
@@ -72,7 +72,7 @@
   double share_of_traffic(int build, Duration window);
   int size() const { return static_cast<int>(servers_.size()); }
 
-  // The way between an umpire and a zone.
+  // The way between an proxy and a zone.
   struct Way {
     bool cut = false;
     Duration by{};
@@ -80,7 +80,7 @@
   };
   std::function<Way(int proxy, int zone)> way{};
   Answered answered{};
-  // All that were out at a box that was killed.
+  // All that were out at a server that was killed.
   std::function<void(int server)> killed{};
 
  private:
@@ -91,13 +91,13 @@
   };
   struct Server {
     Server(const ServerSpec& given, unsigned salt, TimePoint started, machine::Marks* marks,
-        const machine::SharedHarm* harm)
+           const machine::SharedHarm* harm)
         : spec(given), machine(given.capacity, given.build, salt, started, marks, harm) {}
     ServerSpec spec;
     machine::Machine machine;
     WallTime started{};
     std::unordered_map<std::int64_t, Open> open{};              // by work
-    std::unordered_map<std::uint64_t, std::int64_t> work_of{};  // by submission
+    std::unordered_map<std::uint64_t, std::int64_t> work_of{};  // by attempt
     Engine::Id timer{};
     int connections = 0, most = 0;
     Duration handshake{};
--- a/src/emulator/network.h
+++ b/src/emulator/network.h
@@ -1,5 +1,5 @@
-// What the network does to a message: a delay with jitter. Cuts, slow links and losses are of the way between
-// an umpire and a zone, as in a day on sockets; they act where a box takes a request.
+// What the network does to a message: a delay with jitter. Cuts, slow links and losses are of the
+// way between an proxy and a zone, as in a day on sockets; they act where a server takes a request.
 #pragma once
 #include <random>
 
@@ -10,7 +10,7 @@
 
 struct NetworkSettings {
   Duration delay = std::chrono::microseconds(60);  // one way, as over loopback
-  double jitter = 0.3;                         // of the delay, up and down
+  double jitter = 0.3;                             // of the delay, up and down
 };
 
 class Network {
@@ -19,7 +19,8 @@
   Duration way() {
     const double factor =
         1 + settings_.jitter * (2 * std::uniform_real_distribution<double>(0, 1)(random_) - 1);
-    return Duration(static_cast<std::int64_t>(static_cast<double>(settings_.delay.count()) * factor));
+    return Duration(
+        static_cast<std::int64_t>(static_cast<double>(settings_.delay.count()) * factor));
   }
 
  private:
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -1,5 +1,5 @@
-// Who decides for an umpire in simulated time: the module, or a textbook baseline to compare it with.
-// Baselines keep no rule but the cap, and are no part of the product.
+// Who decides for an proxy in simulated time: the module, or a textbook baseline to compare it
+// with. Baselines keep no rule but the cap, and are no part of the request class.
 #pragma once
 #include <memory>
 #include <string>
@@ -12,10 +12,11 @@
 class Policy {
  public:
   virtual ~Policy() = default;
-  virtual void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, TimePoint now) = 0;
+  virtual void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries,
+                                 TimePoint now) = 0;
   virtual void request_arrived(const RequestInfo& request, TimePoint now) = 0;
-  virtual void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded, const Load& load,
-                                TimePoint now) = 0;
+  virtual void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded,
+                             const Load& load, TimePoint now) = 0;
   virtual void client_disconnected(int request_id) = 0;
   virtual void release_updated(const ReleaseUpdate& release, TimePoint now) = 0;
   virtual void vote_answered(Outcome outcome, TimePoint now) = 0;
@@ -32,12 +33,14 @@
   Votes votes = Votes::threshold;
 };
 
-// "module", or a baseline such as "least-requests", "random/never", "round-robin/always"; nothing when it is
-// none.
+// "module", or a baseline such as "least-requests", "random/never", "round-robin/always"; nothing
+// when it is none.
 std::optional<PolicySpec> policy_of(const std::string& word);
 
-std::unique_ptr<Policy> make_policy(const PolicySpec& spec, unsigned salt, const EndpointSettings& endpoints,
-                                    const CanaryQuotaSettings& canary_quota, const AnalysisSettings& analysis,
+std::unique_ptr<Policy> make_policy(const PolicySpec& spec, unsigned salt,
+                                    const EndpointSettings& endpoints,
+                                    const CanaryQuotaSettings& canary_quota,
+                                    const AnalysisSettings& analysis,
                                     const RequestSettings& requests);
 
 }  // namespace robinhoist::emulator
