--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -20,9 +20,13 @@
 constexpr Duration front_refused = 1ms;  // a client learns so that nobody listens
 constexpr Duration over_most = 30s;      // after the day's end
 
-Duration seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
+Duration seconds(double s) {
+  return Duration(static_cast<std::int64_t>(s * 1e6));
+}
 
-std::string name_of(int proxy) { return "umpire-" + std::to_string(proxy); }
+std::string name_of(int proxy) {
+  return "umpire-" + std::to_string(proxy);
+}
 
 class Run {
  public:
@@ -36,7 +40,7 @@
     int place = 0, build = 0, server = -1;
     bool listed = false, ordered_down = false;
   };
-  struct Told {  // what a process of the list or the controller has for each umpire
+  struct Told {  // what a process of the list or the controller has for each proxy
     bool pending = false;
   };
   struct Open {
@@ -70,7 +74,7 @@
   void send(const load::Try& one);
   void answer(std::int64_t id, const FinalAnswer& how);
   void ended(load::Try one, load::End end, const FinalAnswer& how);
-  // Umpires and troubles.
+  // Proxies and troubles.
   void start_proxy(int u);
   void kill_proxy(int u);
   void begin(const Trouble& trouble);
@@ -143,25 +147,32 @@
 
 Run::Run(const day::Day& day, long seed, const std::string& folder, const NetworkSettings& network,
          const PolicySpec& policy)
-    : day_(day), nodes_(writer(folder, "nodes.jsonl")), told_(writer(folder, "told.jsonl")),
-      clients_(writer(folder, "clients.jsonl")), lives_(writer(folder, "umpires.jsonl")),
-      random_(static_cast<unsigned>(seed * 2 + 1)), network_(network, static_cast<unsigned>(seed * 3 + 7)),
+    : day_(day),
+      nodes_(writer(folder, "nodes.jsonl")),
+      told_(writer(folder, "told.jsonl")),
+      clients_(writer(folder, "clients.jsonl")),
+      lives_(writer(folder, "umpires.jsonl")),
+      random_(static_cast<unsigned>(seed * 2 + 1)),
+      network_(network, static_cast<unsigned>(seed * 3 + 7)),
       fleet_(
           engine_, day.deployment,
           [&] {
             Duration most{};
-            for (auto& request_class : day.deployment.request_classes) most = std::max(most, request_class.request_class.dedup_window);
+            for (auto& request_class : day.deployment.request_classes)
+              most = std::max(most, request_class.request_class.dedup_window);
             return most;
           }(),
           day.cancelled, static_cast<unsigned>(seed * 2 + 2), nodes_.get()),
       load_(day.load, static_cast<unsigned>(seed * 2 + 101)),
-      members_({day.deployment.proxies, lease, memory}), from_(TimePoint(settles_in)) {
+      members_({day.deployment.proxies, lease, memory}),
+      from_(TimePoint(settles_in)) {
   const auto& d = day.deployment;
   fleet_.answered = [this](std::uint64_t id, const Answer& answer) {
     const int u = static_cast<int>(id >> 40);
     engine_.in(network_.way(), [this, u, id, answer, life = proxies_[u]->life()] {
       SimulatedProxy& proxy = *proxies_[u];
-      if (!proxy.up() || proxy.life() != life) return;
+      if (!proxy.up() || proxy.life() != life)
+        return;
       const Outcome outcome = answer.is == Answer::Is::well     ? Outcome::ok
                               : answer.is == Answer::Is::failed ? Outcome::error
                               : answer.is == Answer::Is::full   ? Outcome::rejected
@@ -170,13 +181,15 @@
     });
   };
   fleet_.killed = [this](int server) {
-    for (auto& proxy : proxies_) proxy->server_killed(server);
+    for (auto& proxy : proxies_)
+      proxy->server_killed(server);
   };
   fleet_.way = [this](int proxy, int zone) {
     Fleet::Way way;
     const std::string &from = day_.deployment.zones[proxy % day_.deployment.zones.size()],
                       &to = day_.deployment.zones[zone];
-    if (from == to) return way;
+    if (from == to)
+      return way;
     way.cut = !cut_zone_.empty() && (from == cut_zone_ || to == cut_zone_);
     if (!slow_zone_.empty() && (from == slow_zone_ || to == slow_zone_)) {
       way.by = link_by_;
@@ -184,7 +197,8 @@
     }
     return way;
   };
-  for (int place = 0; place < day.places; ++place) speeds_.push_back(1 + day.speed_spread * (2 * uniform_sample() - 1));
+  for (int place = 0; place < day.places; ++place)
+    speeds_.push_back(1 + day.speed_spread * (2 * uniform_sample() - 1));
   for (int u = 0; u < d.proxies; ++u) {
     SimulatedProxySettings settings;
     settings.number = u;
@@ -198,12 +212,15 @@
     ways.vote = [this](int from, int build, int stage, Verdict verdict) {
       vote(from, build, stage, verdict);
     };
-    ways.refresh = [this](int from) { engine_.in(2 * network_.way(), [this, from] { tell_whole(from); }); };
+    ways.refresh = [this](int from) {
+      engine_.in(2 * network_.way(), [this, from] { tell_whole(from); });
+    };
     ways.server_of = [this](const std::string& name) {
       auto at = server_of_.find(name);
       return at == server_of_.end() ? -1 : at->second;
     };
-    proxies_.push_back(std::make_unique<SimulatedProxy>(engine_, d, settings, fleet_, network_, std::move(ways)));
+    proxies_.push_back(
+        std::make_unique<SimulatedProxy>(engine_, d, settings, fleet_, network_, std::move(ways)));
     up_.push_back(false);
   }
 }
@@ -212,27 +229,33 @@
 
 const machine::Build& Run::build(int number) const {
   for (const day::Offer& offer : day_.offers)
-    if (offer.build.number == number) return offer.build;
+    if (offer.build.number == number)
+      return offer.build;
   return day_.first;
 }
 
 void Run::order(const rollout::Order& order) {
   if (order.kind == rollout::OrderKind::start) {
     places_[order.machine] = {"node-" + std::to_string(order.machine), order.place, order.build};
-    if (order.build == day_.first.number && order.machine < day_.places) return boot(order.machine, false);
-    engine_.in(drawn(day_.boot_least, day_.boot_most), [this, id = order.machine] { boot(id, true); });
+    if (order.build == day_.first.number && order.machine < day_.places)
+      return boot(order.machine, false);
+    engine_.in(drawn(day_.boot_least, day_.boot_most),
+               [this, id = order.machine] { boot(id, true); });
     return;
   }
   auto at = places_.find(order.machine);
-  if (at == places_.end()) return;
+  if (at == places_.end())
+    return;
   at->second.ordered_down = true;
   if (order.kind == rollout::OrderKind::drain) {
-    if (at->second.listed) enlist(order.machine);
+    if (at->second.listed)
+      enlist(order.machine);
     return;
   }
   down(order.machine, false);
   places_.erase(order.machine);
-  if (core_) core_->machine_gone(order.machine, engine_.now());
+  if (core_)
+    core_->machine_gone(order.machine, engine_.now());
 }
 
 void Run::enlist(int machine) {
@@ -251,7 +274,8 @@
 
 void Run::boot(int machine, bool cold) {
   auto at = places_.find(machine);
-  if (at == places_.end() || (at->second.server >= 0 && fleet_.runs(at->second.server))) return;
+  if (at == places_.end() || (at->second.server >= 0 && fleet_.runs(at->second.server)))
+    return;
   Place& place = at->second;
   ServerSpec spec;
   spec.name = place.name;
@@ -264,7 +288,8 @@
   place.server = fleet_.start(spec);
   server_of_[place.name] = place.server;
   enlist(machine);
-  if (!core_) return;
+  if (!core_)
+    return;
   core_->machine_up(machine, engine_.now());
   pull_controller();
 }
@@ -280,21 +305,24 @@
       auto at = places_.find(machine);
       registry::Endpoint gone;
       gone.name = name;
-      if (at == places_.end() || !at->second.listed) list_later(gone, true);
+      if (at == places_.end() || !at->second.listed)
+        list_later(gone, true);
     });
     return;
   }
-  if (place.server >= 0) fleet_.kill(place.server);
+  if (place.server >= 0)
+    fleet_.kill(place.server);
   list_later(entry, true);
 }
 
 std::vector<int> Run::pick(double part) {
   std::vector<int> running;
   for (auto& [id, place] : places_)
-    if (place.server >= 0 && fleet_.runs(place.server) && !place.ordered_down) running.push_back(id);
+    if (place.server >= 0 && fleet_.runs(place.server) && !place.ordered_down)
+      running.push_back(id);
   std::shuffle(running.begin(), running.end(), random_);
-  const auto many =
-      std::max<std::size_t>(1, static_cast<std::size_t>(part * static_cast<double>(running.size()) + 0.5));
+  const auto many = std::max<std::size_t>(
+      1, static_cast<std::size_t>(part * static_cast<double>(running.size()) + 0.5));
   running.resize(std::min(running.size(), many));
   return running;
 }
@@ -316,7 +344,8 @@
   engine_.at(list_due_, [this, held, removed] {
     if (removed) {
       auto at = listed_.find(held->name);
-      if (at == listed_.end()) return;
+      if (at == listed_.end())
+        return;
       *held = at->second;
       held->phase = EndpointPhase::removed;
       listed_.erase(at);
@@ -324,37 +353,45 @@
       listed_[held->name] = *held;
     }
     changed_[held->name] = *held;
-    if (telling_) return;
+    if (telling_)
+      return;
     telling_ = true;
     engine_.in(gather, [this] { tell_list(); });
   });
 }
 
 void Run::record_list(int proxy, const std::vector<registry::Endpoint>& entries, bool whole) {
-  if (told_) record::told_list(*told_, engine_.now(), name_of(proxy), entries, whole);
+  if (told_)
+    record::told_list(*told_, engine_.now(), name_of(proxy), entries, whole);
 }
 
 void Run::tell_list() {
   telling_ = false;
   auto entries = std::make_shared<std::vector<registry::Endpoint>>();
-  for (auto& [name, entry] : changed_) entries->push_back(entry);
+  for (auto& [name, entry] : changed_)
+    entries->push_back(entry);
   changed_.clear();
   for (int u = 0; u < static_cast<int>(proxies_.size()); ++u) {
-    if (!proxies_[u]->up()) continue;
+    if (!proxies_[u]->up())
+      continue;
     record_list(u, *entries, false);
     engine_.in(network_.way(), [this, u, entries, life = proxies_[u]->life()] {
-      if (proxies_[u]->life() == life) proxies_[u]->list(*entries, false);
+      if (proxies_[u]->life() == life)
+        proxies_[u]->list(*entries, false);
     });
   }
 }
 
 void Run::tell_whole(int u) {
-  if (!proxies_[u]->up()) return;
+  if (!proxies_[u]->up())
+    return;
   auto entries = std::make_shared<std::vector<registry::Endpoint>>();
-  for (auto& [name, entry] : listed_) entries->push_back(entry);
+  for (auto& [name, entry] : listed_)
+    entries->push_back(entry);
   record_list(u, *entries, true);
   engine_.in(network_.way(), [this, u, entries, life = proxies_[u]->life()] {
-    if (proxies_[u]->life() == life) proxies_[u]->list(*entries, true);
+    if (proxies_[u]->life() == life)
+      proxies_[u]->list(*entries, true);
   });
 }
 
@@ -363,22 +400,28 @@
 void Run::start_controller() {
   const auto& d = day_.deployment;
   if (kept_.machines.empty())
-    core_ = std::make_unique<rollout::Rollout>(d.rollout, day_.places, day_.first.number, d.proxies);
-  else core_ = std::make_unique<rollout::Rollout>(d.rollout, day_.places, d.proxies, kept_, engine_.now());
+    core_ =
+        std::make_unique<rollout::Rollout>(d.rollout, day_.places, day_.first.number, d.proxies);
+  else
+    core_ =
+        std::make_unique<rollout::Rollout>(d.rollout, day_.places, d.proxies, kept_, engine_.now());
   seen_version_ = 0;
   seen_changes_ = 0;
   for (auto& [id, place] : places_)
-    if (place.listed) core_->machine_up(id, engine_.now());
+    if (place.listed)
+      core_->machine_up(id, engine_.now());
   pull_controller();
 }
 
 void Run::pull_controller() {
-  if (!core_ || silent_ || errors_) return;
+  if (!core_ || silent_ || errors_)
+    return;
   const TimePoint now = engine_.now();
   core_->proxies(members_.to_go_on(), members_.to_go_back());
   while (auto one = core_->next(now)) {
     order(*one);
-    if (!core_) return;
+    if (!core_)
+      return;
   }
   kept_ = core_->kept(now);
   const auto& changes = core_->changes();
@@ -387,15 +430,16 @@
     summary_.verdicts.push_back(
         {change.at, change.build, change.stage, rollout::to_string(change.phase), change.why});
     if (told_)
-      record::release_moved(*told_, change.at, change.build, change.stage, rollout::to_string(change.phase),
-                            change.why);
+      record::release_moved(*told_, change.at, change.build, change.stage,
+                            rollout::to_string(change.phase), change.why);
   }
   if (core_->version() != seen_version_) {
     seen_version_ = core_->version();
     publish();
   }
   engine_.cancel(look_);
-  if (auto at = core_->next_look(now)) look_ = engine_.at(*at, [this] { pull_controller(); });
+  if (auto at = core_->next_look(now))
+    look_ = engine_.at(*at, [this] { pull_controller(); });
 }
 
 void Run::publish() {
@@ -403,19 +447,22 @@
   engine_.at(news_due_, [this, update = core_->news(engine_.now()), at = engine_.now()] {
     published_ = update;
     published_at_ = at;
-    for (int u = 0; u < static_cast<int>(proxies_.size()); ++u) tell_release(u);
+    for (int u = 0; u < static_cast<int>(proxies_.size()); ++u)
+      tell_release(u);
   });
 }
 
 void Run::tell_release(int u) {
-  if (!proxies_[u]->up() || !core_) return;
+  if (!proxies_[u]->up() || !core_)
+    return;
   if (told_)
     record::told_news(*told_, engine_.now(), name_of(u), published_.build, published_.stage,
                       rollout::to_string(published_.phase), published_.cap);
   ReleaseUpdate update = published_;
   update.since += engine_.now() - published_at_;
   engine_.in(network_.way(), [this, u, update, life = proxies_[u]->life()] {
-    if (proxies_[u]->life() == life) proxies_[u]->release(update);
+    if (proxies_[u]->life() == life)
+      proxies_[u]->release(update);
   });
 }
 
@@ -424,12 +471,15 @@
   const int life = proxies_[u]->life();
   const auto back = [this, u, life](Duration after, Outcome outcome) {
     engine_.in(after, [this, u, life, outcome] {
-      if (proxies_[u]->life() == life) proxies_[u]->vote_answered(outcome);
+      if (proxies_[u]->life() == life)
+        proxies_[u]->vote_answered(outcome);
     });
   };
-  if (!core_) return back(2 * network_.way(), Outcome::connect_failure);
+  if (!core_)
+    return back(2 * network_.way(), Outcome::connect_failure);
   engine_.in(network_.way(), [this, u, build, stage, verdict, back] {
-    if (!core_) return back(network_.way(), Outcome::reset);
+    if (!core_)
+      return back(network_.way(), Outcome::reset);
     const bool counts = !errors_ && (!silent_ || uniform_sample() < counted_);
     Outcome outcome = Outcome::error;
     if (counts) {
@@ -439,7 +489,8 @@
     if (told_)
       record::voted(*told_, engine_.now(), name_of(u), build, stage, rollout::to_string(verdict),
                     rollout::to_string(outcome));
-    if (silent_) return back(day_.deployment.vote_timeout, Outcome::timeout);
+    if (silent_)
+      return back(day_.deployment.vote_timeout, Outcome::timeout);
     back(network_.way(), outcome);
     pull_controller();
   });
@@ -447,8 +498,10 @@
 
 void Run::beat() {
   for (int u = 0; core_ && !silent_ && !errors_ && u < static_cast<int>(proxies_.size()); ++u)
-    if (proxies_[u]->up()) members_.heard(name_of(u), std::to_string(proxies_[u]->life()), engine_.now());
-  if (core_) members_.canary_running(core_->news(engine_.now()).phase == ReleasePhase::canary);
+    if (proxies_[u]->up())
+      members_.heard(name_of(u), std::to_string(proxies_[u]->life()), engine_.now());
+  if (core_)
+    members_.canary_running(core_->news(engine_.now()).phase == ReleasePhase::canary);
   members_.tick(engine_.now());
   engine_.in(beat_every, [this] { beat(); });
 }
@@ -466,15 +519,18 @@
 
 void Run::pull_load() {
   engine_.cancel(load_timer_);
-  while (auto one = load_.next(day_now())) send(*one);
-  if (auto at = load_.next_at()) load_timer_ = engine_.at(engine_time(*at), [this] { pull_load(); });
+  while (auto one = load_.next(day_now()))
+    send(*one);
+  if (auto at = load_.next_at())
+    load_timer_ = engine_.at(engine_time(*at), [this] { pull_load(); });
 }
 
 void Run::send(const load::Try& one) {
   ++summary_.tries;
   if (one.number == 0) {
     ++summary_.asked;
-    summary_.max_weight += day_.deployment.request_classes[one.request_class].request_class.priority_weight;
+    summary_.max_weight +=
+        day_.deployment.request_classes[one.request_class].request_class.priority_weight;
   }
   Open& open = open_[one.id];
   open.one = one;
@@ -484,13 +540,15 @@
   if (!proxy.up()) {
     engine_.in(front_refused, [this, id = one.id] {
       auto at = open_.find(id);
-      if (at != open_.end()) ended(at->second.one, load::End::unreached, {.status = 0});
+      if (at != open_.end())
+        ended(at->second.one, load::End::unreached, {.status = 0});
     });
     return;
   }
   open.gives_up = engine_.at(until + 2 * day_.answer_slack, [this, id = one.id] {
     auto at = open_.find(id);
-    if (at == open_.end()) return;
+    if (at == open_.end())
+      return;
     const load::Try gone = at->second.one;
     proxies_[gone.proxy]->left(id);
     ended(gone, load::End::timed_out, {.status = 0});
@@ -498,17 +556,21 @@
   if (one.leaves > TimePoint{})
     open.leaves = engine_.at(engine_time(one.leaves), [this, id = one.id] {
       auto at = open_.find(id);
-      if (at == open_.end()) return;
+      if (at == open_.end())
+        return;
       const load::Try gone = at->second.one;
-      if (proxies_[gone.proxy]->up()) proxies_[gone.proxy]->left(id);
+      if (proxies_[gone.proxy]->up())
+        proxies_[gone.proxy]->left(id);
       ended(gone, load::End::left, {.status = 0});
     });
   engine_.in(network_.way(), [this, id = one.id] {
     auto at = open_.find(id);
-    if (at == open_.end()) return;
+    if (at == open_.end())
+      return;
     Open& still = at->second;
     SimulatedProxy& to = *proxies_[still.one.proxy];
-    if (!to.up() || to.life() != still.life) return ended(still.one, load::End::broken, {.status = 0});
+    if (!to.up() || to.life() != still.life)
+      return ended(still.one, load::End::broken, {.status = 0});
     load::Try taken = still.one;
     taken.at = engine_time(taken.at);
     to.take(taken, engine_time(still.one.until));
@@ -517,14 +579,16 @@
 
 void Run::answer(std::int64_t id, const FinalAnswer& how) {
   auto at = open_.find(id);
-  if (at == open_.end()) return;
+  if (at == open_.end())
+    return;
   ended(at->second.one, how.end, how);
 }
 
 // By value: what it came from goes with it.
 void Run::ended(load::Try one, load::End end, const FinalAnswer& how) {
   auto at = open_.find(one.id);
-  if (at == open_.end()) return;
+  if (at == open_.end())
+    return;
   engine_.cancel(at->second.gives_up);
   engine_.cancel(at->second.leaves);
   open_.erase(at);
@@ -535,7 +599,10 @@
       ++summary_.succeeded;
       summary_.wrong += !how.right;
       summary_.took_ms.push_back(static_cast<double>(took.count()) / 1e3);
-      if (how.right) summary_.priority_weight += request_class.priority_weight * (took <= request_class.latency_objective ? 1 : request_class.late_weight_share);
+      if (how.right)
+        summary_.priority_weight +=
+            request_class.priority_weight *
+            (took <= request_class.latency_objective ? 1 : request_class.late_weight_share);
       break;
     case load::End::rejected:
       ++summary_.rejected;
@@ -559,38 +626,43 @@
       break;
   }
   if (clients_)
-    record::tried(*clients_, {.from = engine_time(one.at),
-                              .to = engine_.now(),
-                              .until = engine_time(one.until),
-                              .id = one.id,
-                              .first = one.first,
-                              .number = one.number,
-                              .request_class = one.request_class,
-                              .tenant = one.tenant,
-                              .proxy = name_of(one.proxy),
-                              .key = one.key,
-                              .poison = one.poison,
-                              .end = load::to_string(end),
-                              .status = how.status,
-                              .why = how.why,
-                              .endpoint = how.server < 0 ? std::string_view() : fleet_.spec(how.server).name,
-                              .build = how.server < 0 ? -1.0 : fleet_.spec(how.server).build.number,
-                              .right = how.right});
-  if (end == load::End::succeeded && uniform_sample() < (how.right ? day_.false_reports : day_.deployment.wrong_answer_report_share))
+    record::tried(*clients_,
+                  {.from = engine_time(one.at),
+                   .to = engine_.now(),
+                   .until = engine_time(one.until),
+                   .id = one.id,
+                   .first = one.first,
+                   .number = one.number,
+                   .request_class = one.request_class,
+                   .tenant = one.tenant,
+                   .proxy = name_of(one.proxy),
+                   .key = one.key,
+                   .poison = one.poison,
+                   .end = load::to_string(end),
+                   .status = how.status,
+                   .why = how.why,
+                   .endpoint = how.server < 0 ? std::string_view() : fleet_.spec(how.server).name,
+                   .build = how.server < 0 ? -1.0 : fleet_.spec(how.server).build.number,
+                   .right = how.right});
+  if (end == load::End::succeeded &&
+      uniform_sample() <
+          (how.right ? day_.false_reports : day_.deployment.wrong_answer_report_share))
     engine_.in(drawn(day_.reports_least, day_.reports_most),
                [this, u = one.proxy, server = how.server] { proxies_[u]->found_wrong(server); });
   load_.ended(one.id, end, how.stay_away, day_now());
   pull_load();
 }
 
-// Umpires and troubles.
+// Proxies and troubles.
 
 void Run::life(int u, const char* what) {
-  if (lives_) record::proxy_life(*lives_, engine_.now(), name_of(u), what);
+  if (lives_)
+    record::proxy_life(*lives_, engine_.now(), name_of(u), what);
 }
 
 void Run::start_proxy(int u) {
-  if (proxies_[u]->up()) return;
+  if (proxies_[u]->up())
+    return;
   life(u, "start");
   proxies_[u]->start();
   engine_.in(2 * network_.way(), [this, u] { tell_whole(u); });
@@ -599,18 +671,21 @@
 }
 
 void Run::kill_proxy(int u) {
-  if (!proxies_[u]->up()) return;
+  if (!proxies_[u]->up())
+    return;
   life(u, "killed");
   proxies_[u]->kill();
   load_.proxy(u, false, day_now());
   std::vector<std::int64_t> lost;
   for (auto& [id, open] : open_)
-    if (open.one.proxy == u) lost.push_back(id);
+    if (open.one.proxy == u)
+      lost.push_back(id);
   std::sort(lost.begin(), lost.end());
   for (std::int64_t id : lost)
     engine_.in(network_.way(), [this, id] {
       auto at = open_.find(id);
-      if (at != open_.end()) ended(at->second.one, load::End::broken, {.status = 0});
+      if (at != open_.end())
+        ended(at->second.one, load::End::broken, {.status = 0});
     });
 }
 
@@ -623,11 +698,14 @@
     case Kind::vanish:
       for (int id : pick(trouble.part)) {
         down(id, trouble.kind == Kind::vanish);
-        if (core_) core_->machine_gone(id, engine_.now());
+        if (core_)
+          core_->machine_gone(id, engine_.now());
         at_end([this, id] {
           auto at = places_.find(id);
-          if (at == places_.end()) return;
-          if (at->second.server >= 0) fleet_.kill(at->second.server);
+          if (at == places_.end())
+            return;
+          if (at->second.server >= 0)
+            fleet_.kill(at->second.server);
           boot(id, true);
         });
       }
@@ -687,9 +765,12 @@
       at_end([this] { start_controller(); });
       break;
     case Kind::controller_down:
-      if (trouble.how == "stale") news_lag_ = day_.news_most + seconds(size);
-      else if (trouble.how == "silence") silent_ = true, counted_ = size;
-      else errors_ = true;
+      if (trouble.how == "stale")
+        news_lag_ = day_.news_most + seconds(size);
+      else if (trouble.how == "silence")
+        silent_ = true, counted_ = size;
+      else
+        errors_ = true;
       at_end([this] {
         news_lag_ = drawn(day_.news_least, day_.news_most);
         silent_ = errors_ = false;
@@ -703,7 +784,8 @@
     case Kind::hot_caller: {
       std::vector<int> some;
       const int many = std::max(1, static_cast<int>(trouble.part * d.proxies + 0.5));
-      for (int u = 0; u < many; ++u) some.push_back((u * 7 + 1) % d.proxies);
+      for (int u = 0; u < many; ++u)
+        some.push_back((u * 7 + 1) % d.proxies);
       load_.hot(some, size);
       at_end([this] { load_.hot({}, 0); });
       break;
@@ -719,7 +801,8 @@
     case Kind::proxy_crash:
     case Kind::proxy_roll: {
       std::vector<int> chosen(proxies_.size());
-      for (std::size_t u = 0; u < chosen.size(); ++u) chosen[u] = static_cast<int>(u);
+      for (std::size_t u = 0; u < chosen.size(); ++u)
+        chosen[u] = static_cast<int>(u);
       std::shuffle(chosen.begin(), chosen.end(), random_);
       const int proxies = static_cast<int>(chosen.size());
       chosen.resize(std::clamp(static_cast<int>(trouble.part * proxies + 0.5), 1, proxies));
@@ -727,7 +810,8 @@
       const int batch = roll ? std::max(1, static_cast<int>(size * proxies)) : proxies;
       const int batches = (static_cast<int>(chosen.size()) + batch - 1) / batch;
       for (std::size_t i = 0; i < chosen.size(); ++i) {
-        const Duration begins = roll ? trouble.lasts * (static_cast<int>(i) / batch) / batches : Duration{};
+        const Duration begins =
+            roll ? trouble.lasts * (static_cast<int>(i) / batch) / batches : Duration{};
         const Duration gone = roll ? seconds(trouble.extra) : trouble.lasts;
         engine_.in(begins, [this, u = chosen[i]] { kill_proxy(u); });
         engine_.in(begins + gone, [this, u = chosen[i]] { start_proxy(u); });
@@ -735,14 +819,16 @@
       break;
     }
     case Kind::probe_fail:    // the module asks for no health calls
-    case Kind::watch_breaks:  // a watch that breaks is taken up again: here nothing can be lost on the way
+    case Kind::watch_breaks:  // a watch that breaks is taken up again: here nothing can be lost on
+                              // the way
       break;
   }
 }
 
 Summary Run::play() {
   start_controller();
-  for (int u = 0; u < static_cast<int>(proxies_.size()); ++u) start_proxy(u);
+  for (int u = 0; u < static_cast<int>(proxies_.size()); ++u)
+    start_proxy(u);
   beat();
   share_harm();
   engine_.run(from_);
@@ -755,11 +841,13 @@
   pull_load();
   const TimePoint end = from_ + day_.length;
   engine_.run(end);
-  while (!load_.over() && engine_.now() < end + over_most && engine_.step(end + over_most)) {}
+  while (!load_.over() && engine_.now() < end + over_most && engine_.step(end + over_most)) {
+  }
   for (std::size_t u = 0; u < proxies_.size(); ++u) {
     summary_.attempts += proxies_[u]->attempts();
     summary_.decisions += proxies_[u]->decisions();
-    if (proxies_[u]->up()) life(static_cast<int>(u), "stopped");
+    if (proxies_[u]->up())
+      life(static_cast<int>(u), "stopped");
   }
   summary_.events = engine_.events();
   return std::move(summary_);
@@ -773,8 +861,8 @@
   return "";
 }
 
-Summary run(const day::Day& day, long seed, const std::string& folder, const NetworkSettings& network,
-            const PolicySpec& policy) {
+Summary run(const day::Day& day, long seed, const std::string& folder,
+            const NetworkSettings& network, const PolicySpec& policy) {
   if (const std::string why = why_not(day); !why.empty())
     throw std::runtime_error("the day can't be emulated: " + why);
   if (!folder.empty()) {
--- a/src/emulator/simulated_proxy.h
+++ b/src/emulator/simulated_proxy.h
@@ -1,5 +1,5 @@
-// One umpire in simulated time: the decision module as the router on sockets hosts it, with connections,
-// time-outs and the way to and from the boxes. It makes no choice of its own.
+// One proxy in simulated time: the decision module as the router on sockets hosts it, with
+// connections, time-outs and the way to and from the servers. It makes no choice of its own.
 #pragma once
 #include <functional>
 #include <map>
@@ -10,8 +10,8 @@
 #include "emulator/fleet.h"
 #include "emulator/network.h"
 #include "emulator/policy.h"
-#include "registry/registry.h"
 #include "load/load.h"
+#include "registry/registry.h"
 #include "time/time_types.h"
 
 namespace robinhoist::emulator {
@@ -36,19 +36,21 @@
 class SimulatedProxy {
  public:
   struct Ways {
-    std::function<void(std::int64_t try_id, const FinalAnswer&)> answer;  // leaves the umpire now
+    std::function<void(std::int64_t try_id, const FinalAnswer&)> answer;  // leaves the proxy now
     std::function<void(int proxy, int build, int stage, Verdict verdict)> vote;
-    std::function<void(int proxy)> refresh;             // the whole list, please
+    std::function<void(int proxy)> refresh;                 // the whole list, please
     std::function<int(const std::string& name)> server_of;  // -1: none of that name
   };
-  SimulatedProxy(Engine& engine, const deployment::Deployment& deployment, const SimulatedProxySettings& settings,
-             Fleet& fleet, Network& network, Ways ways);
+  SimulatedProxy(Engine& engine, const deployment::Deployment& deployment,
+                 const SimulatedProxySettings& settings, Fleet& fleet, Network& network, Ways ways);
 
   // A process begins, with the list that the one before saved, if any; or ends without a word.
   void start();
   void kill();
   bool up() const { return policy_ != nullptr; }
-  int life() const { return life_; }  // grows with each start: what is meant for an earlier one is lost
+  int life() const {
+    return life_;
+  }  // grows with each start: what is meant for an earlier one is lost
 
   void take(const load::Try& one, TimePoint until);
   void left(std::int64_t try_id);
@@ -56,7 +58,7 @@
   void release(const ReleaseUpdate& release);  // since: its age now
   void vote_answered(Outcome outcome);
   void found_wrong(int server);
-  // Ends of submissions, as the network brings them.
+  // Ends of attempts, as the network brings them.
   void ended(std::uint64_t id, Outcome outcome, const Answer& answer);
   void server_killed(int server);
 
@@ -78,7 +80,7 @@
     bool answered = false;
     Outcome last = Outcome::obsolete;
   };
-  struct Upstream {  // a box as the module numbers it
+  struct Upstream {  // a server as the module numbers it
     int server = -1;
     EndpointPhase phase = EndpointPhase::removed;
     int idle = 0;  // connections kept open
@@ -106,8 +108,9 @@
   std::map<std::string, int> upstream_of_{};
   std::map<std::string, registry::Endpoint> listed_{};
   std::unordered_map<int, InFlightRequest> requests_{};
-  std::unordered_map<std::int64_t, int> request_of_{};                               // by try
-  std::unordered_map<std::uint64_t, std::pair<int, std::size_t>> attempt_of_{};  // txn and index
+  std::unordered_map<std::int64_t, int> request_of_{};  // by try
+  std::unordered_map<std::uint64_t, std::pair<int, std::size_t>>
+      attempt_of_{};  // request and index
   int last_request_id_ = 0;
   bool heard_release_ = false, pulling_ = false;
   Engine::Id wake_{};
--- a/src/endpoint_cache/endpoint_cache.cpp
+++ b/src/endpoint_cache/endpoint_cache.cpp
@@ -23,8 +23,10 @@
   std::size_t at = 0;
   while (at < bytes.size()) {
     ssize_t put = ::write(fd, bytes.data() + at, bytes.size() - at);
-    if (put < 0 && errno == EINTR) continue;
-    if (put <= 0) return false;
+    if (put < 0 && errno == EINTR)
+      continue;
+    if (put <= 0)
+      return false;
     at += static_cast<std::size_t>(put);
   }
   return true;
@@ -35,10 +37,12 @@
 std::string write(const std::string& file, const std::string& content) {
   char header[80];
   std::snprintf(header, sizeof header, form,
-                static_cast<unsigned long long>(XXH64(content.data(), content.size(), 0)), content.size());
+                static_cast<unsigned long long>(XXH64(content.data(), content.size(), 0)),
+                content.size());
   const std::string beside = file + ".new";
   int fd = ::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640);
-  if (fd < 0) return failed("can't open", beside);
+  if (fd < 0)
+    return failed("can't open", beside);
   const bool whole = write_all(fd, header + content) && ::fsync(fd) == 0;
   std::string why = whole ? "" : failed("can't write", beside);
   ::close(fd);
@@ -46,10 +50,11 @@
     ::unlink(beside.c_str());
     return why;
   }
-  if (::rename(beside.c_str(), file.c_str()) != 0) return failed("can't rename", beside);
+  if (::rename(beside.c_str(), file.c_str()) != 0)
+    return failed("can't rename", beside);
   std::size_t slash = file.rfind('/');
-  int dir =
-      ::open(slash == std::string::npos ? "." : file.substr(0, slash + 1).c_str(), O_RDONLY | O_CLOEXEC);
+  int dir = ::open(slash == std::string::npos ? "." : file.substr(0, slash + 1).c_str(),
+                   O_RDONLY | O_CLOEXEC);
   if (dir >= 0) {
     ::fsync(dir);
     ::close(dir);
@@ -60,7 +65,8 @@
 std::optional<std::string> read(const std::string& file, std::string& why) {
   why.clear();
   std::ifstream in(file, std::ios::binary);
-  if (!in) return {};
+  if (!in)
+    return {};
   std::ostringstream text;
   text << in.rdbuf();
   std::string all = text.str();
@@ -102,11 +108,13 @@
   std::unique_lock lock(mutex_);
   while (true) {
     wake_.wait(lock, [this] { return next_ || over_; });
-    if (!next_) return;
+    if (!next_)
+      return;
     std::string content = std::move(*next_);
     next_.reset();
     lock.unlock();
-    if (!write(file_, content).empty()) ++failed_;
+    if (!write(file_, content).empty())
+      ++failed_;
     lock.lock();
   }
 }
--- a/src/endpoint_cache/endpoint_cache.h
+++ b/src/endpoint_cache/endpoint_cache.h
@@ -1,5 +1,6 @@
-// Small files that are whole or not there: a header with length and checksum (XXH64), written beside the old
-// one, synced, then renamed over it. A reader gets the last whole content or nothing, with the reason.
+// Small files that are whole or not there: a header with length and checksum (XXH64), written
+// beside the old one, synced, then renamed over it. A reader gets the last whole content or
+// nothing, with the reason.
 #pragma once
 #include <atomic>
 #include <condition_variable>
@@ -12,7 +13,8 @@
 
 // Empty when it worked, else why not.
 std::string write(const std::string& file, const std::string& content);
-// Nothing where there is no whole file; `why` then says so, and is empty where there was none at all.
+// Nothing where there is no whole file; `why` then says so, and is empty where there was none at
+// all.
 std::optional<std::string> read(const std::string& file, std::string& why);
 
 // Writes in the background, only the latest content: nobody waits for the disk.
--- a/src/http/caller.cpp
+++ b/src/http/caller.cpp
@@ -5,7 +5,8 @@
 
 namespace robinhoist::http {
 namespace {
-constexpr int stale_told_by = 8, stale_part = 4;  // of so many reuses more than one in so many has broken
+constexpr int stale_told_by = 8,
+              stale_part = 4;  // of so many reuses more than one in so many has broken
 }
 
 // One connection and the call that it carries, if any.
@@ -13,7 +14,8 @@
  public:
   Connection(Caller& caller)
       : caller_(&caller), budget_(caller.settings_.budget), reader_(caller.settings_.limits) {
-    if (budget_) ++budget_->open_;
+    if (budget_)
+      ++budget_->open_;
   }
   ~Connection() override { shut(false); }
 
@@ -25,7 +27,8 @@
     });
   }
 
-  void carry(Caller::Id id, Request request, Duration within, Caller::Done done, Caller::Word word) {
+  void carry(Caller::Id id, Request request, Duration within, Caller::Done done,
+             Caller::Word word) {
     id_ = id;
     done_ = std::move(done);
     request_ = std::move(request);
@@ -38,7 +41,8 @@
     });
     reader_.expect(request_.method == "HEAD");
     written_ = false;
-    if (stream_ && stream_->open()) send();
+    if (stream_ && stream_->open())
+      send();
   }
 
   void on_open(net::Stream&) override {
@@ -53,8 +57,10 @@
       return end(Ended::garbled);
     }
     Read read = reader_.read(stream.in());
-    if (read == Read::bad) return end(Ended::garbled);
-    if (read == Read::whole) finished();
+    if (read == Read::bad)
+      return end(Ended::garbled);
+    if (read == Read::whole)
+      finished();
   }
 
   void on_closed(net::Stream& stream, net::Closed how) override {
@@ -68,7 +74,8 @@
 
   // The connection is over; its call, if any, ends so.
   void end(Ended how) {
-    if (!caller_) return;
+    if (!caller_)
+      return;
     auto self = shared_from_this();
     Caller* caller = caller_;
     caller_ = nullptr;
@@ -76,7 +83,8 @@
     caller->loop_.cancel(connect_timer_);
     shut(how == Ended::cancelled || how == Ended::timed_out);
     caller->remove(this);
-    if (how == Ended::broken) note_reuse(true);
+    if (how == Ended::broken)
+      note_reuse(true);
     tell(how, {});
   }
 
@@ -88,14 +96,15 @@
 
   bool busy() const { return done_ != nullptr; }
   Caller::Id id() const { return busy() ? id_ : 0; }
-  // Not one on which the peer has said something meanwhile, or its end: guards against taking what came late
-  // behind one answer for the next.
+  // Not one on which the peer has said something meanwhile, or its end: guards against taking what
+  // came late behind one answer for the next.
   bool usable() const { return caller_ && stream_ && stream_->open() && stream_->quiet(); }
   // All of the request is with the kernel.
   bool whole() const { return written_ && stream_->unwritten() == 0; }
   bool written() const { return written_; }
   void busy_again() {
-    if (idle_at_) budget_->idle_.erase(*idle_at_);
+    if (idle_at_)
+      budget_->idle_.erase(*idle_at_);
     idle_at_.reset();
   }
   Duration idle() const { return caller_->loop_.now() - idle_from_; }
@@ -103,19 +112,23 @@
 
  private:
   void shut(bool reset) {
-    if (std::exchange(shut_, true)) return;
-    if (stream_) stream_->drop(reset);
-    if (!budget_) return;
+    if (std::exchange(shut_, true))
+      return;
+    if (stream_)
+      stream_->drop(reset);
+    if (!budget_)
+      return;
     busy_again();
     --budget_->open_;
   }
 
   void send() {
     written_ = true;
-    if (word_) word_(request_, std::max(Duration(1), until_ - caller_->loop_.now()));
+    if (word_)
+      word_(request_, std::max(Duration(1), until_ - caller_->loop_.now()));
     std::string out;
     put(out, request_, caller_->host_);
-    request_ = {};  // not kept: nodes are many, and requests may be large
+    request_ = {};  // not kept: endpoints are many, and requests may be large
     word_ = nullptr;
     stream_->write(out);
   }
@@ -140,20 +153,23 @@
       });
       caller_->idle_.push_back(this);
       idle_from_ = caller_->loop_.now();
-      if (budget_) idle_at_ = budget_->idle_.insert(budget_->idle_.end(), this);
+      if (budget_)
+        idle_at_ = budget_->idle_.insert(budget_->idle_.end(), this);
     }
     tell(Ended::answered, std::move(response));
   }
 
   void note_reuse(bool broke) {
-    if (budget_ && reused_after_) budget_->reuses_.push({*reused_after_, broke});
+    if (budget_ && reused_after_)
+      budget_->reuses_.push({*reused_after_, broke});
     reused_after_.reset();
   }
 
   void tell(Ended how, Response&& response) {
     Caller::Done done = std::move(done_);
     done_ = nullptr;
-    if (done) done(how, std::move(response));
+    if (done)
+      done(how, std::move(response));
   }
 
   Caller* caller_;
@@ -167,7 +183,8 @@
   Caller::Word word_{};
   net::Loop::Timer timer_ = net::Loop::no_timer, connect_timer_ = net::Loop::no_timer;
   TimePoint until_{}, idle_from_{};
-  std::optional<Duration> reused_after_{};  // of the call that is out, if it found the connection open
+  std::optional<Duration>
+      reused_after_{};  // of the call that is out, if it found the connection open
   bool written_ = false, shut_ = false;
 };
 
@@ -175,7 +192,8 @@
   int alike = 0, broke = 0;
   for (std::size_t i = 0; i < reuses_.size(); ++i) {
     const Reuse& reuse = reuses_.back(i);
-    if (2 * reuse.idle < idle || reuse.idle > 2 * idle) continue;
+    if (2 * reuse.idle < idle || reuse.idle > 2 * idle)
+      continue;
     ++alike;
     broke += reuse.broke;
   }
@@ -183,7 +201,8 @@
 }
 
 bool Budget::room() {
-  if (open_ >= most_ && !idle_.empty()) idle_.front()->end(Ended::cancelled);
+  if (open_ >= most_ && !idle_.empty())
+    idle_.front()->end(Ended::cancelled);
   return open_ < most_;
 }
 
@@ -192,7 +211,8 @@
 
 Caller::~Caller() {
   auto connections = connections_;
-  for (auto& connection : connections) connection->abandon();
+  for (auto& connection : connections)
+    connection->abandon();
 }
 
 Caller::Id Caller::call(Request request, Duration within, Done done, Word word) {
@@ -210,7 +230,8 @@
     last->carry(id, std::move(request), within, std::move(done), std::move(word));
     return id;
   }
-  if (connections_.size() >= settings_.most_connections || (settings_.budget && !settings_.budget->room())) {
+  if (connections_.size() >= settings_.most_connections ||
+      (settings_.budget && !settings_.budget->room())) {
     loop_.in(Duration(0), [done = std::move(done)] { done(Ended::withheld, {}); });
     return 0;
   }
@@ -223,16 +244,20 @@
 }
 
 void Caller::cancel(Id id) {
-  if (id == 0) return;
+  if (id == 0)
+    return;
   for (auto& connection : connections_)
-    if (connection->id() == id) return std::shared_ptr<Connection>(connection)->abandon();
+    if (connection->id() == id)
+      return std::shared_ptr<Connection>(connection)->abandon();
 }
 
 bool Caller::recall(Id id) {
-  if (id == 0) return false;
+  if (id == 0)
+    return false;
   for (auto& connection : connections_)
     if (connection->id() == id) {
-      if (connection->written()) return false;
+      if (connection->written())
+        return false;
       std::shared_ptr<Connection>(connection)->abandon();
       return true;
     }
@@ -241,7 +266,8 @@
 
 void Caller::close_idle() {
   auto idle = idle_;
-  for (Connection* connection : idle) connection->end(Ended::cancelled);
+  for (Connection* connection : idle)
+    connection->end(Ended::cancelled);
 }
 
 std::size_t Caller::busy() const {
@@ -251,9 +277,10 @@
 
 void Caller::remove(Connection* connection) {
   idle_.erase(std::remove(idle_.begin(), idle_.end(), connection), idle_.end());
-  auto at =
-      std::find_if(connections_.begin(), connections_.end(), [&](auto& c) { return c.get() == connection; });
-  if (at != connections_.end()) connections_.erase(at);
+  auto at = std::find_if(connections_.begin(), connections_.end(),
+                         [&](auto& c) { return c.get() == connection; });
+  if (at != connections_.end())
+    connections_.erase(at);
 }
 
 }  // namespace robinhoist::http
--- a/src/http/caller.h
+++ b/src/http/caller.h
@@ -1,5 +1,6 @@
-// The client's side of HTTP/1.1 on a Loop: connections to one peer, kept alive and used again, bounded in
-// number; each call says exactly once how it ended, and whether the peer may have acted on it.
+// The client's side of HTTP/1.1 on a Loop: connections to one peer, kept alive and used again,
+// bounded in number; each call says exactly once how it ended, and whether the peer may have acted
+// on it.
 #pragma once
 #include <deque>
 #include <functional>
@@ -16,15 +17,15 @@
 
 namespace robinhoist::http {
 
-// How a call ended. Only `answered` comes with a response. `unreached` means that not a byte of the request
-// left this process whole on an open connection, so that the peer can't have acted on it; `withheld` the same
-// where it was our own limits that left no connection for it.
+// How a call ended. Only `answered` comes with a response. `unreached` means that not a byte of the
+// request left this process whole on an open connection, so that the peer can't have acted on it;
+// `withheld` the same where it was our own limits that left no connection for it.
 enum class Ended { answered, unreached, withheld, broken, garbled, timed_out, cancelled };
 
 class Connection;
 
-// Connections that several callers have together at most. Where they have them all, the one that has been
-// idle for longest makes room.
+// Connections that several callers have together at most. Where they have them all, the one that
+// has been idle for longest makes room.
 class Budget {
  public:
   explicit Budget(std::size_t most) : most_(most) {}
@@ -39,8 +40,9 @@
     bool broke;
   };
   bool room();
-  // Whether connections that stood idle for about so long have lately broken under the next request: peers
-  // and what lies between may drop them without a word, long before any time agreed on.
+  // Whether connections that stood idle for about so long have lately broken under the next
+  // request: peers and what lies between may drop them without a word, long before any time agreed
+  // on.
   bool stale(Duration idle) const;
   std::size_t most_, open_ = 0;
   SlidingWindow<Reuse> reuses_{256};
--- a/src/http/long_poll.cpp
+++ b/src/http/long_poll.cpp
@@ -22,10 +22,10 @@
 
 LongPoll::Asked LongPoll::read(const ExchangePtr& exchange) {
   const Request& request = exchange->request;
-  const auto wait =
-      std::min<Duration>(most_wait, std::chrono::milliseconds(whole_or(request.query("wait_ms"), 0)));
-  return {exchange, request.query("umpire"), request.query("series"), whole_or(request.query("since"), 0),
-          wait};
+  const auto wait = std::min<Duration>(
+      most_wait, std::chrono::milliseconds(whole_or(request.query("wait_ms"), 0)));
+  return {exchange, request.query("umpire"), request.query("series"),
+          whole_or(request.query("since"), 0), wait};
 }
 
 void LongPoll::wait(Asked asked) {
@@ -48,7 +48,8 @@
 
 // Those who wait now; one that asks again while others are answered waits for the next time.
 void LongPoll::wake() {
-  for (std::size_t left = waiting_.size(); left > 0 && !waiting_.empty(); --left) answer(waiting_.begin());
+  for (std::size_t left = waiting_.size(); left > 0 && !waiting_.empty(); --left)
+    answer(waiting_.begin());
 }
 
 }  // namespace robinhoist::http
--- a/src/http/long_poll.h
+++ b/src/http/long_poll.h
@@ -1,5 +1,5 @@
 // Requests that wait for something newer than a version of a series:
-// `?series=S&since=V&wait_ms=N&umpire=NAME`.
+// `?series=S&since=V&wait_ms=N&proxy=NAME`.
 #pragma once
 #include <cstdint>
 #include <functional>
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -13,37 +13,47 @@
 
 using Error = boost::beast::error_code;
 
-std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
+std::string_view view(boost::beast::string_view text) {
+  return {text.data(), text.size()};
+}
 
-// Feeds a parser with the front of a buffer, head and body apart: going on eagerly from one to the other, it
-// forgets that the body is over the limit, makes room for all that was claimed, and reads on.
+// Feeds a parser with the front of a buffer, head and body apart: going on eagerly from one to the
+// other, it forgets that the body is over the limit, makes room for all that was claimed, and reads
+// on.
 template <class P>
 void feed(P& parser, std::string& in, std::size_t most, Error& error) {
   std::size_t at = 0;
   do {
     error = {};
     if (parser.is_header_done()) {
-      if (parser.content_length().value_or(0) > most) error = beast::error::body_limit;
-      if (error) break;
+      if (parser.content_length().value_or(0) > most)
+        error = beast::error::body_limit;
+      if (error)
+        break;
       parser.eager(true);
     }
     std::size_t used = parser.put(boost::asio::buffer(in.data() + at, in.size() - at), error);
     at += used;
-    if (error || used == 0) break;
+    if (error || used == 0)
+      break;
   } while (!parser.is_done() && at < in.size());
   in.erase(0, at);
 }
 
 Fault fault_of(const Error& error) {
-  if (error == beast::error::body_limit) return {413, "the body is larger than allowed"};
-  if (error == beast::error::header_limit) return {431, "the head is larger than allowed"};
-  if (error == beast::error::bad_version) return {505, "not HTTP/1.0 or HTTP/1.1"};
+  if (error == beast::error::body_limit)
+    return {413, "the body is larger than allowed"};
+  if (error == beast::error::header_limit)
+    return {431, "the head is larger than allowed"};
+  if (error == beast::error::bad_version)
+    return {505, "not HTTP/1.0 or HTTP/1.1"};
   return {400, error.message()};
 }
 
 template <class Message>
 void copy_headers(const Message& from, Headers& to) {
-  for (auto& field : from) to.add(view(field.name_string()), view(field.value()));
+  for (auto& field : from)
+    to.add(view(field.name_string()), view(field.value()));
 }
 
 void put_headers(std::string& out, const Headers& headers) {
@@ -62,28 +72,34 @@
   out += reason(response.status);
   out += "\r\n";
   put_headers(out, response.headers);
-  if (!response.keep_alive) out += "Connection: close\r\n";
+  if (!response.keep_alive)
+    out += "Connection: close\r\n";
 }
 
-bool bodiless(int status) { return status < 200 || status == 204 || status == 304; }
+bool bodiless(int status) {
+  return status < 200 || status == 204 || status == 304;
+}
 
 }  // namespace
 
 bool same_word(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
-         std::equal(a.begin(), a.end(), b.begin(),
-                    [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
+         std::equal(a.begin(), a.end(), b.begin(), [](unsigned char x, unsigned char y) {
+           return std::tolower(x) == std::tolower(y);
+         });
 }
 
 void Headers::set(std::string_view name, std::string_view value) {
-  all_.erase(std::remove_if(all_.begin(), all_.end(), [&](auto& h) { return same_word(h.first, name); }),
-             all_.end());
+  all_.erase(
+      std::remove_if(all_.begin(), all_.end(), [&](auto& h) { return same_word(h.first, name); }),
+      all_.end());
   add(name, value);
 }
 
 std::string_view Headers::get(std::string_view name) const {
   for (auto& [key, value] : all_)
-    if (same_word(key, name)) return value;
+    if (same_word(key, name))
+      return value;
   return {};
 }
 
@@ -131,7 +147,8 @@
   out += host;
   out += "\r\n";
   put_headers(out, request.headers);
-  if (!request.keep_alive) out += "Connection: close\r\n";
+  if (!request.keep_alive)
+    out += "Connection: close\r\n";
   if (!request.body.empty() || (request.method != "GET" && request.method != "HEAD"))
     out += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
   out += "\r\n";
@@ -140,9 +157,11 @@
 
 void put(std::string& out, const Response& response, bool head_only) {
   put_status(out, response);
-  if (!bodiless(response.status)) out += "Content-Length: " + std::to_string(response.body.size()) + "\r\n";
+  if (!bodiless(response.status))
+    out += "Content-Length: " + std::to_string(response.body.size()) + "\r\n";
   out += "\r\n";
-  if (!head_only && !bodiless(response.status)) out += response.body;
+  if (!head_only && !bodiless(response.status))
+    out += response.body;
 }
 
 void put_head(std::string& out, const Response& response) {
@@ -151,7 +170,8 @@
 }
 
 void put_chunk(std::string& out, std::string_view piece) {
-  if (piece.empty()) return;
+  if (piece.empty())
+    return;
   char size[20];
   int length = std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
   out.append(size, static_cast<std::size_t>(length));
@@ -159,7 +179,9 @@
   out += "\r\n";
 }
 
-void put_last_chunk(std::string& out) { out += "0\r\n\r\n"; }
+void put_last_chunk(std::string& out) {
+  out += "0\r\n\r\n";
+}
 
 void copy_end_to_end(const Headers& from, Headers& to) {
   static constexpr std::string_view hop[] = {"Connection",
@@ -176,18 +198,21 @@
                                              "Proxy-Authenticate"};
   std::string_view named = from.get("Connection");
   for (auto& [name, value] : from.all()) {
-    bool skip =
-        std::any_of(std::begin(hop), std::end(hop), [&, &key = name](auto h) { return same_word(h, key); });
+    bool skip = std::any_of(std::begin(hop), std::end(hop),
+                            [&, &key = name](auto h) { return same_word(h, key); });
     // A field that Connection names belongs to the hop too.
     for (std::size_t at = 0; !skip && at < named.size();) {
       std::size_t end = std::min(named.find(',', at), named.size());
       std::string_view word = named.substr(at, end - at);
-      while (!word.empty() && word.front() == ' ') word.remove_prefix(1);
-      while (!word.empty() && word.back() == ' ') word.remove_suffix(1);
+      while (!word.empty() && word.front() == ' ')
+        word.remove_prefix(1);
+      while (!word.empty() && word.back() == ' ')
+        word.remove_suffix(1);
       skip = same_word(word, name);
       at = end + 1;
     }
-    if (!skip) to.add(name, value);
+    if (!skip)
+      to.add(name, value);
   }
 }
 
@@ -198,32 +223,40 @@
   bool begun = false, told_to_go_on = false;
 };
 
-RequestReader::RequestReader(Limits limits) : limits_(limits), parser_(std::make_unique<Parser>()) {}
+RequestReader::RequestReader(Limits limits)
+    : limits_(limits), parser_(std::make_unique<Parser>()) {}
 RequestReader::~RequestReader() = default;
-bool RequestReader::begun() const { return parser_->begun; }
+bool RequestReader::begun() const {
+  return parser_->begun;
+}
 
 Read RequestReader::read(std::string& in) {
-  if (fault_.status != 0) return Read::bad;
+  if (fault_.status != 0)
+    return Read::bad;
   auto& parser = parser_->of;
   if (!parser) {
     // Empty lines before a request are to be passed over (RFC 9112, 2.2).
     std::size_t blank = 0;
-    while (in.compare(blank, 2, "\r\n") == 0) blank += 2;
+    while (in.compare(blank, 2, "\r\n") == 0)
+      blank += 2;
     in.erase(0, blank);
-    if (in.empty()) return Read::more;
+    if (in.empty())
+      return Read::more;
     parser.emplace();
     parser->header_limit(static_cast<std::uint32_t>(limits_.header));
     parser->body_limit(limits_.body);
     parser_->begun = true;
     parser_->told_to_go_on = false;
   }
-  if (in.empty()) return Read::more;
+  if (in.empty())
+    return Read::more;
   Error error;
   feed(*parser, in, limits_.body, error);
   if (error == beast::error::need_more) {
-    // What the parser leaves is one line without its end, of the head or before a chunk: guards against one
-    // that never ends.
-    if (in.size() <= limits_.header) return Read::more;
+    // What the parser leaves is one line without its end, of the head or before a chunk: guards
+    // against one that never ends.
+    if (in.size() <= limits_.header)
+      return Read::more;
     error = beast::error::header_limit;
   }
   if (error) {
@@ -231,7 +264,8 @@
     return Read::bad;
   }
   if (parser->is_header_done()) {
-    // Guards against two readings of where a request ends (RFC 9112, 6.1): one could hide another in it.
+    // Guards against two readings of where a request ends (RFC 9112, 6.1): one could hide another
+    // in it.
     auto& message = parser->get();
     if (message.count(beast::field::transfer_encoding) > 0 &&
         (!parser->chunked() || message.count(beast::field::content_length) > 0)) {
@@ -244,9 +278,11 @@
 
 bool RequestReader::wants_continue() {
   auto& parser = parser_->of;
-  if (!parser || parser_->told_to_go_on || !parser->is_header_done() || parser->is_done()) return false;
+  if (!parser || parser_->told_to_go_on || !parser->is_header_done() || parser->is_done())
+    return false;
   auto& message = parser->get();
-  if (message.version() < 11 || !same_word(view(message[beast::field::expect]), "100-continue")) return false;
+  if (message.version() < 11 || !same_word(view(message[beast::field::expect]), "100-continue"))
+    return false;
   return parser_->told_to_go_on = true;
 }
 
@@ -269,7 +305,8 @@
   std::optional<beast::response_parser<beast::string_body>> of{};
 };
 
-ResponseReader::ResponseReader(Limits limits) : limits_(limits), parser_(std::make_unique<Parser>()) {}
+ResponseReader::ResponseReader(Limits limits)
+    : limits_(limits), parser_(std::make_unique<Parser>()) {}
 ResponseReader::~ResponseReader() = default;
 
 void ResponseReader::expect(bool head_only) {
@@ -279,11 +316,13 @@
   parser_->of.emplace();
   parser_->of->header_limit(static_cast<std::uint32_t>(limits_.header));
   parser_->of->body_limit(limits_.body);
-  if (head_only) parser_->of->skip(true);
+  if (head_only)
+    parser_->of->skip(true);
 }
 
 Read ResponseReader::read(std::string& in, bool ended) {
-  if (fault_.status != 0) return Read::bad;
+  if (fault_.status != 0)
+    return Read::bad;
   auto& parser = *parser_->of;
   Error error;
   if (!in.empty()) {
@@ -291,10 +330,12 @@
     feed(parser, in, limits_.body, error);
     if (error == beast::error::need_more) {
       error = {};
-      if (in.size() > limits_.header) error = beast::error::header_limit;
+      if (in.size() > limits_.header)
+        error = beast::error::header_limit;
     }
   }
-  if (!error && ended && !parser.is_done()) parser.put_eof(error);
+  if (!error && ended && !parser.is_done())
+    parser.put_eof(error);
   if (error) {
     fault_ = fault_of(error);
     return Read::bad;
@@ -303,7 +344,8 @@
     fault_ = {400, "an answer without a length"};
     return Read::bad;
   }
-  if (!parser.is_done()) return Read::more;
+  if (!parser.is_done())
+    return Read::more;
   // An interim answer (100, 103) is not the answer.
   if (unsigned status = parser.get().result_int(); status >= 100 && status < 200 && status != 101) {
     expect(head_only_);
@@ -342,9 +384,12 @@
 
 Read StreamReader::read(std::string& in) {
   Error error;
-  if (!in.empty()) feed(parser_->of, in, limits_.body, error);
-  if (error && error != beast::error::need_more) return Read::bad;
-  if (in.size() > limits_.header) return Read::bad;  // one line without its end
+  if (!in.empty())
+    feed(parser_->of, in, limits_.body, error);
+  if (error && error != beast::error::need_more)
+    return Read::bad;
+  if (in.size() > limits_.header)
+    return Read::bad;  // one line without its end
   if (parser_->of.is_header_done()) {
     body_ += parser_->of.get().body();
     parser_->of.get().body().clear();
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 messages (RFC 9110, 9112) as plain values, and their framing on plain buffers by Boost.Beast's
-// parser. No sockets here.
+// HTTP/1.1 messages (RFC 9110, 9112) as plain values, and their framing on plain buffers by
+// Boost.Beast's parser. No sockets here.
 #pragma once
 #include <cstddef>
 #include <memory>
@@ -43,7 +43,8 @@
 
 struct Limits {
   std::size_t header = 16 * 1024, body = 1024 * 1024;  // bytes
-  bool framed = false;  // an answer whose end is only the connection's is none: it can't be told from a part
+  bool framed =
+      false;  // an answer whose end is only the connection's is none: it can't be told from a part
 };
 
 std::string_view reason(int status);
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -7,16 +7,16 @@
 namespace robinhoist::http {
 namespace {
 constexpr Duration asking_for = std::chrono::milliseconds(50);
-// How soon a client's close is seen behind bytes that we don't read: an attempt may begin 100 ms after it at
-// most.
+// How soon a client's close is seen behind bytes that we don't read: an attempt may begin 100 ms
+// after it at most.
 constexpr Duration gone_seen = std::chrono::milliseconds(50);
 // For a client to end its side too after its last answer.
 constexpr Duration lingers = std::chrono::seconds(1);
 constexpr int tries_for_room = 8;  // clients looked at that turn out to have just asked
 }  // namespace
 
-// A client's connection. One request is with the handler at a time; others wait in the buffer, and reading
-// stops while it holds more than one head may have.
+// A client's connection. One request is with the handler at a time; others wait in the buffer, and
+// reading stops while it holds more than one head may have.
 class Client : public net::Stream::Owner, public std::enable_shared_from_this<Client> {
  public:
   Client(Server& server, int fd) : server_(&server), reader_(server.settings_.limits) {
@@ -32,31 +32,39 @@
 
   // What closing it would cost, the least first.
   enum class Spare { lingers, idle, half_asked };
-  // Nothing is owed to one that lingers or is idle, and no answer yet to one whose request is not whole.
-  // None: it has a request open, or an answer that is not written.
+  // Nothing is owed to one that lingers or is idle, and no answer yet to one whose request is not
+  // whole. None: it has a request open, or an answer that is not written.
   std::optional<std::pair<Spare, TimePoint>> spare() const {
-    if (open_ || stream_->unwritten() > 0) return {};
-    return std::pair(closing_ ? Spare::lingers : reader_.begun() ? Spare::half_asked : Spare::idle, since_);
+    if (open_ || stream_->unwritten() > 0)
+      return {};
+    return std::pair(closing_          ? Spare::lingers
+                     : reader_.begun() ? Spare::half_asked
+                                       : Spare::idle,
+                     since_);
   }
   // Whether a request is on its way into this process: then it is not to be closed as idle.
   bool asking() {
-    if (stream_->quiet()) return false;
+    if (stream_->quiet())
+      return false;
     since_ = server_->loop_.now();
     return true;
   }
 
   void on_bytes(net::Stream&) override { next(); }
   void on_written(net::Stream&) override {
-    if (open_ || closing_) return;
+    if (open_ || closing_)
+      return;
     auto self = shared_from_this();
     stream_->read(true);
     next();
-    if (server_ && server_->leaving()) close_if_idle();
+    if (server_ && server_->leaving())
+      close_if_idle();
   }
   void on_closed(net::Stream&, net::Closed) override { leave(); }
 
   void answer(Response response) {
-    if (!server_) return;
+    if (!server_)
+      return;
     response.keep_alive = response.keep_alive && keep_alive_ && !server_->leaving();
     std::string out;  // not kept: answers may be large, and clients many
     put(out, response, head_only_);
@@ -67,14 +75,16 @@
   }
 
   void begin_stream(const Response& head) {
-    if (!server_) return;
+    if (!server_)
+      return;
     out_.clear();
     put_head(out_, head);
     stream_->write(out_);
   }
 
   bool piece(std::string_view bytes) {
-    if (!server_) return false;
+    if (!server_)
+      return false;
     out_.clear();
     put_chunk(out_, bytes);
     stream_->write(out_);
@@ -82,7 +92,8 @@
   }
 
   void last(std::string_view bytes) {
-    if (!server_) return;
+    if (!server_)
+      return;
     out_.clear();
     put_chunk(out_, bytes);
     put_last_chunk(out_);
@@ -91,7 +102,8 @@
   }
 
   void leave(bool reset = false) {
-    if (!server_) return;
+    if (!server_)
+      return;
     auto self = shared_from_this();
     Server* server = server_;
     server_ = nullptr;
@@ -103,15 +115,19 @@
 
   void close_if_idle() {
     const auto now = spare();
-    if (server_ && now && now->first == Spare::idle && !asking()) leave();
+    if (server_ && now && now->first == Spare::idle && !asking())
+      leave();
   }
 
   // Its place is needed.
   void make_way() {
     const auto now = spare();
-    if (!server_ || !now) return;
-    if (now->first == Spare::idle) return close_if_idle();
-    if (now->first == Spare::half_asked) refuse(503, "no room: come again");
+    if (!server_ || !now)
+      return;
+    if (now->first == Spare::idle)
+      return close_if_idle();
+    if (now->first == Spare::half_asked)
+      refuse(503, "no room: come again");
     leave();
   }
 
@@ -121,7 +137,8 @@
   void gone() {
     auto exchange = open_;
     open_ = nullptr;
-    if (exchange && exchange->on_gone) exchange->on_gone();
+    if (exchange && exchange->on_gone)
+      exchange->on_gone();
   }
 
   void after(bool keep) {
@@ -129,16 +146,19 @@
     if (!keep) {
       closing_ = true;
       stream_->finish();
-      // A client that does not read its last answer, or does not end its side, is not waited for without end.
+      // A client that does not read its last answer, or does not end its side, is not waited for
+      // without end.
       since_ = server_->loop_.now();
       wait(stream_->unwritten() > 0 ? server_->settings_.head_within : lingers);
       return;
     }
     since_ = server_->loop_.now();
     wait(server_->settings_.idle_for);
-    if (in_handler_) return;
+    if (in_handler_)
+      return;
     stream_->read(true);
-    if (!stream_->in().empty()) next();
+    if (!stream_->in().empty())
+      next();
   }
 
   void refuse(int status, const std::string& why) {
@@ -153,13 +173,17 @@
     auto self = shared_from_this();
     while (server_ && !open_ && !closing_) {
       // A client that does not read its answers gets no further ones.
-      if (stream_->unwritten() > server_->settings_.stream_backlog) return stream_->read(false);
+      if (stream_->unwritten() > server_->settings_.stream_backlog)
+        return stream_->read(false);
       const bool had_begun = reader_.begun();
       Read read = reader_.read(stream_->in());
-      if (read == Read::bad) return refuse(reader_.fault().status, reader_.fault().why);
-      if (reader_.wants_continue()) stream_->write("HTTP/1.1 100 Continue\r\n\r\n");
+      if (read == Read::bad)
+        return refuse(reader_.fault().status, reader_.fault().why);
+      if (reader_.wants_continue())
+        stream_->write("HTTP/1.1 100 Continue\r\n\r\n");
       if (read == Read::more) {
-        if (reader_.begun() && !had_begun && !(first_ && server_->settings_.first_within > Duration{}))
+        if (reader_.begun() && !had_begun &&
+            !(first_ && server_->settings_.first_within > Duration{}))
           wait(server_->settings_.head_within);
         return stream_->read(true);
       }
@@ -167,7 +191,8 @@
       server_->loop_.cancel(timer_);
       keep_alive_ = request.keep_alive;
       head_only_ = request.method == "HEAD";
-      open_ = std::make_shared<Exchange>(weak_from_this(), std::move(request), server_->loop_.now());
+      open_ =
+          std::make_shared<Exchange>(weak_from_this(), std::move(request), server_->loop_.now());
       open_->first = std::exchange(first_, false);
       in_handler_ = true;
       server_->handler_(ExchangePtr(open_));
@@ -179,12 +204,14 @@
     }
   }
 
-  // While nothing is read, a close is looked for: guards against work begun for a client that has left.
+  // While nothing is read, a close is looked for: guards against work begun for a client that has
+  // left.
   void watch_gone() {
     server_->loop_.cancel(timer_);
     timer_ = server_->loop_.in(gone_seen, [this] {
       timer_ = net::Loop::no_timer;
-      if (stream_->peer_ended()) return leave();
+      if (stream_->peer_ended())
+        return leave();
       watch_gone();
     });
   }
@@ -193,7 +220,8 @@
     server_->loop_.cancel(timer_);
     timer_ = server_->loop_.in(span, [this] {
       timer_ = net::Loop::no_timer;
-      if (!closing_ && reader_.begun()) return refuse(408, "the request took too long to come");
+      if (!closing_ && reader_.begun())
+        return refuse(408, "the request took too long to come");
       // One that does not read its answers is not asking: what it has sent stays unread.
       if (!closing_ && stream_->unwritten() == 0 && asking() && stream_->in().empty())
         return wait(asking_for);
@@ -212,7 +240,8 @@
 };
 
 Exchange::~Exchange() {
-  if (answered_) return;
+  if (answered_)
+    return;
   if (auto client = client_.lock()) {
     answered_ = true;
     client->answer(text_answer(500, "the request got lost inside\n"));
@@ -220,21 +249,27 @@
 }
 
 void Exchange::answer(Response response) {
-  if (answered_) return;
+  if (answered_)
+    return;
   answered_ = true;
-  if (auto client = client_.lock()) client->answer(std::move(response));
+  if (auto client = client_.lock())
+    client->answer(std::move(response));
 }
 
 void Exchange::hang_up() {
-  if (answered_ && !streaming_) return;
+  if (answered_ && !streaming_)
+    return;
   answered_ = true;
-  if (auto client = client_.lock()) client->leave(true);
+  if (auto client = client_.lock())
+    client->leave(true);
 }
 
 void Exchange::begin_stream(Response head) {
-  if (answered_) return;
+  if (answered_)
+    return;
   answered_ = streaming_ = true;
-  if (auto client = client_.lock()) client->begin_stream(head);
+  if (auto client = client_.lock())
+    client->begin_stream(head);
 }
 
 bool Exchange::write(std::string_view piece) {
@@ -243,9 +278,11 @@
 }
 
 void Exchange::end(std::string_view last) {
-  if (!streaming_) return;
+  if (!streaming_)
+    return;
   streaming_ = false;
-  if (auto client = client_.lock()) client->last(last);
+  if (auto client = client_.lock())
+    client->last(last);
 }
 
 std::size_t Exchange::unwritten() const {
@@ -254,10 +291,15 @@
 }
 
 Server::Server(net::Loop& loop, const ServerSettings& settings, Handler handler)
-    : loop_(loop), settings_(settings), handler_(std::move(handler)),
-      listener_(std::make_unique<net::Listener>(loop, settings.listen, [this](int fd) { accepted(fd); })) {}
-
-Server::~Server() { cut(); }
+    : loop_(loop),
+      settings_(settings),
+      handler_(std::move(handler)),
+      listener_(std::make_unique<net::Listener>(loop, settings.listen,
+                                                [this](int fd) { accepted(fd); })) {}
+
+Server::~Server() {
+  cut();
+}
 
 void Server::accepted(int fd) {
   if (draining_ || (clients_.size() >= settings_.most_clients && !room())) {
@@ -271,13 +313,17 @@
 }
 
 bool Server::room() {
-  if (!settings_.make_room) return false;
-  for (int tries = 0; tries < tries_for_room && clients_.size() >= settings_.most_clients; ++tries) {
+  if (!settings_.make_room)
+    return false;
+  for (int tries = 0; tries < tries_for_room && clients_.size() >= settings_.most_clients;
+       ++tries) {
     std::shared_ptr<Client> first;
     std::optional<std::pair<Client::Spare, TimePoint>> least;
     for (auto& client : clients_)
-      if (auto spare = client->spare(); spare && (!least || *spare < *least)) first = client, least = spare;
-    if (!first) return false;
+      if (auto spare = client->spare(); spare && (!least || *spare < *least))
+        first = client, least = spare;
+    if (!first)
+      return false;
     first->make_way();
   }
   return clients_.size() < settings_.most_clients;
@@ -299,12 +345,14 @@
 void Server::close_idle(std::size_t left) {
   auto clients = clients_;
   for (auto& client : clients)
-    if (clients_.size() > left) client->close_if_idle();
+    if (clients_.size() > left)
+      client->close_if_idle();
 }
 
 void Server::cut() {
   auto clients = clients_;
-  for (auto& client : clients) client->leave(true);
+  for (auto& client : clients)
+    client->leave(true);
 }
 
 Response text_answer(int status, std::string_view text) {
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,6 +1,6 @@
-// An HTTP/1.1 server on a Loop. Each request goes to the handler as an Exchange, which is answered now or
-// later, once; answers leave in the order of the requests. A client that sends what is no request gets one
-// clear answer and a closed connection.
+// An HTTP/1.1 server on a Loop. Each request goes to the handler as an Exchange, which is answered
+// now or later, once; answers leave in the order of the requests. A client that sends what is no
+// request gets one clear answer and a closed connection.
 #pragma once
 #include <functional>
 #include <memory>
@@ -19,15 +19,18 @@
   std::size_t most_clients = 10000;
   Duration head_within = std::chrono::seconds(10);  // for a request to have come whole, once begun
   Duration idle_for = std::chrono::seconds(60);     // between two requests
-  Duration first_within{};  // for the first to have come whole since the connection; 0: as any other
-  bool make_room = false;    // at the most, the client that has been idle for longest makes room for another
+  Duration
+      first_within{};  // for the first to have come whole since the connection; 0: as any other
+  bool make_room =
+      false;  // at the most, the client that has been idle for longest makes room for another
   std::size_t stream_backlog = 256 * 1024;  // bytes unread by a client of a stream before it is cut
 };
 
 class Server;
 class Client;
 
-// One request and its answer. Holding it costs nothing but memory; dropping it unanswered answers 500.
+// One request and its answer. Holding it costs nothing but memory; dropping it unanswered answers
+// 500.
 class Exchange {
  public:
   Exchange(std::weak_ptr<Client> client, Request request, TimePoint at)
@@ -36,7 +39,8 @@
   void answer(Response response);
   // Closes the connection without an answer, as one that broke.
   void hang_up();
-  // A stream of pieces in place of one answer; ends with end() or when the client goes or reads too slowly.
+  // A stream of pieces in place of one answer; ends with end() or when the client goes or reads too
+  // slowly.
   void begin_stream(Response head);
   bool write(std::string_view piece);  // false: cut, for the client was too slow, or gone
   void end(std::string_view last = {});
@@ -45,9 +49,10 @@
   bool gone() const { return client_.expired(); }
 
   Request request;
-  TimePoint at;                     // when it had come whole
-  std::function<void()> on_gone{};  // the client has left before the answer, or the stream has ended
-  bool first = false;               // the first on its connection
+  TimePoint at;  // when it had come whole
+  std::function<void()>
+      on_gone{};       // the client has left before the answer, or the stream has ended
+  bool first = false;  // the first on its connection
 
  private:
   friend class Client;
@@ -65,7 +70,8 @@
   std::size_t clients() const { return clients_.size(); }
   long starved() const { return listener_->starved(); }
   long refused() const { return refused_; }
-  // Takes new clients still, but each leaves after its next answer, and those without a request at once.
+  // Takes new clients still, but each leaves after its next answer, and those without a request at
+  // once.
   void retire();
   // Takes no new clients; those it has are closed once they have no request open.
   void drain();
--- a/src/http/stream_caller.h
+++ b/src/http/stream_caller.h
@@ -1,5 +1,5 @@
-// The client's side of an endless answer (a watch): one connection, the bytes of the body as they come, and
-// one word at the end. Whoever follows a watch calls again, from where it stands.
+// The client's side of an endless answer (a watch): one connection, the bytes of the body as they
+// come, and one word at the end. Whoever follows a watch calls again, from where it stands.
 #pragma once
 #include <functional>
 #include <memory>
@@ -13,10 +13,11 @@
 
 class StreamCaller : public net::Stream::Owner {
  public:
-  // `status` is 0 when no head came; `body` holds what came last, whole for an answer that is no stream.
+  // `status` is 0 when no head came; `body` holds what came last, whole for an answer that is no
+  // stream.
   using Ended = std::function<void(int status, const std::string& body)>;
-  // Takes what it can use from the front; whether that was a sign of life: bytes that never make a whole are
-  // none.
+  // Takes what it can use from the front; whether that was a sign of life: bytes that never make a
+  // whole are none.
   using Piece = std::function<bool(std::string& body)>;
   // How long no sign of life may come: from the start, and from one to the next.
   struct Silence {
@@ -28,8 +29,9 @@
   StreamCaller(const StreamCaller&) = delete;
   StreamCaller& operator=(const StreamCaller&) = delete;
 
-  // Ends what went on before without a word. Silence longer than that ends it: guards against a peer that is
-  // gone without its connection being closed, and against a connection that never comes up.
+  // Ends what went on before without a word. Silence longer than that ends it: guards against a
+  // peer that is gone without its connection being closed, and against a connection that never
+  // comes up.
   void start(const Request& request, const Silence& silence, Piece piece, Ended ended);
   void stop();
   bool running() const { return stream_ != nullptr; }
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -7,7 +7,7 @@
 namespace robinhoist::journal {
 namespace {
 
-constexpr int deleted = 2;  // of ObjectChange::change
+constexpr int deleted = 2;                            // of ObjectChange::change
 constexpr int version = 3, application = 0x726f6269;  // "robi"
 
 std::int64_t now_ms() {
@@ -20,7 +20,8 @@
 class Query {
  public:
   Query(sqlite3* db, const char* sql) : db_(db) {
-    if (sqlite3_prepare_v2(db, sql, -1, &statement_, nullptr) != SQLITE_OK) fail();
+    if (sqlite3_prepare_v2(db, sql, -1, &statement_, nullptr) != SQLITE_OK)
+      fail();
   }
   ~Query() { sqlite3_finalize(statement_); }
   Query(const Query&) = delete;
@@ -30,16 +31,19 @@
     return *this;
   }
   Query& bind(const std::string& value) {
-    sqlite3_bind_text(statement_, ++bound_, value.data(), static_cast<int>(value.size()), SQLITE_TRANSIENT);
+    sqlite3_bind_text(statement_, ++bound_, value.data(), static_cast<int>(value.size()),
+                      SQLITE_TRANSIENT);
     return *this;
   }
   bool row() {
     const int code = sqlite3_step(statement_);
-    if (code != SQLITE_ROW && code != SQLITE_DONE) fail();
+    if (code != SQLITE_ROW && code != SQLITE_DONE)
+      fail();
     return code == SQLITE_ROW;
   }
   void done() {
-    while (row()) {}
+    while (row()) {
+    }
   }
   std::int64_t number(int column) { return sqlite3_column_int64(statement_, column); }
   std::string text(int column) {
@@ -64,7 +68,8 @@
  public:
   explicit Transaction(sqlite3* db) : db_(db) { Query(db, "BEGIN IMMEDIATE").done(); }
   ~Transaction() {
-    if (!over_) sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
+    if (!over_)
+      sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
   }
   void commit() {
     Query(db_, "COMMIT").done();
@@ -79,14 +84,16 @@
 }  // namespace
 
 Journal::Journal(const std::string& file) : file_(file) {
-  if (sqlite3_open_v2(file.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr) != SQLITE_OK) {
+  if (sqlite3_open_v2(file.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr) !=
+      SQLITE_OK) {
     const std::string why = db_ ? sqlite3_errmsg(db_) : "out of memory";
     sqlite3_close(db_);
     throw Failed(file + ": can't be opened: " + why);
   }
   try {
     sqlite3_busy_timeout(db_, 2000);
-    // Each statement ends before the next: one that is still open keeps the mode from being changed.
+    // Each statement ends before the next: one that is still open keeps the mode from being
+    // changed.
     const auto number = [&](const char* sql) {
       Query query(db_, sql);
       query.row();
@@ -95,14 +102,16 @@
     const std::int64_t kind = number("PRAGMA application_id");
     const int found = static_cast<int>(number("PRAGMA user_version"));
     const bool fresh = number("SELECT count(*) FROM sqlite_master") == 0;
-    if (!fresh && kind != application) throw Failed("is a database of something else");
+    if (!fresh && kind != application)
+      throw Failed("is a database of something else");
     if (found > version)
       throw Failed("is of version " + std::to_string(found) + ", newer than this program's " +
-                          std::to_string(version));
+                   std::to_string(version));
     if (!fresh) {
       Query check(db_, "PRAGMA quick_check(1)");
       check.row();
-      if (check.text(0) != "ok") throw Failed("is damaged: " + check.text(0));
+      if (check.text(0) != "ok")
+        throw Failed("is damaged: " + check.text(0));
     }
     run("PRAGMA journal_mode=WAL");
     run("PRAGMA synchronous=FULL");
@@ -114,22 +123,31 @@
   }
 }
 
-Journal::~Journal() { sqlite3_close(db_); }
+Journal::~Journal() {
+  sqlite3_close(db_);
+}
 
-void Journal::run(const std::string& sql) const { Query(db_, sql.c_str()).done(); }
+void Journal::run(const std::string& sql) const {
+  Query(db_, sql.c_str()).done();
+}
 
 void Journal::migrate(int from) {
-  if (from == version) return;
+  if (from == version)
+    return;
   Transaction all(db_);
   if (from < 1) {
     run("PRAGMA application_id=" + std::to_string(application));
-    run("CREATE TABLE entries (id INTEGER PRIMARY KEY, at_ms INTEGER NOT NULL, build INTEGER NOT NULL, step "
+    run("CREATE TABLE entries (id INTEGER PRIMARY KEY, at_ms INTEGER NOT NULL, build INTEGER NOT "
+        "NULL, step "
         "TEXT NOT "
-        "NULL, what TEXT NOT NULL, direction TEXT NOT NULL, outcome TEXT NOT NULL, after INTEGER NOT NULL, "
+        "NULL, what TEXT NOT NULL, direction TEXT NOT NULL, outcome TEXT NOT NULL, after INTEGER "
+        "NOT NULL, "
         "token "
         "INTEGER NOT NULL, attempt INTEGER NOT NULL, digest TEXT NOT NULL)");
-    run("CREATE TABLE plans (build INTEGER PRIMARY KEY, text TEXT NOT NULL, at_ms INTEGER NOT NULL)");
-    run("CREATE TABLE lease (id INTEGER PRIMARY KEY CHECK (id = 1), holder TEXT NOT NULL, token INTEGER NOT "
+    run("CREATE TABLE plans (build INTEGER PRIMARY KEY, text TEXT NOT NULL, at_ms INTEGER NOT "
+        "NULL)");
+    run("CREATE TABLE lease (id INTEGER PRIMARY KEY CHECK (id = 1), holder TEXT NOT NULL, token "
+        "INTEGER NOT "
         "NULL, "
         "until_ms INTEGER NOT NULL)");
     run("CREATE TABLE state (key TEXT PRIMARY KEY, value TEXT NOT NULL)");
@@ -142,9 +160,11 @@
   }
   if (from < 3) {
     run("CREATE TABLE objects (name TEXT PRIMARY KEY, body TEXT NOT NULL)");
-    run("CREATE TABLE changes (version INTEGER PRIMARY KEY, change INTEGER NOT NULL, name TEXT NOT NULL, body "
+    run("CREATE TABLE changes (version INTEGER PRIMARY KEY, change INTEGER NOT NULL, name TEXT NOT "
+        "NULL, body "
         "TEXT NOT NULL, before TEXT NOT NULL)");
-    run("CREATE TABLE requests (key TEXT PRIMARY KEY, digest TEXT NOT NULL, name TEXT NOT NULL, at_ms INTEGER "
+    run("CREATE TABLE requests (key TEXT PRIMARY KEY, digest TEXT NOT NULL, name TEXT NOT NULL, "
+        "at_ms INTEGER "
         "NOT NULL)");
     run("CREATE INDEX requests_by_age ON requests (at_ms)");
   }
@@ -154,7 +174,8 @@
 
 void Journal::write(const Entry& entry) {
   Query(db_,
-        "INSERT INTO entries (at_ms, build, step, what, direction, outcome, after, token, attempt, digest, "
+        "INSERT INTO entries (at_ms, build, step, what, direction, outcome, after, token, attempt, "
+        "digest, "
         "who, "
         "why) VALUES (?,?,?,?,?,?,?,?,?,?,?,?)")
       .bind(now_ms())
@@ -174,7 +195,8 @@
 
 namespace {
 constexpr const char* columns =
-    "SELECT id, at_ms, build, step, what, direction, outcome, after, token, attempt, digest, who, why FROM "
+    "SELECT id, at_ms, build, step, what, direction, outcome, after, token, attempt, digest, who, "
+    "why FROM "
     "entries ";
 
 std::vector<Entry> read(Query& query) {
@@ -215,16 +237,18 @@
 // A step that is known to have changed nothing, or was undone, may still be written anew.
 std::map<std::string, std::string> Journal::applied() const {
   std::map<std::string, std::string> digests;
-  Query query(
-      db_,
-      "SELECT build, step, digest, what, direction, outcome, after FROM entries WHERE what IN ('intent', "
-      "'ended') ORDER BY id");
+  Query query(db_,
+              "SELECT build, step, digest, what, direction, outcome, after FROM entries WHERE what "
+              "IN ('intent', "
+              "'ended') ORDER BY id");
   while (query.row()) {
     const std::string step = query.text(0) + "/" + query.text(1);
     const bool apply = query.text(4) == "apply";
     if (query.text(3) == "intent") {
-      if (apply) digests[step] = query.text(2);
-    } else if (apply ? query.text(5) == "not-run" && query.number(6) == 0 : query.text(5) == "done") {
+      if (apply)
+        digests[step] = query.text(2);
+    } else if (apply ? query.text(5) == "not-run" && query.number(6) == 0
+                     : query.text(5) == "done") {
       digests.erase(step);
     }
   }
@@ -232,10 +256,10 @@
 }
 
 void Journal::keep_plan(int build, const std::string& text, const std::string& who) {
-  Query(
-      db_,
-      "INSERT INTO plans (build, text, at_ms, who) VALUES (?,?,?,?) ON CONFLICT (build) DO UPDATE SET text = "
-      "excluded.text, at_ms = excluded.at_ms, who = excluded.who")
+  Query(db_,
+        "INSERT INTO plans (build, text, at_ms, who) VALUES (?,?,?,?) ON CONFLICT (build) DO "
+        "UPDATE SET text = "
+        "excluded.text, at_ms = excluded.at_ms, who = excluded.who")
       .bind(build)
       .bind(text)
       .bind(now_ms())
@@ -246,24 +270,28 @@
 std::map<int, std::string> Journal::plans() const {
   std::map<int, std::string> plans;
   Query query(db_, "SELECT build, text FROM plans");
-  while (query.row()) plans[static_cast<int>(query.number(0))] = query.text(1);
+  while (query.row())
+    plans[static_cast<int>(query.number(0))] = query.text(1);
   return plans;
 }
 
-std::optional<std::int64_t> Journal::take_lease(const std::string& who, std::int64_t now, std::int64_t span) {
+std::optional<std::int64_t> Journal::take_lease(const std::string& who, std::int64_t now,
+                                                std::int64_t span) {
   Transaction all(db_);
   std::int64_t token = 0;
   {
     Query query(db_, "SELECT holder, token, until_ms FROM lease");
     if (query.row()) {
       const bool runs = query.number(2) > now && query.number(2) <= now + 2 * span;
-      if (runs && query.text(0) != who) return {};
+      if (runs && query.text(0) != who)
+        return {};
       token = query.number(1);
     }
   }
   ++token;
   Query(db_,
-        "INSERT INTO lease (id, holder, token, until_ms) VALUES (1,?,?,?) ON CONFLICT (id) DO UPDATE SET "
+        "INSERT INTO lease (id, holder, token, until_ms) VALUES (1,?,?,?) ON CONFLICT (id) DO "
+        "UPDATE SET "
         "holder = "
         "excluded.holder, token = excluded.token, until_ms = excluded.until_ms")
       .bind(who)
@@ -274,7 +302,8 @@
   return token;
 }
 
-bool Journal::renew_lease(const std::string& who, std::int64_t token, std::int64_t now, std::int64_t span) {
+bool Journal::renew_lease(const std::string& who, std::int64_t token, std::int64_t now,
+                          std::int64_t span) {
   Query(db_, "UPDATE lease SET until_ms = ? WHERE holder = ? AND token = ?")
       .bind(now + span)
       .bind(who)
@@ -316,14 +345,16 @@
         .bind(now_ms())
         .done();
   }
-  if (commit.state) put(commit.state->first, commit.state->second);
+  if (commit.state)
+    put(commit.state->first, commit.state->second);
   all.commit();
 }
 
 std::map<std::string, std::string> Journal::objects() const {
   std::map<std::string, std::string> objects;
   Query query(db_, "SELECT name, body FROM objects");
-  while (query.row()) objects[query.text(0)] = query.text(1);
+  while (query.row())
+    objects[query.text(0)] = query.text(1);
   return objects;
 }
 
@@ -331,8 +362,8 @@
   std::vector<ObjectChange> changes;
   Query query(db_, "SELECT version, change, name, body, before FROM changes ORDER BY version");
   while (query.row())
-    changes.push_back({query.number(0), static_cast<int>(query.number(1)), query.text(2), query.text(3),
-                       query.text(4)});
+    changes.push_back({query.number(0), static_cast<int>(query.number(1)), query.text(2),
+                       query.text(3), query.text(4)});
   return changes;
 }
 
@@ -345,13 +376,15 @@
 std::optional<RequestKey> Journal::request(const std::string& key) const {
   Query query(db_, "SELECT digest, name FROM requests WHERE key = ?");
   query.bind(key);
-  if (!query.row()) return {};
+  if (!query.row())
+    return {};
   return RequestKey{key, query.text(0), query.text(1)};
 }
 
 void Journal::put(const std::string& key, const std::string& value) {
   Query(db_,
-        "INSERT INTO state (key, value) VALUES (?,?) ON CONFLICT (key) DO UPDATE SET value = excluded.value")
+        "INSERT INTO state (key, value) VALUES (?,?) ON CONFLICT (key) DO UPDATE SET value = "
+        "excluded.value")
       .bind(key)
       .bind(value)
       .done();
@@ -360,11 +393,14 @@
 std::optional<std::string> Journal::get(const std::string& key) const {
   Query query(db_, "SELECT value FROM state WHERE key = ?");
   query.bind(key);
-  if (!query.row()) return {};
+  if (!query.row())
+    return {};
   return query.text(0);
 }
 
-void Journal::batch(bool begin) { run(begin ? "BEGIN" : "COMMIT"); }
+void Journal::batch(bool begin) {
+  run(begin ? "BEGIN" : "COMMIT");
+}
 
 void Journal::limit_pages(int more) {
   Query count(db_, "PRAGMA page_count");
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -1,6 +1,6 @@
-// What the runner of steps must not forget, in SQLite (WAL, synchronous=FULL): each intent before it acts,
-// each outcome after; plans; the lease of the one runner, with a fencing token that only grows; and the state
-// of the controller. Nothing here decides.
+// What the runner of steps must not forget, in SQLite (WAL, synchronous=FULL): each intent before
+// it acts, each outcome after; plans; the lease of the one runner, with a fencing token that only
+// grows; and the state of the controller. Nothing here decides.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,7 +14,8 @@
 
 namespace robinhoist::journal {
 
-// The journal can't be read or written, is of no known kind, or of a newer version; what() says which.
+// The journal can't be read or written, is of no known kind, or of a newer version; what() says
+// which.
 struct Failed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -58,13 +59,16 @@
   void keep_plan(int build, const std::string& text, const std::string& who);
   std::map<int, std::string> plans() const;  // by build
 
-  // The token of the lease that `who` now holds; nothing while another's is running. Times in ms since 1970.
-  // A lease that ends implausibly late, for a clock has jumped, does not count.
-  std::optional<std::int64_t> take_lease(const std::string& who, std::int64_t now_ms, std::int64_t for_ms);
-  bool renew_lease(const std::string& who, std::int64_t token, std::int64_t now_ms, std::int64_t for_ms);
+  // The token of the lease that `who` now holds; nothing while another's is running. Times in ms
+  // since 1970. A lease that ends implausibly late, for a clock has jumped, does not count.
+  std::optional<std::int64_t> take_lease(const std::string& who, std::int64_t now_ms,
+                                         std::int64_t for_ms);
+  bool renew_lease(const std::string& who, std::int64_t token, std::int64_t now_ms,
+                   std::int64_t for_ms);
 
-  // Changes of objects, the key of the request that made one, and a state: all or nothing, durable when it
-  // returns. Keys older than `keys_for_ms` are forgotten, and all but the last `keep` changes let go.
+  // Changes of objects, the key of the request that made one, and a state: all or nothing, durable
+  // when it returns. Keys older than `keys_for_ms` are forgotten, and all but the last `keep`
+  // changes let go.
   struct Commit {
     std::vector<ObjectChange> changes{};
     std::optional<RequestKey> key{};
--- a/src/json/framing.h
+++ b/src/json/framing.h
@@ -1,5 +1,5 @@
-// Cuts a stream of JSON objects into whole ones, however they are laid out and in whatever pieces they come.
-// Whether an object makes sense is the parser's to say. Free of I/O.
+// Cuts a stream of JSON objects into whole ones, however they are laid out and in whatever pieces
+// they come. Whether an object makes sense is the parser's to say. Free of I/O.
 #pragma once
 #include <cstddef>
 #include <string_view>
@@ -13,15 +13,17 @@
   // An object longer than `most` is none.
   explicit Framer(std::size_t most) : most_(most) {}
 
-  // Looks on through what has come, from where it stopped. After `object` that is in object(); `bad`: what
-  // comes between objects is no space.
+  // Looks on through what has come, from where it stopped. After `object` that is in object();
+  // `bad`: what comes between objects is no space.
   Framed next(std::string_view in) {
     for (; at_ < in.size(); ++at_) {
       const char c = in[at_];
       if (depth_ == 0) {
         lines_ += c == '\n';
-        if (c == ' ' || c == '\t' || c == '\r' || c == '\n') continue;
-        if (c != '{') return Framed::bad;
+        if (c == ' ' || c == '\t' || c == '\r' || c == '\n')
+          continue;
+        if (c != '{')
+          return Framed::bad;
         begin_ = at_;
         depth_ = 1;
       } else if (at_ - begin_ >= most_) {
--- a/src/lab/hunt.cpp
+++ b/src/lab/hunt.cpp
@@ -21,13 +21,13 @@
 using day::Trouble;
 namespace fs = std::filesystem;
 
-// What may be drawn of each kind: the ranges of its part, size and extra, and the words that its notation has
-// for them.
+// What may be drawn of each kind: the ranges of its part, size and extra, and the words that its
+// notation has for them.
 struct Range {
   Kind kind;
   const char *size_word, *extra_word;
   double size_least, size_most, extra_least, extra_most;
-  bool part, spans;  // spans: size is in seconds
+  bool part, spans;  // durations: size is in seconds
 };
 constexpr Range ranges[] = {
     {Kind::crash, nullptr, nullptr, 0, 0, 0, 0, true, false},
@@ -45,11 +45,13 @@
     {Kind::controller_crash, nullptr, nullptr, 0, 0, 0, 0, false, false},
 };
 
-// A day on which everything is gone tells nothing: troubles of nodes and umpires hit half of them at most.
+// A day on which everything is gone tells nothing: troubles of endpoints and proxies hit half of
+// them at most.
 constexpr double part_least = 0.05, part_most = 0.5;
 
 const Range& range_of(Kind kind) {
-  return *std::find_if(std::begin(ranges), std::end(ranges), [&](auto& r) { return r.kind == kind; });
+  return *std::find_if(std::begin(ranges), std::end(ranges),
+                       [&](auto& r) { return r.kind == kind; });
 }
 
 class Draw {
@@ -59,17 +61,20 @@
   double between(double least, double most) { return least + part() * (most - least); }
   int below(std::size_t count) { return static_cast<int>(part() * static_cast<double>(count)); }
   Duration within(Duration least, Duration most) {
-    return std::chrono::milliseconds(
-        static_cast<long>(between(static_cast<double>(least / 1ms), static_cast<double>(most / 1ms))));
+    return std::chrono::milliseconds(static_cast<long>(
+        between(static_cast<double>(least / 1ms), static_cast<double>(most / 1ms))));
   }
   Trouble trouble() {
     const Range& range = ranges[below(std::size(ranges))];
     Trouble one{.kind = range.kind};
     one.at = within(0ms, base_.length * 8 / 10);
     one.lasts = within(200ms, base_.length / 2);
-    if (range.part) one.part = std::round(between(part_least, part_most) * 100) / 100;
-    if (range.size_word) one.size = std::round(between(range.size_least, range.size_most) * 100) / 100;
-    if (range.extra_word) one.extra = std::round(between(range.extra_least, range.extra_most) * 100) / 100;
+    if (range.part)
+      one.part = std::round(between(part_least, part_most) * 100) / 100;
+    if (range.size_word)
+      one.size = std::round(between(range.size_least, range.size_most) * 100) / 100;
+    if (range.extra_word)
+      one.extra = std::round(between(range.extra_least, range.extra_most) * 100) / 100;
     return one;
   }
   // One trouble moved, made anew, added or taken away.
@@ -81,9 +86,11 @@
       all.erase(all.begin() + below(all.size()));
     } else {
       Trouble& one = all[static_cast<std::size_t>(below(all.size()))];
-      if (how < 0.5) one = trouble();
+      if (how < 0.5)
+        one = trouble();
       else if (how < 0.7)
-        one.at = std::clamp<Duration>(one.at + within(0ms, 3s) - 1500ms, 0ms, base_.length * 9 / 10);
+        one.at =
+            std::clamp<Duration>(one.at + within(0ms, 3s) - 1500ms, 0ms, base_.length * 9 / 10);
       else if (how < 0.85)
         one.lasts = std::clamp<Duration>(one.lasts * (50 + below(150)) / 100, 100ms, base_.length);
       else if (range_of(one.kind).part)
@@ -97,24 +104,28 @@
   std::minstd_rand chance_;
 };
 
-Found judged(const day::Day& base, std::vector<Trouble> troubles, long seed, const std::string& folder) {
+Found judged(const day::Day& base, std::vector<Trouble> troubles, long seed,
+             const std::string& folder) {
   day::Day day = base;
   day.troubles = troubles;
   Found found;
   found.troubles = std::move(troubles);
   const emulator::Summary summary = emulator::run(day, seed, folder);
-  found.priority_weight = summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 100;
+  found.priority_weight =
+      summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 100;
   audit::Report report = audit::check(folder);
   if (!report.kept()) {
     std::istringstream lines(audit::shown(report));
     for (std::string line; std::getline(lines, line);)
-      if (line.find("broken") != std::string::npos) found.broken += (found.broken.empty() ? "" : "; ") + line;
+      if (line.find("broken") != std::string::npos)
+        found.broken += (found.broken.empty() ? "" : "; ") + line;
   }
   return found;
 }
 
 // Each of some candidates on a thread of its own, in the order given.
-std::vector<Found> all_judged(const day::Day& base, const std::vector<std::vector<Trouble>>& candidates,
+std::vector<Found> all_judged(const day::Day& base,
+                              const std::vector<std::vector<Trouble>>& candidates,
                               const HuntSettings& settings, const std::string& folder) {
   std::vector<Found> found(candidates.size());
   std::atomic<std::size_t> next{0};
@@ -124,11 +135,14 @@
       for (std::size_t at; (at = next++) < candidates.size();)
         found[at] = judged(base, candidates[at], settings.seed, folder + "/" + std::to_string(job));
     });
-  for (std::thread& thread : threads) thread.join();
+  for (std::thread& thread : threads)
+    thread.join();
   return found;
 }
 
-std::string spoken(Duration span) { return std::to_string(span / 1ms) + "ms"; }
+std::string spoken(Duration span) {
+  return std::to_string(span / 1ms) + "ms";
+}
 
 std::string number(double value) {
   std::ostringstream out;
@@ -149,13 +163,15 @@
     runs += static_cast<int>(candidates.size());
     bool better = false;
     for (Found& one : all_judged(base, candidates, settings, folder)) {
-      if (!one.worse_than(worst)) continue;
+      if (!one.worse_than(worst))
+        continue;
       worst = std::move(one);
       better = true;
     }
     if (better) {
       worst.runs = runs;
-      if (told) told(worst);
+      if (told)
+        told(worst);
     }
     return better;
   };
@@ -173,11 +189,12 @@
   }
   while (runs + batch <= settings.runs * 3 / 4) {
     std::vector<std::vector<Trouble>> some;
-    for (int i = 0; i < batch; ++i) some.push_back(draw.changed(worst.troubles, settings.troubles_most));
+    for (int i = 0; i < batch; ++i)
+      some.push_back(draw.changed(worst.troubles, settings.troubles_most));
     look(some);
   }
-  // Shrinking: whatever can be left out or made smaller while the day stays as bad, give or take a twentieth
-  // of the loss.
+  // Shrinking: whatever can be left out or made smaller while the day stays as bad, give or take a
+  // twentieth of the loss.
   const double bad_enough = 100 - 0.95 * (100 - worst.priority_weight);
   const bool breaks = !worst.broken.empty();
   const auto still = [&](const Found& one) {
@@ -205,7 +222,8 @@
     }
     runs += static_cast<int>(some.size());
     for (Found& one : all_judged(base, some, settings, folder)) {
-      if (!still(one)) continue;
+      if (!still(one))
+        continue;
       worst = std::move(one);
       smaller = true;
       break;  // the first that will do: leaving out comes before making smaller
@@ -225,15 +243,18 @@
   std::string added;
   for (const Trouble& one : troubles) {
     const Range& range = range_of(one.kind);
-    added += "\n  (trouble " + std::string(day::to_string(one.kind)) + " (at " + spoken(one.at) + ") (for " +
-             spoken(one.lasts) + ")";
-    if (range.part) added += " (part " + number(one.part) + ")";
+    added += "\n  (trouble " + std::string(day::to_string(one.kind)) + " (at " + spoken(one.at) +
+             ") (for " + spoken(one.lasts) + ")";
+    if (range.part)
+      added += " (part " + number(one.part) + ")";
     if (range.size_word)
-      added += " (" + std::string(range.size_word) + " " +
-               (range.spans ? spoken(Duration(static_cast<long>(one.size * 1e6))) : number(one.size)) + ")";
-    if (range.extra_word)
       added +=
-          " (" + std::string(range.extra_word) + " " + spoken(Duration(static_cast<long>(one.extra * 1e6))) + ")";
+          " (" + std::string(range.size_word) + " " +
+          (range.spans ? spoken(Duration(static_cast<long>(one.size * 1e6))) : number(one.size)) +
+          ")";
+    if (range.extra_word)
+      added += " (" + std::string(range.extra_word) + " " +
+               spoken(Duration(static_cast<long>(one.extra * 1e6))) + ")";
     added += ")";
   }
   text.insert(end, added);
--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -54,7 +54,8 @@
 }
 
 std::string shown(const Mean& mean) {
-  if (mean.count == 0) return "-";
+  if (mean.count == 0)
+    return "-";
   return shown(mean.mean) + (mean.count < 2 ? "" : " +- " + shown(mean.half));
 }
 
@@ -65,7 +66,8 @@
   std::pair<std::vector<double>, std::vector<double>> both;
   for (auto& [repetition, values] : a) {
     auto other = b.find(repetition);
-    if (other == b.end() || values.count(measure) == 0 || other->second.count(measure) == 0) continue;
+    if (other == b.end() || values.count(measure) == 0 || other->second.count(measure) == 0)
+      continue;
     both.first.push_back(values.at(measure));
     both.second.push_back(other->second.at(measure));
   }
@@ -75,27 +77,32 @@
 std::vector<double> values_of(const std::map<int, Values>& runs, const char* measure) {
   std::vector<double> values;
   for (auto& [repetition, of] : runs)
-    if (auto at = of.find(measure); at != of.end()) values.push_back(at->second);
+    if (auto at = of.find(measure); at != of.end())
+      values.push_back(at->second);
   return values;
 }
 
 std::string escaped(const std::string& text) {
   std::string out;
-  for (char c : text) out += c == '<' ? "&lt;" : c == '>' ? "&gt;" : c == '&' ? "&amp;" : std::string(1, c);
+  for (char c : text)
+    out += c == '<' ? "&lt;" : c == '>' ? "&gt;" : c == '&' ? "&amp;" : std::string(1, c);
   return out;
 }
 
 // An SVG by gnuplot; empty where it is missing.
 std::string plot(const std::string& script, const std::string& folder, const std::string& name) {
   const std::string svg = folder + "/" + name + ".svg", file = folder + "/" + name + ".gp";
-  std::ofstream(file) << "set terminal svg size 720,420 font 'sans,11'\nset output '" << svg << "'\n"
+  std::ofstream(file) << "set terminal svg size 720,420 font 'sans,11'\nset output '" << svg
+                      << "'\n"
                       << script;
   const char* words[] = {"gnuplot", file.c_str(), nullptr};
   pid_t pid = 0;
-  if (posix_spawnp(&pid, "gnuplot", nullptr, nullptr, const_cast<char**>(words), environ) != 0) return "";
+  if (posix_spawnp(&pid, "gnuplot", nullptr, nullptr, const_cast<char**>(words), environ) != 0)
+    return "";
   int status = 0;
   ::waitpid(pid, &status, 0);
-  if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) return "";
+  if (!WIFEXITED(status) || WEXITSTATUS(status) != 0)
+    return "";
   std::ifstream in(svg);
   std::ostringstream text;
   text << in.rdbuf();
@@ -106,15 +113,18 @@
 }  // namespace
 
 Results::Results(const std::string& file, const Experiment& experiment) {
-  if (sqlite3_open(file.c_str(), &db_) != SQLITE_OK) fail(db_, file);
+  if (sqlite3_open(file.c_str(), &db_) != SQLITE_OK)
+    fail(db_, file);
   sqlite3_busy_timeout(db_, 5000);
   const std::string digest = digest_of(experiment.digest);
   const char* make =
       "CREATE TABLE IF NOT EXISTS experiment (digest TEXT PRIMARY KEY);"
-      "CREATE TABLE IF NOT EXISTS runs (cell INTEGER, repetition INTEGER, measure TEXT, value REAL, PRIMARY "
+      "CREATE TABLE IF NOT EXISTS runs (cell INTEGER, repetition INTEGER, measure TEXT, value "
+      "REAL, PRIMARY "
       "KEY (cell, "
       "repetition, measure))";
-  if (sqlite3_exec(db_, make, nullptr, nullptr, nullptr) != SQLITE_OK) fail(db_, file);
+  if (sqlite3_exec(db_, make, nullptr, nullptr, nullptr) != SQLITE_OK)
+    fail(db_, file);
   std::string held;
   sqlite3_exec(
       db_, "SELECT digest FROM experiment",
@@ -129,17 +139,20 @@
         file +
         ": holds the results of another experiment, or of this one before it was changed; "
         "give another folder");
-  if (held.empty() && sqlite3_exec(db_, ("INSERT INTO experiment VALUES ('" + digest + "')").c_str(), nullptr,
-                                   nullptr, nullptr) != SQLITE_OK)
+  if (held.empty() &&
+      sqlite3_exec(db_, ("INSERT INTO experiment VALUES ('" + digest + "')").c_str(), nullptr,
+                   nullptr, nullptr) != SQLITE_OK)
     fail(db_, file);
 }
 
-Results::~Results() { sqlite3_close(db_); }
+Results::~Results() {
+  sqlite3_close(db_);
+}
 
 bool Results::has(int cell, int repetition) const {
   sqlite3_stmt* query = nullptr;
-  sqlite3_prepare_v2(db_, "SELECT 1 FROM runs WHERE cell = ? AND repetition = ? LIMIT 1", -1, &query,
-                     nullptr);
+  sqlite3_prepare_v2(db_, "SELECT 1 FROM runs WHERE cell = ? AND repetition = ? LIMIT 1", -1,
+                     &query, nullptr);
   sqlite3_bind_int(query, 1, cell);
   sqlite3_bind_int(query, 2, repetition);
   const bool there = sqlite3_step(query) == SQLITE_ROW;
@@ -165,11 +178,13 @@
 std::map<int, Values> Results::of(int cell) const {
   std::map<int, Values> runs;
   sqlite3_stmt* query = nullptr;
-  sqlite3_prepare_v2(db_, "SELECT repetition, measure, value FROM runs WHERE cell = ?", -1, &query, nullptr);
+  sqlite3_prepare_v2(db_, "SELECT repetition, measure, value FROM runs WHERE cell = ?", -1, &query,
+                     nullptr);
   sqlite3_bind_int(query, 1, cell);
   while (sqlite3_step(query) == SQLITE_ROW)
-    runs[sqlite3_column_int(query, 0)][reinterpret_cast<const char*>(sqlite3_column_text(query, 1))] =
-        sqlite3_column_double(query, 2);
+    runs[sqlite3_column_int(query, 0)]
+        [reinterpret_cast<const char*>(sqlite3_column_text(query, 1))] =
+            sqlite3_column_double(query, 2);
   sqlite3_finalize(query);
   return runs;
 }
@@ -178,7 +193,8 @@
   const emulator::Summary summary = emulator::run(cell.day, seed, "", {}, cell.policy);
   Values values;
   const double tries = std::max(1.0, static_cast<double>(summary.tries));
-  values["revenue"] = summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 0;
+  values["revenue"] =
+      summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 0;
   values["declined"] = 100 * static_cast<double>(summary.rejected) / tries;
   values["voided"] = 100 * static_cast<double>(summary.failed) / tries;
   values["submissions"] = static_cast<double>(summary.attempts) / tries;
@@ -188,7 +204,8 @@
   }
   std::map<int, TimePoint> begun, back;
   for (const auto& verdict : summary.verdicts) {
-    if (verdict.phase == "trial") begun.emplace(verdict.build, verdict.at);
+    if (verdict.phase == "trial")
+      begun.emplace(verdict.build, verdict.at);
     // Sent away by the next release is no verdict on it.
     if (verdict.phase == "going-back" && verdict.why != "the next build is offered")
       back.emplace(verdict.build, verdict.at);
@@ -197,7 +214,8 @@
   double after = 0;
   for (const day::Offer& offer : cell.day.offers) {
     const int build = offer.build.number;
-    if (begun.count(build) == 0) continue;
+    if (begun.count(build) == 0)
+      continue;
     const bool is_back = back.count(build) > 0;
     if (offer.build.flaw == machine::Flaw::none) {
       ++good;
@@ -205,12 +223,16 @@
     } else {
       ++bad;
       bad_back += is_back;
-      if (is_back) after += std::chrono::duration<double>(back[build] - begun[build]).count();
+      if (is_back)
+        after += std::chrono::duration<double>(back[build] - begun[build]).count();
     }
   }
-  if (good > 0) values["good-sent-back"] = 100.0 * good_back / good;
-  if (bad > 0) values["bad-sent-back"] = 100.0 * bad_back / bad;
-  if (bad_back > 0) values["bad-known-after"] = after / bad_back;
+  if (good > 0)
+    values["good-sent-back"] = 100.0 * good_back / good;
+  if (bad > 0)
+    values["bad-sent-back"] = 100.0 * bad_back / bad;
+  if (bad_back > 0)
+    values["bad-known-after"] = after / bad_back;
   return values;
 }
 
@@ -223,7 +245,8 @@
   // Repetition by repetition, so that a stop leaves all cells with as many.
   for (int repetition = 0; repetition < experiment.repetitions; ++repetition)
     for (int cell = 0; cell < static_cast<int>(experiment.cells.size()); ++cell)
-      if (!results.has(cell, repetition)) open.push_back({cell, repetition});
+      if (!results.has(cell, repetition))
+        open.push_back({cell, repetition});
   std::atomic<std::size_t> next{0};
   std::mutex mutex;
   int done = 0;
@@ -233,14 +256,16 @@
     for (std::size_t at; (at = next++) < open.size();) {
       const Job job = open[at];
       try {
-        const Values values =
-            play(experiment.cells[static_cast<std::size_t>(job.cell)], experiment.seed + job.repetition);
+        const Values values = play(experiment.cells[static_cast<std::size_t>(job.cell)],
+                                   experiment.seed + job.repetition);
         std::lock_guard lock(mutex);
         results.put(job.cell, job.repetition, values);
         ++done;
-        const double passed = std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
+        const double passed =
+            std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
         if (told)
-          told(done, static_cast<int>(open.size()), passed / done * static_cast<double>(open.size() - done));
+          told(done, static_cast<int>(open.size()),
+               passed / done * static_cast<double>(open.size() - done));
       } catch (const std::exception& bad) {
         std::lock_guard lock(mutex);
         failed = bad.what();
@@ -249,21 +274,27 @@
     }
   };
   std::vector<std::thread> threads;
-  for (int i = 0; i < std::max(1, jobs); ++i) threads.emplace_back(work);
-  for (std::thread& thread : threads) thread.join();
-  if (!failed.empty()) throw std::runtime_error(failed);
+  for (int i = 0; i < std::max(1, jobs); ++i)
+    threads.emplace_back(work);
+  for (std::thread& thread : threads)
+    thread.join();
+  if (!failed.empty())
+    throw std::runtime_error(failed);
   return done;
 }
 
 std::string table(const Experiment& experiment, const Results& results) {
   std::ostringstream out;
   out << experiment.name << ": " << experiment.cells.size() << " cells, " << experiment.repetitions
-      << " repetitions; means with 95% intervals, each cell against the first, or against the first policy, "
+      << " repetitions; means with 95% intervals, each cell against the first, or against the "
+         "first policy, "
          "seed by seed\n";
-  // With policies side by side each cell is compared with the first policy's under the same settings.
+  // With policies side by side each cell is compared with the first policy's under the same
+  // settings.
   const bool policies = !experiment.parameters.empty() && experiment.parameters.back().at.empty();
-  const std::size_t a_policy = policies ? experiment.cells.size() / experiment.parameters.back().values.size()
-                                        : experiment.cells.size();
+  const std::size_t a_policy =
+      policies ? experiment.cells.size() / experiment.parameters.back().values.size()
+               : experiment.cells.size();
   for (std::size_t c = 0; c < experiment.cells.size(); ++c) {
     const auto runs = results.of(static_cast<int>(c));
     const std::size_t base = policies ? c % a_policy : 0;
@@ -271,10 +302,11 @@
     out << label(experiment, experiment.cells[c]) << " (" << runs.size() << " runs)\n";
     for (const Measure& measure : measures()) {
       const std::vector<double> values = values_of(runs, measure.name);
-      if (values.empty()) continue;
+      if (values.empty())
+        continue;
       char line[200];
-      std::snprintf(line, sizeof line, "  %-16s %18s %-6s", measure.name, shown(mean_of(values)).c_str(),
-                    measure.unit);
+      std::snprintf(line, sizeof line, "  %-16s %18s %-6s", measure.name,
+                    shown(mean_of(values)).c_str(), measure.unit);
       out << line;
       if (c != base) {
         const auto [a, b] = pairs(first, runs, measure.name);
@@ -282,7 +314,8 @@
         std::snprintf(line, sizeof line, "  %18s  %s", shown(paired.difference).c_str(),
                       to_string(paired.verdict));
         out << line;
-        if (paired.more) out << ", " << *paired.more << " more runs likely would";
+        if (paired.more)
+          out << ", " << *paired.more << " more runs likely would";
       }
       out << "\n";
     }
@@ -292,47 +325,53 @@
 
 std::string page(const Experiment& experiment, const Results& results, const std::string& folder) {
   std::ostringstream html;
-  html << "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>" << escaped(experiment.name)
+  html << "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>"
+       << escaped(experiment.name)
        << "</title><style>body{font:14px/1.5 sans-serif;max-width:60em;margin:2em auto;padding:0 "
           "1em}pre{overflow:auto}svg{max-width:100%;background:#fff}</style><h1>"
        << escaped(experiment.name) << "</h1>";
-  // A curve for each measure over the first parameter that has numbers, a line for each setting of the
-  // others.
+  // A curve for each measure over the first parameter that has numbers, a line for each setting of
+  // the others.
   std::vector<std::map<int, Values>> runs;
-  for (std::size_t c = 0; c < experiment.cells.size(); ++c) runs.push_back(results.of(static_cast<int>(c)));
+  for (std::size_t c = 0; c < experiment.cells.size(); ++c)
+    runs.push_back(results.of(static_cast<int>(c)));
   for (const Measure& measure : measures()) {
     std::map<std::string, std::map<double, Mean>> lines;
     for (std::size_t c = 0; c < experiment.cells.size(); ++c) {
       const Cell& cell = experiment.cells[c];
       const auto x = settings::number_of(cell.values[0]);
       const std::vector<double> values = values_of(runs[c], measure.name);
-      if (!x || values.empty()) continue;
+      if (!x || values.empty())
+        continue;
       std::string rest;
       for (std::size_t i = 1; i < cell.values.size(); ++i)
         rest += (rest.empty() ? "" : ", ") + experiment.parameters[i].name + "=" + cell.values[i];
       lines[rest][*x] = mean_of(values);
     }
-    if (lines.empty()) continue;
+    if (lines.empty())
+      continue;
     std::ostringstream script;
-    script << "set xlabel '" << experiment.parameters[0].name << "'\nset ylabel '" << measure.name << " ("
-           << measure.unit << ")'\nset grid\nset xtics rotate by -45\nset key "
+    script << "set xlabel '" << experiment.parameters[0].name << "'\nset ylabel '" << measure.name
+           << " (" << measure.unit << ")'\nset grid\nset xtics rotate by -45\nset key "
            << (lines.size() > 1 ? "below maxcols 2" : "off") << "\n";
     int number = 0;
     for (auto& [rest, points] : lines) {
       script << "$d" << number++ << " << EOD\n";
       for (auto& [x, mean] : points)
-        script << x << " " << mean.mean << " " << (std::isfinite(mean.half) ? mean.half : 0) << "\n";
+        script << x << " " << mean.mean << " " << (std::isfinite(mean.half) ? mean.half : 0)
+               << "\n";
       script << "EOD\n";
     }
     script << "plot ";
     number = 0;
     for (auto& [rest, points] : lines) {
-      script << (number > 0 ? ", " : "") << "$d" << number << " using 1:2:3 with yerrorlines title '" << rest
-             << "'";
+      script << (number > 0 ? ", " : "") << "$d" << number
+             << " using 1:2:3 with yerrorlines title '" << rest << "'";
       ++number;
     }
     const std::string svg = plot(script.str() + "\n", folder, std::string("plot-") + measure.name);
-    html << "<h2>" << measure.name << "</h2>" << (svg.empty() ? "<p>gnuplot is missing: no plot</p>" : svg);
+    html << "<h2>" << measure.name << "</h2>"
+         << (svg.empty() ? "<p>gnuplot is missing: no plot</p>" : svg);
   }
   html << "<h2>Figures</h2><pre>" << escaped(table(experiment, results))
        << "</pre><h2>The first cell's day</h2><pre>" << escaped(experiment.cells.front().text)
--- a/src/lab/lab.h
+++ b/src/lab/lab.h
@@ -1,5 +1,5 @@
-// Runs an experiment on all cores, keeps each run's measures in SQLite, goes on where it stopped, and tells
-// what came of it as a table and as one page with plots.
+// Runs an experiment on all cores, keeps each run's measures in SQLite, goes on where it stopped,
+// and tells what came of it as a table and as one page with plots.
 #pragma once
 #include <functional>
 #include <map>
@@ -12,10 +12,11 @@
 
 namespace robinhoist::lab {
 
-using Values = std::map<std::string, double>;  // by measure; one that has no meaning in a run is left out
+using Values =
+    std::map<std::string, double>;  // by measure; one that has no meaning in a run is left out
 
-// Results of one experiment. Throws std::runtime_error when the file is another experiment's or can't be
-// used.
+// Results of one experiment. Throws std::runtime_error when the file is another experiment's or
+// can't be used.
 class Results {
  public:
   Results(const std::string& file, const Experiment& experiment);
--- a/src/lab/stats.cpp
+++ b/src/lab/stats.cpp
@@ -10,16 +10,21 @@
 constexpr double level = 0.95;
 constexpr int most_more = 100000;
 
-double t_of(int count) { return boost::math::quantile(boost::math::students_t(count - 1), 0.5 + level / 2); }
+double t_of(int count) {
+  return boost::math::quantile(boost::math::students_t(count - 1), 0.5 + level / 2);
+}
 }  // namespace
 
 Mean mean_of(const std::vector<double>& values) {
   Mean mean;
   mean.count = static_cast<int>(values.size());
-  if (values.empty()) return mean;
-  for (double value : values) mean.mean += value / mean.count;
+  if (values.empty())
+    return mean;
+  for (double value : values)
+    mean.mean += value / mean.count;
   double squares = 0;
-  for (double value : values) squares += (value - mean.mean) * (value - mean.mean);
+  for (double value : values)
+    squares += (value - mean.mean) * (value - mean.mean);
   if (mean.count < 2) {
     mean.half = std::numeric_limits<double>::infinity();
     return mean;
@@ -29,7 +34,8 @@
   return mean;
 }
 
-Paired compare(const std::vector<double>& first, const std::vector<double>& second, bool more_is_better) {
+Paired compare(const std::vector<double>& first, const std::vector<double>& second,
+               bool more_is_better) {
   std::vector<double> differences;
   for (std::size_t i = 0; i < std::min(first.size(), second.size()); ++i)
     differences.push_back(second[i] - first[i]);
@@ -37,11 +43,14 @@
   paired.difference = mean_of(differences);
   const double d = std::abs(paired.difference.mean);
   if (paired.difference.count >= 2 && d > paired.difference.half) {
-    paired.verdict = (paired.difference.mean > 0) == more_is_better ? Verdict::better : Verdict::worse;
+    paired.verdict =
+        (paired.difference.mean > 0) == more_is_better ? Verdict::better : Verdict::worse;
     return paired;
   }
-  if (paired.difference.count < 2 || d == 0) return paired;
-  // The interval shrinks with the root of the count: the least count at which it would leave zero out.
+  if (paired.difference.count < 2 || d == 0)
+    return paired;
+  // The interval shrinks with the root of the count: the least count at which it would leave zero
+  // out.
   for (int count = paired.difference.count + 1; count < most_more; count += 1 + count / 50)
     if (t_of(count) * paired.difference.sd / std::sqrt(count) < d) {
       paired.more = count - paired.difference.count;
@@ -51,7 +60,8 @@
 }
 
 double quantile(std::vector<double> values, double part) {
-  if (values.empty()) return 0;
+  if (values.empty())
+    return 0;
   const auto at = values.begin() + static_cast<long>(part * static_cast<double>(values.size() - 1));
   std::nth_element(values.begin(), at, values.end());
   return *at;
--- a/src/lab/stats.h
+++ b/src/lab/stats.h
@@ -17,10 +17,12 @@
 struct Paired {
   Mean difference{};  // of the second from the first, pair by pair: the same seed in both
   Verdict verdict = Verdict::cannot_tell;
-  std::optional<int> more{};  // so many more pairs would likely tell, if the difference is what it seems
+  std::optional<int>
+      more{};  // so many more pairs would likely tell, if the difference is what it seems
 };
 // `more_is_better`; runs that are missing on either side must be left out of both.
-Paired compare(const std::vector<double>& first, const std::vector<double>& second, bool more_is_better);
+Paired compare(const std::vector<double>& first, const std::vector<double>& second,
+               bool more_is_better);
 double quantile(std::vector<double> values, double part);
 const char* to_string(Verdict verdict);
 
--- a/src/limits/bucket.h
+++ b/src/limits/bucket.h
@@ -1,5 +1,5 @@
-// Token buckets by name: who may do how much. Free of clocks. A name that has not been seen for as long as
-// its bucket takes to fill is forgotten, for a full bucket holds nothing worth keeping.
+// Token buckets by name: who may do how much. Free of clocks. A name that has not been seen for as
+// long as its bucket takes to fill is forgotten, for a full bucket holds nothing worth keeping.
 #pragma once
 #include <algorithm>
 #include <chrono>
@@ -19,7 +19,8 @@
 
   // Nothing when it is let through; else when to come back.
   std::optional<Duration> take(const std::string& who, TimePoint now) {
-    if (rate_ <= 0) return {};
+    if (rate_ <= 0)
+      return {};
     forget(now);
     auto [at, fresh] = buckets_.try_emplace(who, Bucket{most_, now});
     Bucket& bucket = at->second;
@@ -41,7 +42,8 @@
   static double seconds(Duration span) { return static_cast<double>(span.count()) / 1e6; }
   void forget(TimePoint now) {
     const Duration fills(static_cast<std::int64_t>(most_ / rate_ * 1e6));
-    if (now < forgot_at_ + fills) return;
+    if (now < forgot_at_ + fills)
+      return;
     forgot_at_ = now;
     std::erase_if(buckets_, [&](auto& each) { return now >= each.second.at + fills; });
   }
--- a/src/load/load.cpp
+++ b/src/load/load.cpp
@@ -5,8 +5,12 @@
 
 namespace robinhoist::load {
 namespace {
-double seconds(Duration s) { return std::chrono::duration<double>(s).count(); }
-Duration span(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
+double seconds(Duration s) {
+  return std::chrono::duration<double>(s).count();
+}
+Duration span(double s) {
+  return Duration(static_cast<std::int64_t>(s * 1e6));
+}
 constexpr double wave_s = 20, burst_s = 2;  // the periods of two shapes
 }  // namespace
 
@@ -17,12 +21,16 @@
 }
 
 Load::Load(const Settings& settings, unsigned salt)
-    : settings_(settings), random_(salt), dead_since_(settings.proxies, TimePoint(Duration(-1))),
+    : settings_(settings),
+      random_(salt),
+      dead_since_(settings.proxies, TimePoint(Duration(-1))),
       up_(settings.proxies, true) {
   plan_arrival(TimePoint{});
 }
 
-double Load::uniform_sample() { return boost::random::uniform_real_distribution<double>(0, 1)(random_); }
+double Load::uniform_sample() {
+  return boost::random::uniform_real_distribution<double>(0, 1)(random_);
+}
 
 double Load::rate_at(TimePoint now) const {
   const double s = seconds(now.time_since_epoch());
@@ -47,7 +55,8 @@
 void Load::plan_arrival(TimePoint from) {
   const double wait = boost::random::exponential_distribution<double>(rate_at(from))(random_);
   arrival_at_ = from + std::max(Duration(1), span(wait));
-  if (arrival_at_ >= TimePoint(settings_.length)) arrivals_over_ = true;
+  if (arrival_at_ >= TimePoint(settings_.length))
+    arrivals_over_ = true;
 }
 
 Try Load::fresh(TimePoint now) {
@@ -57,44 +66,56 @@
   double at = uniform_sample();
   for (std::size_t p = 0; p < settings_.request_classes.size(); ++p) {
     one.request_class = static_cast<int>(p);
-    if ((at -= settings_.request_classes[p].share) < 0) break;
+    if ((at -= settings_.request_classes[p].share) < 0)
+      break;
   }
   at = uniform_sample();
   for (std::size_t t = 0; t < settings_.tenants.size(); ++t) {
     one.tenant = static_cast<int>(t);
-    if ((at -= settings_.tenants[t]) < 0) break;
+    if ((at -= settings_.tenants[t]) < 0)
+      break;
   }
   if (poison_share_ > 0 && uniform_sample() < poison_share_) {
     one.poison = true;
-    if (poison_tenant_ >= 0) one.tenant = poison_tenant_;
+    if (poison_tenant_ >= 0)
+      one.tenant = poison_tenant_;
   }
   const RequestClass& request_class = settings_.request_classes[one.request_class];
   const double mean = seconds(request_class.work);
   if (request_class.spread == Spread::exponential) {
-    one.work = span(boost::random::exponential_distribution<double>(1 / std::max(1e-6, mean))(random_));
+    one.work =
+        span(boost::random::exponential_distribution<double>(1 / std::max(1e-6, mean))(random_));
   } else {
     const double sigma2 = std::log(1 + request_class.cv * request_class.cv);
-    one.work = span(boost::random::lognormal_distribution<double>(std::log(std::max(1e-6, mean)) - sigma2 / 2,
-                                                                  std::sqrt(sigma2))(random_));
+    one.work = span(boost::random::lognormal_distribution<double>(
+        std::log(std::max(1e-6, mean)) - sigma2 / 2, std::sqrt(sigma2))(random_));
   }
-  if (request_class.keyed) one.key = "k" + std::to_string(random_()) + "-" + std::to_string(one.id);
+  if (request_class.keyed)
+    one.key = "k" + std::to_string(random_()) + "-" + std::to_string(one.id);
   return one;
 }
 
-// Over which umpire it goes, how long its client waits, and whether it leaves before.
+// Over which proxy it goes, how long its client waits, and whether it leaves before.
 void Load::address(Try& one, TimePoint now) {
   std::vector<int> known;
   for (int u = 0; u < settings_.proxies; ++u)
-    if (up_[u] || now < dead_since_[u] + settings_.notice) known.push_back(u);
+    if (up_[u] || now < dead_since_[u] + settings_.notice)
+      known.push_back(u);
   if (known.empty())
-    for (int u = 0; u < settings_.proxies; ++u) known.push_back(u);
-  if (hot_share_ > 0 && uniform_sample() < hot_share_) known = hot_;
+    for (int u = 0; u < settings_.proxies; ++u)
+      known.push_back(u);
+  if (hot_share_ > 0 && uniform_sample() < hot_share_)
+    known = hot_;
   one.proxy = known[static_cast<std::size_t>(uniform_sample() * static_cast<double>(known.size()))];
   const RequestClass& request_class = settings_.request_classes[one.request_class];
-  double part = settings_.patience_least + uniform_sample() * (settings_.patience_most - settings_.patience_least);
-  if (one.tenant == abuse_tenant_ && abuse_tries_ > 0) part = abuse_patience_;
+  double part = settings_.patience_least +
+                uniform_sample() * (settings_.patience_most - settings_.patience_least);
+  if (one.tenant == abuse_tenant_ && abuse_tries_ > 0)
+    part = abuse_patience_;
   one.until = now + span(seconds(request_class.deadline) * part);
-  one.leaves = uniform_sample() < settings_.leaves ? now + span(seconds(one.until - now) * uniform_sample()) : TimePoint{};
+  one.leaves = uniform_sample() < settings_.leaves
+                   ? now + span(seconds(one.until - now) * uniform_sample())
+                   : TimePoint{};
 }
 
 std::optional<Try> Load::next(TimePoint now) {
@@ -118,39 +139,51 @@
 
 std::optional<TimePoint> Load::next_at() const {
   std::optional<TimePoint> at;
-  if (!arrivals_over_) at = arrival_at_;
-  if (!due_.empty()) at = at ? std::min(*at, due_.top().at) : due_.top().at;
+  if (!arrivals_over_)
+    at = arrival_at_;
+  if (!due_.empty())
+    at = at ? std::min(*at, due_.top().at) : due_.top().at;
   return at;
 }
 
 void Load::ended(std::int64_t id, End end, Duration stay_away, TimePoint now) {
   auto found = open_.find(id);
-  if (found == open_.end()) return;
+  if (found == open_.end())
+    return;
   const Open open = found->second;
   open_.erase(found);
   const RequestClass& request_class = settings_.request_classes[open.one.request_class];
-  const bool never_ran = end == End::rejected || end == End::rejected_before_routing || end == End::unreached;
-  bool again =
-      end != End::succeeded && end != End::left && open.one.number < open.retries && end != End::rejected_before_routing;
+  const bool never_ran =
+      end == End::rejected || end == End::rejected_before_routing || end == End::unreached;
+  bool again = end != End::succeeded && end != End::left && open.one.number < open.retries &&
+               end != End::rejected_before_routing;
   if (again && !never_ran) {
-    // A referenced txn may come again while its repeats are dropped, counted from its first try.
-    if (request_class.repeats == Repeats::only_rejected) again = false;
+    // An idempotent request may come again while its repeats are dropped, counted from its first
+    // try.
+    if (request_class.repeats == Repeats::only_rejected)
+      again = false;
     if (request_class.repeats == Repeats::within_memory)
-      again = request_class.dedup_window > Duration{} && now + request_class.deadline < open.first_at + request_class.dedup_window;
+      again = request_class.dedup_window > Duration{} &&
+              now + request_class.deadline < open.first_at + request_class.dedup_window;
   }
   const bool abused = open.one.tenant == abuse_tenant_ && abuse_tries_ > 0;
   Duration wait{};
   if (!abused) {
     const Duration drawn =
-        settings_.pause_least + span(uniform_sample() * seconds(settings_.pause_most - settings_.pause_least));
-    if (settings_.pause == Pause::fixed) wait = drawn;
-    if (settings_.pause == Pause::growing) wait = drawn * (1 << std::min(open.one.number, 6));
-    if (stay_away > Duration{} && uniform_sample() < settings_.heeds) wait = std::max(wait, stay_away);
+        settings_.pause_least +
+        span(uniform_sample() * seconds(settings_.pause_most - settings_.pause_least));
+    if (settings_.pause == Pause::fixed)
+      wait = drawn;
+    if (settings_.pause == Pause::growing)
+      wait = drawn * (1 << std::min(open.one.number, 6));
+    if (stay_away > Duration{} && uniform_sample() < settings_.heeds)
+      wait = std::max(wait, stay_away);
   }
   // A client has only so much time over all its tries, and a keyed one only while the mark holds.
   const TimePoint at = now + wait;
   if (!again ||
-      (request_class.repeats == Repeats::within_memory && at + request_class.deadline >= open.first_at + request_class.dedup_window) ||
+      (request_class.repeats == Repeats::within_memory &&
+       at + request_class.deadline >= open.first_at + request_class.dedup_window) ||
       (!abused && at >= open.first_at + request_class.deadline * (1 + open.retries))) {
     first_at_.erase(open.one.first);
     return;
@@ -163,7 +196,8 @@
 
 void Load::proxy(int number, bool up, TimePoint now) {
   up_[number] = up;
-  if (!up) dead_since_[number] = now;
+  if (!up)
+    dead_since_[number] = now;
 }
 
 void Load::hot(std::vector<int> proxies, double share) {
--- a/src/load/load.h
+++ b/src/load/load.h
@@ -1,6 +1,7 @@
-// What clients do, free of I/O and clocks: when txns arrive, what they are, over which umpire they go, how
-// long a client waits, and when it comes again. An open loop: arrivals are drawn ahead of time and do not
-// wait for answers. The host sends what next(now) hands out and says how each try ended.
+// What clients do, free of I/O and clocks: when requests arrive, what they are, over which proxy
+// they go, how long a client waits, and when it comes again. An open loop: arrivals are drawn ahead
+// of time and do not wait for answers. The host sends what next(now) hands out and says how each
+// try ended.
 #pragma once
 #include <boost/random/exponential_distribution.hpp>
 #include <boost/random/lognormal_distribution.hpp>
@@ -33,7 +34,7 @@
 };
 
 struct Settings {
-  double rate = 100;  // txns a second, first tries
+  double rate = 100;  // requests a second, first tries
   Shape shape = Shape::steady;
   double swing = 0;  // of the rate, up and down
   Duration length{};
@@ -45,11 +46,11 @@
   Duration pause_least{}, pause_most{};
   double heeds = 1;   // share of clients that stay away as long as they are told
   double leaves = 0;  // share of tries that their client gives up in the middle
-  Duration notice{};      // the front layer goes on with a dead umpire for so long
+  Duration notice{};  // the front layer goes on with a dead proxy for so long
 };
 
 struct Try {
-  std::int64_t id = 0, first = 0;  // of the txn's first try
+  std::int64_t id = 0, first = 0;  // of the request's first try
   int number = 0, request_class = 0, tenant = 0, proxy = 0;
   TimePoint at{}, until{};  // sent, and when its client gives this try up
   TimePoint leaves{};       // 0, or when it hangs up before
@@ -58,7 +59,16 @@
   bool poison = false;  // fails wherever it goes
 };
 
-enum class End { succeeded, rejected, failed, rejected_before_routing, unreached, broken, timed_out, left };
+enum class End {
+  succeeded,
+  rejected,
+  failed,
+  rejected_before_routing,
+  unreached,
+  broken,
+  timed_out,
+  left
+};
 const char* to_string(End end);
 
 class Load {
@@ -67,18 +77,18 @@
 
   std::optional<Try> next(TimePoint now);
   std::optional<TimePoint> next_at() const;
-  // `stay_away`: as a decline told.
+  // `stay_away`: as a reject told.
   void ended(std::int64_t id, End end, Duration stay_away, TimePoint now);
   bool over() const { return arrivals_over_ && due_.empty() && open_.empty(); }
   std::size_t open() const { return open_.size(); }
 
-  // Umpires that die and come back; the front layer learns of it late.
+  // Proxies that die and come back; the front layer learns of it late.
   void proxy(int number, bool up, TimePoint now);
 
   // Troubles.
   void burst(double times) { burst_ = times; }
   void hot(std::vector<int> proxies, double share);
-  void poison(int tenant, double share);                         // on top of the usual; 0: over
+  void poison(int tenant, double share);                           // on top of the usual; 0: over
   void abuse(int tenant, int tries, double patience_of_deadline);  // 0 tries: over
 
  private:
@@ -86,7 +96,9 @@
     TimePoint at;
     std::int64_t order;
     Try one;
-    bool operator>(const Later& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
+    bool operator>(const Later& other) const {
+      return std::tie(at, order) > std::tie(other.at, other.order);
+    }
   };
   double uniform_sample();
   double rate_at(TimePoint now) const;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -8,14 +8,16 @@
 namespace {
 
 void put(std::string& to, std::string_view value) {
-  const bool plain = !value.empty() && value.find_first_of(" \"=\\\n\r\t") == std::string_view::npos;
+  const bool plain =
+      !value.empty() && value.find_first_of(" \"=\\\n\r\t") == std::string_view::npos;
   if (plain) {
     to += value;
     return;
   }
   to += '"';
   for (char c : value) {
-    if (c == '"' || c == '\\') to += '\\';
+    if (c == '"' || c == '\\')
+      to += '\\';
     to += static_cast<unsigned char>(c) < ' ' ? ' ' : c;
   }
   to += '"';
@@ -25,8 +27,10 @@
 
 Log::Log(const std::string& who, const std::string& level, const std::string& file) : who_(who) {
   spdlog::sink_ptr sink;
-  if (file.empty()) sink = std::make_shared<spdlog::sinks::stderr_sink_mt>();
-  else sink = std::make_shared<spdlog::sinks::basic_file_sink_mt>(file);
+  if (file.empty())
+    sink = std::make_shared<spdlog::sinks::stderr_sink_mt>();
+  else
+    sink = std::make_shared<spdlog::sinks::basic_file_sink_mt>(file);
   to_ = std::make_shared<spdlog::logger>(who, sink);
   to_->set_pattern("ts=%Y-%m-%dT%H:%M:%S.%eZ level=%l %v", spdlog::pattern_time_type::utc);
   to_->set_level(spdlog::level::from_str(level));
@@ -35,7 +39,8 @@
 
 void Log::line(int level, std::string_view what, std::initializer_list<Field> fields) const {
   const auto as = static_cast<spdlog::level::level_enum>(level);
-  if (!to_->should_log(as)) return;
+  if (!to_->should_log(as))
+    return;
   std::string text = "who=";
   put(text, who_);
   text += " msg=";
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,4 +1,5 @@
-// Structured log lines in logfmt on standard error, by spdlog: time, level, who, what, and key=value figures.
+// Structured log lines in logfmt on standard error, by spdlog: time, level, who, what, and
+// key=value figures.
 #pragma once
 #include <initializer_list>
 #include <memory>
@@ -16,8 +17,9 @@
 
 class Log {
  public:
-  // `who` names the part, such as umpire-3. An empty `file` is standard error.
-  explicit Log(const std::string& who, const std::string& level = "info", const std::string& file = "");
+  // `who` names the part, such as proxy-3. An empty `file` is standard error.
+  explicit Log(const std::string& who, const std::string& level = "info",
+               const std::string& file = "");
   void debug(std::string_view what, std::initializer_list<Field> fields = {}) const;
   void info(std::string_view what, std::initializer_list<Field> fields = {}) const;
   void warn(std::string_view what, std::initializer_list<Field> fields = {}) const;
--- a/src/logic.h
+++ b/src/logic.h
@@ -1,6 +1,7 @@
-// The interface of the decision module. One Umpire is one instance. Tell it what happens through the input
-// functions, which only note what is known; then call next(now) until it returns nothing and carry out each
-// decision it hands over. Everything it decides is in logic.cpp; its parts are declared here.
+// The interface of the decision module. One Proxy is one instance. Tell it what happens through the
+// input functions, which only note what is known; then call next(now) until it returns nothing and
+// carry out each decision it hands over. Everything it decides is in logic.cpp; its parts are
+// declared here.
 #pragma once
 #include <functional>
 #include <map>
@@ -15,7 +16,7 @@
 
 using RandomGenerator = std::minstd_rand;
 
-// The list of nodes: health, warmth and drains.
+// The list of endpoints: health, warmth and drains.
 class EndpointSet {
  public:
   EndpointSet(const EndpointSettings& settings, const std::vector<RequestClass>& request_classes);
@@ -39,8 +40,8 @@
   double cost(int endpoint, TimePoint now);
   Duration wait(int endpoint, TimePoint now);
   double pace(TimePoint now) const { return rate_of(sent_, now); }
-  int choose(bool young, const std::function<bool(int)>& may, bool careful, Duration longest, TimePoint now,
-             RandomGenerator& random);
+  int choose(bool young, const std::function<bool(int)>& may, bool careful, Duration longest,
+             TimePoint now, RandomGenerator& random);
   std::optional<Decision> next(TimePoint now, RandomGenerator& random);
   const std::vector<EndpointState>& all() const { return endpoints_; }
 
@@ -54,11 +55,13 @@
   EndpointSettings settings_;
   std::vector<RequestClass> request_classes_;
   std::vector<EndpointState> endpoints_{};
-  std::vector<QuantileWindow> took_, per_hint_;  // how long answers took: ms, and for each ms of hinted work
+  std::vector<QuantileWindow> took_,
+      per_hint_;  // how long answers took: ms, and for each ms of hinted work
   std::deque<std::pair<TimePoint, int>> successes_{};
   int warm_ = 0, newest_ = -1;
   std::optional<TimePoint> warm_asked_{};
-  std::vector<int> rings_[2][2]{};  // open nodes by order: of the newest build or not, near or not
+  std::vector<int> rings_[2]
+                         [2]{};  // open endpoints by order: of the newest build or not, near or not
   SlidingWindow<TimePoint> sent_;
   SlidingWindow<char> refused_;
   bool squeezed_ = false;  // connections are refused right and left
@@ -67,7 +70,7 @@
   TimePoint ask_at_{};
 };
 
-// What may be sent to a release on trial.
+// What may be sent to a release as a canary.
 class CanaryQuota {
  public:
   CanaryQuota(const CanaryQuotaSettings& settings, int request_classes, Duration tick);
@@ -94,7 +97,7 @@
   std::unordered_map<std::string, int> moved_keys_{};
 };
 
-// Per-stage evidence on the release on trial, and the verdict drawn from it.
+// Per-stage evidence on the release as a canary, and the verdict drawn from it.
 class CanaryAnalysis {
  public:
   CanaryAnalysis(const AnalysisSettings& settings, int request_classes);
@@ -104,7 +107,8 @@
   void flagged(int build) { answers_[build].second += 1; }
   bool watched(int build) const;
   // A build once condemned stays so.
-  AnalysisResult judge(const std::vector<EndpointState>& endpoints, double canary_requests_per_s, double load, TimePoint now);
+  AnalysisResult judge(const std::vector<EndpointState>& endpoints, double canary_requests_per_s,
+                       double load, TimePoint now);
   const std::optional<ReleaseUpdate>& release() const { return release_; }
 
  private:
@@ -132,15 +136,17 @@
   AnalysisResult condemned_{};
   TimePoint stage_at_{}, counted_from_{}, held_from_ = long_ago;
   SlidingWindow<Sample> fresh_, older_;
-  double significance_;                        // of chance, at which one umpire's figures speak
-  bool look_at_fleet_ = false;          // a stage has begun
-  std::optional<double> usual_part_{};  // the fleet before the offer: mean log of latency over SLA time,
-  double usual_load_ = 1;               // and submissions for each node's worth of capacity
+  double significance_;         // of chance, at which one proxy's figures speak
+  bool look_at_fleet_ = false;  // a stage has begun
+  std::optional<double>
+      usual_part_{};  // the fleet before the offer: mean log of latency over latency objective,
+  double usual_load_ = 1;  // and attempts for each endpoint's worth of capacity
   TimePoint slow_from_ = long_ago;
-  std::map<int, std::pair<double, double>> answers_{};  // by build: answers passed on, and found wrong
+  std::map<int, std::pair<double, double>>
+      answers_{};  // by build: answers passed on, and found wrong
 };
 
-// This umpire's standing vote.
+// This proxy's standing vote.
 class VoteScheduler {
  public:
   explicit VoteScheduler(const AnalysisSettings& settings);
@@ -158,10 +164,11 @@
   bool waiting_ = false;
 };
 
-// Txns: submissions, repeats, time-outs, declines and final answers.
+// Requests: attempts, repeats, time-outs, rejects and final answers.
 class RequestScheduler {
  public:
-  RequestScheduler(const RequestSettings& settings, EndpointSet& endpoints, CanaryQuota& canary_quota, RandomGenerator& random);
+  RequestScheduler(const RequestSettings& settings, EndpointSet& endpoints,
+                   CanaryQuota& canary_quota, RandomGenerator& random);
   void arrived(const RequestInfo& request);
   void streaming(int request_id);
   void ended(int request_id, int attempt, Outcome outcome, bool succeeded, TimePoint now);
@@ -195,36 +202,44 @@
   std::unordered_map<int, ScheduledRequest> requests_{};
   std::deque<int> ready_{};
   std::deque<std::pair<int, int>> cancels_{};
-  std::priority_queue<std::pair<TimePoint, int>, std::vector<std::pair<TimePoint, int>>, std::greater<>> looks_{};
+  std::priority_queue<std::pair<TimePoint, int>, std::vector<std::pair<TimePoint, int>>,
+                      std::greater<>>
+      looks_{};
   SlidingWindow<char> again_, rejections_;
   SlidingWindow<int> tenants_;
   SlidingWindow<char> slow_;
   TimePoint felt_at_{};
-  double open_ = 1;  // the part of txns that is let in
+  double open_ = 1;  // the part of requests that is let in
 };
 
 class DecisionEngine {
  public:
-  DecisionEngine(unsigned salt, const EndpointSettings& endpoints, const CanaryQuotaSettings& canary_quota, const AnalysisSettings& analysis,
-         const RequestSettings& requests);
+  DecisionEngine(unsigned salt, const EndpointSettings& endpoints,
+                 const CanaryQuotaSettings& canary_quota, const AnalysisSettings& analysis,
+                 const RequestSettings& requests);
   DecisionEngine(const DecisionEngine&) = delete;
   DecisionEngine& operator=(const DecisionEngine&) = delete;
 
-  void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, TimePoint now) {
+  void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries,
+                         TimePoint now) {
     endpoints_.news(kind, entries, now);
   }
   void request_arrived(const RequestInfo& request, TimePoint now);
   void stream_began(int request_id) { requests_.streaming(request_id); }
-  void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded, const Load& load, TimePoint now);
+  void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded, const Load& load,
+                     TimePoint now);
   void client_disconnected(int request_id) { requests_.left(request_id); }
   void release_updated(const ReleaseUpdate& release, TimePoint now);
   void vote_answered(Outcome outcome, TimePoint now) { vote_scheduler_.answered(outcome, now); }
   void answer_found_wrong(int endpoint) { analysis_.flagged(endpoints_.all()[endpoint].build); }
-  void probe_ended(int endpoint, const Load& load, TimePoint now) { endpoints_.report(endpoint, load, now); }
+  void probe_ended(int endpoint, const Load& load, TimePoint now) {
+    endpoints_.report(endpoint, load, now);
+  }
 
-  // The next decision, until there is none. Call again after each input and at each asked-for wake-up.
+  // The next decision, until there is none. Call again after each input and at each asked-for
+  // wake-up.
   std::optional<Decision> next(TimePoint now);
-  // Whether the txn still matters: false once it has ended and all its submissions have come back.
+  // Whether the request still matters: false once it has ended and all its attempts have come back.
   bool knows(int request_id) const { return requests_.knows(request_id); }
 
  private:
--- a/src/machine/forms.cpp
+++ b/src/machine/forms.cpp
@@ -24,26 +24,33 @@
   auto number = settings::number_of(form.own_word(0, "a build number"));
   if (!number || *number < 1 || *number > 65535 || *number != static_cast<int>(*number))
     form.problem("its number is not a whole number from 1 to 65535");
-  else to.number = static_cast<int>(*number);
+  else
+    to.number = static_cast<int>(*number);
   to.speed = form.number("speed", 0.1, 10, 1.0);
   if (auto bad = form.maybe("bad")) {
     const std::string how = bad->own_word(0, "the way in which it is bad");
     const std::pair<const char*, Flaw> ways[] = {
-        {"errors", Flaw::errors}, {"slow", Flaw::slow},   {"product", Flaw::request_class}, {"load", Flaw::load},
-        {"late", Flaw::late},     {"wrong", Flaw::wrong}, {"shared", Flaw::shared}};
+        {"errors", Flaw::errors}, {"slow", Flaw::slow}, {"product", Flaw::request_class},
+        {"load", Flaw::load},     {"late", Flaw::late}, {"wrong", Flaw::wrong},
+        {"shared", Flaw::shared}};
     for (auto& [name, flaw] : ways)
-      if (how == name) to.flaw = flaw;
+      if (how == name)
+        to.flaw = flaw;
     if (to.flaw == Flaw::none)
       bad->problem(how + " is none of errors, slow, product, load, late, wrong, shared");
-    const bool factor =
-        to.flaw == Flaw::slow || to.flaw == Flaw::load || to.flaw == Flaw::late || to.flaw == Flaw::shared;
+    const bool factor = to.flaw == Flaw::slow || to.flaw == Flaw::load || to.flaw == Flaw::late ||
+                        to.flaw == Flaw::shared;
     to.strength = factor ? bad->number("times", 1, 100) : bad->number("share", 0, 1);
-    if (to.flaw == Flaw::load || to.flaw == Flaw::late) to.failing = bad->number("failing", 0, 1, 0.1);
-    if (to.flaw == Flaw::load) to.busy = bad->number("busy", 0, 1);
-    if (to.flaw == Flaw::late) to.after = bad->span("after", 0ms, 1h);
+    if (to.flaw == Flaw::load || to.flaw == Flaw::late)
+      to.failing = bad->number("failing", 0, 1, 0.1);
+    if (to.flaw == Flaw::load)
+      to.busy = bad->number("busy", 0, 1);
+    if (to.flaw == Flaw::late)
+      to.after = bad->span("after", 0ms, 1h);
     if (to.flaw == Flaw::request_class) {
       to.request_class = deployment.request_class(bad->text("product"));
-      if (to.request_class < 0) bad->problem("product", "is none of the deployment's");
+      if (to.request_class < 0)
+        bad->problem("product", "is none of the deployment's");
     }
     bad->finish();
   }
--- a/src/machine/forms.h
+++ b/src/machine/forms.h
@@ -1,4 +1,5 @@
-// Machines and builds as settings and days write them: the keys of a (capacity ...) and a (build N ...) form.
+// Machines and builds as settings and days write them: the keys of a (capacity ...) and a (build N
+// ...) form.
 #pragma once
 #include "deployment/deployment.h"
 #include "machine/machine.h"
--- a/src/machine/machine.cpp
+++ b/src/machine/machine.cpp
@@ -4,8 +4,12 @@
 
 namespace robinhoist::machine {
 namespace {
-double seconds(Duration s) { return std::chrono::duration<double>(s).count(); }
-Duration times(Duration s, double by) { return Duration(static_cast<std::int64_t>(static_cast<double>(s.count()) * by)); }
+double seconds(Duration s) {
+  return std::chrono::duration<double>(s).count();
+}
+Duration times(Duration s, double by) {
+  return Duration(static_cast<std::int64_t>(static_cast<double>(s.count()) * by));
+}
 constexpr Duration quick_answer = std::chrono::microseconds(300);  // an error or a known repeat
 }  // namespace
 
@@ -17,23 +21,30 @@
 void Marks::done(const std::string& key, TimePoint now) {
   while (!order_.empty() && order_.front().first + memory_ + waits_most <= now) {
     auto old = at_.find(order_.front().second);
-    if (old != at_.end() && old->second == order_.front().first) at_.erase(old);
+    if (old != at_.end() && old->second == order_.front().first)
+      at_.erase(old);
     order_.pop_front();
   }
   at_[key] = now;
   order_.emplace_back(now, key);
 }
 
-Machine::Machine(const Capacity& capacity, const Build& build, unsigned salt, TimePoint started, Marks* marks,
-                 const SharedHarm* harm)
-    : capacity_(capacity), build_(build), random_(salt), started_(started), marks_(marks), harm_(harm) {}
+Machine::Machine(const Capacity& capacity, const Build& build, unsigned salt, TimePoint started,
+                 Marks* marks, const SharedHarm* harm)
+    : capacity_(capacity),
+      build_(build),
+      random_(salt),
+      started_(started),
+      marks_(marks),
+      harm_(harm) {}
 
 bool Machine::uniform_sample(double share) {
   return share > 0 && std::uniform_real_distribution<double>(0, 1)(random_) < share;
 }
 
 double Machine::warmth(TimePoint now) const {
-  if (capacity_.cold_for <= Duration{} || now >= started_ + capacity_.cold_for) return 1;
+  if (capacity_.cold_for <= Duration{} || now >= started_ + capacity_.cold_for)
+    return 1;
   double age = std::max(0.0, seconds(now - started_) / seconds(capacity_.cold_for));
   return capacity_.cold_from + (1 - capacity_.cold_from) * age;
 }
@@ -49,10 +60,14 @@
 // Times that work takes against a warm, empty, undisturbed machine of the first build.
 double Machine::slowness(TimePoint now) const {
   double times = slowed_ / (build_.speed * capacity_.speed * warmth(now) * (1 - neighbour_));
-  if (build_.flaw == Flaw::slow) times *= build_.strength;
-  if (build_.flaw == Flaw::late && now >= started_ + build_.after) times *= build_.strength;
-  if (build_.flaw == Flaw::load && busy() > build_.busy) times *= build_.strength;
-  if (harm_) times *= harm_->factor;
+  if (build_.flaw == Flaw::slow)
+    times *= build_.strength;
+  if (build_.flaw == Flaw::late && now >= started_ + build_.after)
+    times *= build_.strength;
+  if (build_.flaw == Flaw::load && busy() > build_.busy)
+    times *= build_.strength;
+  if (harm_)
+    times *= harm_->factor;
   // More in work than there are cores share them.
   double crowd = static_cast<double>(running_.size()) + 1;
   times *= std::max(1.0, crowd / capacity_.cores);
@@ -66,12 +81,15 @@
 }
 
 Entry Machine::arrive(const Work& work, TimePoint now) {
-  if (fallen_) return Entry::down;
+  if (fallen_)
+    return Entry::down;
   if (capacity_.fall_window > Duration{} && warmth(now) < 1) {
     pushed_.emplace_back(now, work.work);
-    while (pushed_.front().first <= now - capacity_.fall_window) pushed_.pop_front();
+    while (pushed_.front().first <= now - capacity_.fall_window)
+      pushed_.pop_front();
     Duration sum{};
-    for (auto& [at, much] : pushed_) sum += much;
+    for (auto& [at, much] : pushed_)
+      sum += much;
     double most = capacity_.fall_multiple * able(now) * seconds(capacity_.fall_window);
     most_pushed_ = std::max(most_pushed_, seconds(sum) / most);
     if (seconds(sum) > most) {
@@ -82,12 +100,16 @@
   Job job{.work = work, .how = Ran::well, .arrived = now};
   const bool bad_now = (build_.flaw == Flaw::late && now >= started_ + build_.after) ||
                        (build_.flaw == Flaw::load && busy() > build_.busy);
-  if (!work.key.empty() && marks_ && marks_->known(work.key, now)) job.how = Ran::repeat;
-  else if (uniform_sample(failing_) || (build_.flaw == Flaw::errors && uniform_sample(build_.strength)) ||
-           (build_.flaw == Flaw::request_class && work.request_class == build_.request_class && uniform_sample(build_.strength)) ||
+  if (!work.key.empty() && marks_ && marks_->known(work.key, now))
+    job.how = Ran::repeat;
+  else if (uniform_sample(failing_) ||
+           (build_.flaw == Flaw::errors && uniform_sample(build_.strength)) ||
+           (build_.flaw == Flaw::request_class && work.request_class == build_.request_class &&
+            uniform_sample(build_.strength)) ||
            (bad_now && uniform_sample(build_.failing)))
     job.how = Ran::failed;
-  else if (build_.flaw == Flaw::wrong && uniform_sample(build_.strength)) job.how = Ran::wrong;
+  else if (build_.flaw == Flaw::wrong && uniform_sample(build_.strength))
+    job.how = Ran::wrong;
   job.quick = job.how == Ran::repeat || job.how == Ran::failed;
   if (static_cast<int>(running_.size()) < capacity_.slots || job.quick) {
     begin(std::move(job), now);
@@ -114,31 +136,38 @@
 
 void Machine::called_off(std::int64_t id, bool queued, bool running, TimePoint now) {
   auto is = [id](const Job& job) { return job.work.id == id; };
-  if (queued) waiting_.erase(std::remove_if(waiting_.begin(), waiting_.end(), is), waiting_.end());
-  if (running) running_.erase(std::remove_if(running_.begin(), running_.end(), is), running_.end());
+  if (queued)
+    waiting_.erase(std::remove_if(waiting_.begin(), waiting_.end(), is), waiting_.end());
+  if (running)
+    running_.erase(std::remove_if(running_.begin(), running_.end(), is), running_.end());
   fill(now);
 }
 
 std::optional<TimePoint> Machine::next_at() const {
-  if (running_.empty()) return {};
-  return std::min_element(running_.begin(), running_.end(), [](auto& a, auto& b) { return a.done < b.done; })
+  if (running_.empty())
+    return {};
+  return std::min_element(running_.begin(), running_.end(),
+                          [](auto& a, auto& b) { return a.done < b.done; })
       ->done;
 }
 
 std::optional<Done> Machine::next(TimePoint now) {
   auto first = std::min_element(running_.begin(), running_.end(),
                                 [](const Job& a, const Job& b) { return a.done < b.done; });
-  if (first == running_.end() || first->done > now) return {};
+  if (first == running_.end() || first->done > now)
+    return {};
   Job job = std::move(*first);
   running_.erase(first);
   Done done{job.work.id, job.how, false};
-  // The mark is set in the moment of the effect: of two that ran side by side the second changes nothing.
+  // The mark is set in the moment of the effect: of two that ran side by side the second changes
+  // nothing.
   if (job.work.effect && (job.how == Ran::well || job.how == Ran::wrong)) {
     if (!job.work.key.empty() && marks_ && marks_->known(job.work.key, job.arrived)) {
       done.how = Ran::repeat;
     } else {
       done.effect = true;
-      if (!job.work.key.empty() && marks_) marks_->done(job.work.key, now);
+      if (!job.work.key.empty() && marks_)
+        marks_->done(job.work.key, now);
     }
   }
   fill(job.done);
--- a/src/machine/machine.h
+++ b/src/machine/machine.h
@@ -1,6 +1,6 @@
-// What one server machine does, in simulated or real time alike: cores, slots and a waiting room, a cold
-// start, falling over when pushed, and the forms in which a build can be bad. Free of I/O and clocks: the
-// host says what arrives and when it is, then pulls what is done.
+// What one server machine does, in simulated or real time alike: cores, slots and a waiting room, a
+// cold start, falling over when pushed, and the forms in which a build can be bad. Free of I/O and
+// clocks: the host says what arrives and when it is, then pulls what is done.
 #pragma once
 #include <chrono>
 #include <cstdint>
@@ -19,14 +19,14 @@
 
 struct Capacity {
   int cores = 2;
-  int slots = 16;            // txns in work at once
-  int waiting_room = 64;     // further ones wait; beyond that they are turned away unseen
-  double speed = 1;          // work done in a second by one core, in seconds of a standard core
-  double crowding = 0;       // work grows by this part for each txn in work beyond twice the cores
+  int slots = 16;         // requests in work at once
+  int waiting_room = 64;  // further ones wait; beyond that they are turned away unseen
+  double speed = 1;       // work done in a second by one core, in seconds of a standard core
+  double crowding = 0;    // work grows by this part for each request in work beyond twice the cores
   double cold_from = 0.3;    // of the capacity, at its start
-  Duration cold_for{};           // until it is warm; rises evenly
+  Duration cold_for{};       // until it is warm; rises evenly
   double fall_multiple = 4;  // sent so many times what it can do,
-  Duration fall_window{};        // for so long while cold, it falls over for good; 0: never
+  Duration fall_window{};    // for so long while cold, it falls over for good; 0: never
 };
 
 enum class Flaw { none, errors, slow, request_class, load, late, wrong, shared };
@@ -35,18 +35,18 @@
   int number = 0;
   double speed = 1;  // against the first build
   Flaw flaw = Flaw::none;
-  double strength =
-      0;  // share of txns that fail or are wrong; for slow, load, late and shared: times the work
-  double failing = 0;  // load and late: the share that fails meanwhile
-  int request_class = -1;    // for product
+  double strength = 0;     // share of requests that fail or are wrong; for slow, load, late and
+                           // shared: times the work
+  double failing = 0;      // load and late: the share that fails meanwhile
+  int request_class = -1;  // for request class
   Duration after{};        // late: from so long after the machine's start
-  double busy = 0;     // load: while over this part of its cores is busy
+  double busy = 0;         // load: while over this part of its cores is busy
 };
 
 struct Work {
   std::int64_t id = 0;
   int request_class = 0;
-  Duration work{};        // on one standard core
+  Duration work{};    // on one standard core
   std::string key{};  // against repeats; empty: none
   bool effect = false;
 };
@@ -63,8 +63,8 @@
   bool effect;  // whether it changed data now
 };
 
-// The marks that a group of machines keeps of keyed work done, against repeats: what reaches one of them
-// within the memory of a mark is a repeat, however long it then waits for its turn.
+// The marks that a group of machines keeps of keyed work done, against repeats: what reaches one of
+// them within the memory of a mark is a repeat, however long it then waits for its turn.
 class Marks {
  public:
   explicit Marks(Duration memory) : memory_(memory) {}
@@ -85,8 +85,8 @@
 
 class Machine {
  public:
-  Machine(const Capacity& capacity, const Build& build, unsigned salt, TimePoint started, Marks* marks,
-          const SharedHarm* harm = nullptr);
+  Machine(const Capacity& capacity, const Build& build, unsigned salt, TimePoint started,
+          Marks* marks, const SharedHarm* harm = nullptr);
 
   Entry arrive(const Work& work, TimePoint now);
   // The client no longer waits. Waiting work is dropped when `queued`, running work when `running`.
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -9,39 +9,48 @@
 
 double positive(const Json& object, const char* field) {
   double value = number(object, field);
-  if (!(value > 0)) throw BadInput(std::string("setting ") + field + " must be above 0");
+  if (!(value > 0))
+    throw BadInput(std::string("setting ") + field + " must be above 0");
   return value;
 }
 
 double not_negative(const Json& object, const char* field) {
   double value = number(object, field);
-  if (!(value >= 0)) throw BadInput(std::string("setting ") + field + " must not be below 0");
+  if (!(value >= 0))
+    throw BadInput(std::string("setting ") + field + " must not be below 0");
   return value;
 }
 
 void request_settings(const Json& params, ModuleSettings& to) {
   RequestSettings& settings = to.requests;
   for (const Json& entry : array(params, "classes").GetArray()) {
-    if (!entry.IsObject()) mistyped("classes", "an array of objects");
+    if (!entry.IsObject())
+      mistyped("classes", "an array of objects");
     RequestClass request_class{};
     request_class.latency_objective = span(positive(entry, "goal_time_ms"));
     request_class.deadline = span(positive(entry, "deadline_ms"));
     request_class.dedup_window = span(not_negative(entry, "dedup_window_ms"));
-    request_class.idempotency = enumerator<Idempotency>(
-        entry, "effect",
-        {{"free", Idempotency::idempotent}, {"guarded", Idempotency::idempotent_with_key}, {"single_shot", Idempotency::non_idempotent}});
-    request_class.dedup_scope =
-        enumerator<DedupScope>(entry, "group", {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
+    request_class.idempotency =
+        enumerator<Idempotency>(entry, "effect",
+                                {{"free", Idempotency::idempotent},
+                                 {"guarded", Idempotency::idempotent_with_key},
+                                 {"single_shot", Idempotency::non_idempotent}});
+    request_class.dedup_scope = enumerator<DedupScope>(
+        entry, "group",
+        {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
     request_class.priority_weight = not_negative(entry, "worth");
     request_class.late_weight_share = not_negative(entry, "late_share");
     request_class.stream = truth(entry, "streaming");
     settings.request_classes.push_back(request_class);
     to.request_classes.push_back(text_or(entry, "name", ""));
   }
-  if (settings.request_classes.empty()) throw BadInput("setting classes is empty");
+  if (settings.request_classes.empty())
+    throw BadInput("setting classes is empty");
   for (const Json& entry : array(params, "tenants").GetArray()) {
-    if (!entry.IsObject()) mistyped("tenants", "an array of objects");
-    settings.tenants.push_back({not_negative(entry, "fraction"), not_negative(entry, "allowance_per_s")});
+    if (!entry.IsObject())
+      mistyped("tenants", "an array of objects");
+    settings.tenants.push_back(
+        {not_negative(entry, "fraction"), not_negative(entry, "allowance_per_s")});
     to.tenants.push_back(text_or(entry, "name", ""));
   }
   const Json& bounds = inner(params, "bounds");
@@ -66,15 +75,17 @@
   settings.fall_window = span(positive(safety, "fall_ms"));
   settings.ask_within = span(not_negative(safety, "ask_within_ms"));
   settings.cold_from = positive(safety, "cold_from");
-  if (settings.cold_from > 1) throw BadInput("setting cold_from must not be above 1");
+  if (settings.cold_from > 1)
+    throw BadInput("setting cold_from must not be above 1");
   settings.fall_multiple = positive(safety, "fall_multiple");
-  settings.must_ask = enumerator<bool>(params, "registry_mode", {{"automatic", false}, {"subscribe", true}});
-  settings.sized =
-      enumerator<bool>(params, "weights", {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
+  settings.must_ask =
+      enumerator<bool>(params, "registry_mode", {{"automatic", false}, {"subscribe", true}});
+  settings.sized = enumerator<bool>(
+      params, "weights", {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
   settings.probes = truth(inner(params, "bounds"), "probes");
-  settings.reports =
-      enumerator<Reports>(inner(params, "load_report"), "source",
-                    {{"piggyback", Reports::answers}, {"pull", Reports::probes}, {"silent", Reports::none}});
+  settings.reports = enumerator<Reports>(
+      inner(params, "load_report"), "source",
+      {{"piggyback", Reports::answers}, {"pull", Reports::probes}, {"silent", Reports::none}});
   return settings;
 }
 
@@ -82,12 +93,15 @@
   CanaryQuotaSettings settings{};
   settings.window = span(positive(info, "window_ms"));
   settings.free = not_negative(info, "free");
-  settings.by_request_class = enumerator<bool>(info, "counts", {{"all", false}, {"each_class", true}});
+  settings.by_request_class =
+      enumerator<bool>(info, "counts", {{"all", false}, {"each_class", true}});
   settings.one_way = truth(info, "one_way");
-  settings.in_place = enumerator<bool>(info, "replace_mode", {{"parallel", false}, {"replace", true}});
+  settings.in_place =
+      enumerator<bool>(info, "replace_mode", {{"parallel", false}, {"replace", true}});
   settings.safe_only_stages = whole(info, "safe_only_stages");
   for (const Json& cap : array(info, "caps").GetArray()) {
-    if (!cap.IsNumber() || cap.GetDouble() < 0) mistyped("caps", "an array of numbers from 0");
+    if (!cap.IsNumber() || cap.GetDouble() < 0)
+      mistyped("caps", "an array of numbers from 0");
     settings.caps.push_back(cap.GetDouble());
   }
   return settings;
@@ -95,9 +109,10 @@
 
 AnalysisSettings analysis_settings(const Json& params, const Json& info) {
   AnalysisSettings settings{};
-  settings.promotion_mode =
-      enumerator<PromotionMode>(info, "gate_mode",
-                 {{"first_voice", PromotionMode::first_vote}, {"by_count", PromotionMode::count}, {"automatic", PromotionMode::clock}});
+  settings.promotion_mode = enumerator<PromotionMode>(info, "gate_mode",
+                                                      {{"first_voice", PromotionMode::first_vote},
+                                                       {"by_count", PromotionMode::count},
+                                                       {"automatic", PromotionMode::clock}});
   settings.bake = span(not_negative(info, "bake_ms"));
   settings.step = span(not_negative(info, "moves_after_ms"));
   settings.vote_lifetime = span(positive(info, "vote_stands_ms"));
@@ -130,7 +145,8 @@
   to.keep_idle = span(number_or(bounds, "keepalive_ms", 0));
   if (present(object, "failure_domains"))
     for (const Json& zone : array(object, "failure_domains").GetArray()) {
-      if (!zone.IsString()) mistyped("failure_domains", "an array of names");
+      if (!zone.IsString())
+        mistyped("failure_domains", "an array of names");
       to.zones.emplace_back(zone.GetString(), zone.GetStringLength());
     }
   return to;
@@ -141,8 +157,9 @@
       {"busy_reqs", &load.held},    {"pending", &load.waiting},     {"cpu_share", &load.busy},
       {"svc_ms", &load.service_ms}, {"served_ps", &load.served_ps}, {"failed_ps", &load.failed_ps}};
   for (auto& [word, place] : places)
-    if (name == word) return place;
+    if (name == word)
+      return place;
   return nullptr;
 }
 
-}  // namespace robinhoist::params
+}  // namespace robinhoist::module_settings
--- a/src/module_settings/module_settings.h
+++ b/src/module_settings/module_settings.h
@@ -1,6 +1,7 @@
-// What an umpire is told about its deployment at its start: the module's settings, part by part, and the
-// names behind the indices. One piece of code decodes the operators' object, for their simulator's wire and
-// for their platform alike. Nothing here decides; figures come with the input alone.
+// What an proxy is told about its deployment at its start: the module's settings, part by part, and
+// the names behind the indices. One piece of code decodes the operators' object, for their
+// simulator's wire and for their platform alike. Nothing here decides; figures come with the input
+// alone.
 #pragma once
 #include <string>
 #include <vector>
@@ -17,7 +18,8 @@
   AnalysisSettings analysis{};
   RequestSettings requests{};
   std::vector<std::string> request_classes{}, tenants{}, zones{};  // by index
-  Duration connect_within{}, keep_idle{};  // for a connection to come up; an idle one is closed by its node
+  Duration connect_within{},
+      keep_idle{};  // for a connection to come up; an idle one is closed by its endpoint
 
   int request_class(std::string_view name) const { return index(request_classes, name); }
   int zone(std::string_view name) const { return index(zones, name); }
@@ -32,4 +34,4 @@
 // Where a value of a load report belongs, by the words of `load_report`; null: not one of them.
 std::optional<double>* load_field(Load& load, std::string_view name);
 
-}  // namespace robinhoist::params
+}  // namespace robinhoist::module_settings
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -14,8 +14,8 @@
 namespace {
 constexpr std::size_t lateness_kept = 8192;
 
-// What one task throws must not cost the others their turn; it goes where the reactor sends what handlers
-// throw.
+// What one task throws must not cost the others their turn; it goes where the reactor sends what
+// handlers throw.
 void carry_out(const Loop::Task& task) {
   try {
     task();
@@ -30,8 +30,12 @@
 }
 }  // namespace
 
-SteadyTime steady_now() { return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now()); }
-WallTime wall_now() { return std::chrono::time_point_cast<Duration>(std::chrono::system_clock::now()); }
+SteadyTime steady_now() {
+  return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
+}
+WallTime wall_now() {
+  return std::chrono::time_point_cast<Duration>(std::chrono::system_clock::now());
+}
 
 Watched::Watched(Loop& loop, int fd, std::function<void()> readable)
     : loop_(loop), socket_(new Poco::Net::StreamSocketImpl(fd)), readable_(std::move(readable)) {
@@ -44,11 +48,14 @@
 }
 
 void Watched::listen(bool on) {
-  if (on == on_) return;
+  if (on == on_)
+    return;
   on_ = on;
   Poco::Observer<Watched, Poco::Net::ReadableNotification> observer(*this, &Watched::on_readable);
-  if (on) loop_.addEventHandler(socket_, observer);
-  else loop_.removeEventHandler(socket_, observer);
+  if (on)
+    loop_.addEventHandler(socket_, observer);
+  else
+    loop_.removeEventHandler(socket_, observer);
 }
 
 void Watched::on_readable(Poco::Net::ReadableNotification* notice) {
@@ -57,9 +64,11 @@
 }
 
 Loop::Loop(SteadyTime epoch)
-    : epoch_(epoch), timer_fd_(timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC)),
+    : epoch_(epoch),
+      timer_fd_(timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC)),
       event_fd_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-  if (timer_fd_ < 0 || event_fd_ < 0) throw std::runtime_error("no file descriptor left for the event loop");
+  if (timer_fd_ < 0 || event_fd_ < 0)
+    throw std::runtime_error("no file descriptor left for the event loop");
   setTimeout(Poco::Timespan(3600, 0));
   timer_ = std::make_unique<Watched>(*this, timer_fd_, [this] { on_timer(); });
   event_ = std::make_unique<Watched>(*this, event_fd_, [this] { on_posted(); });
@@ -70,12 +79,14 @@
 Loop::Timer Loop::at(TimePoint when, Task task) {
   Timer timer{when, next_id_++};
   tasks_.emplace(timer, std::move(task));
-  if (tasks_.begin()->first == timer) arm();
+  if (tasks_.begin()->first == timer)
+    arm();
   return timer;
 }
 
 void Loop::cancel(Timer& timer) {
-  if (timer.second != 0) tasks_.erase(timer);
+  if (timer.second != 0)
+    tasks_.erase(timer);
   timer = no_timer;
 }
 
@@ -87,9 +98,11 @@
 
 // An earlier alarm than needed is left as it is: it finds nothing due and sets the next.
 void Loop::arm() {
-  if (tasks_.empty()) return;
+  if (tasks_.empty())
+    return;
   TimePoint when = tasks_.begin()->first.first;
-  if (armed_ != TimePoint{} && armed_ <= when) return;
+  if (armed_ != TimePoint{} && armed_ <= when)
+    return;
   armed_ = when;
   auto left = std::max(std::chrono::nanoseconds(1), std::chrono::nanoseconds(when - now()));
   itimerspec spec{};
@@ -105,15 +118,18 @@
   while (!tasks_.empty() && tasks_.begin()->first.first <= until) {
     auto due = tasks_.extract(tasks_.begin());
     const auto late = static_cast<std::int32_t>((now() - due.key().first).count());
-    if (lateness_.size() < lateness_kept) lateness_.push_back(late);
-    else lateness_[lateness_at_++ % lateness_kept] = late;
+    if (lateness_.size() < lateness_kept)
+      lateness_.push_back(late);
+    else
+      lateness_[lateness_at_++ % lateness_kept] = late;
     carry_out(due.mapped());
   }
   arm();
 }
 
 std::optional<std::int32_t> Loop::lateness(double part) const {
-  if (lateness_.empty()) return {};
+  if (lateness_.empty())
+    return {};
   std::vector<std::int32_t> late = lateness_;
   auto at = late.begin() + static_cast<long>(part * static_cast<double>(late.size() - 1));
   std::nth_element(late.begin(), at, late.end());
@@ -136,7 +152,8 @@
     std::lock_guard lock(mutex_);
     tasks.swap(posted_);
   }
-  for (Task& task : tasks) carry_out(task);
+  for (Task& task : tasks)
+    carry_out(task);
 }
 
 void Loop::quit() {
@@ -160,11 +177,13 @@
   });
   std::unique_lock lock(mutex);
   done.wait(lock, [&] { return ready; });
-  if (thrown) std::rethrow_exception(thrown);
+  if (thrown)
+    std::rethrow_exception(thrown);
 }
 
 Timers::~Timers() {
-  for (auto& [id, timer] : held_) loop_.cancel(timer);
+  for (auto& [id, timer] : held_)
+    loop_.cancel(timer);
 }
 
 void Timers::at(TimePoint when, Loop::Task task) {
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,6 +1,6 @@
-// One thread's event loop: POCO's SocketReactor for sockets, a timerfd for timers (the reactor's own
-// time-outs are whole milliseconds and fire only when nothing else happens), an eventfd for work from other
-// threads. Everything but post() and now() belongs to the loop's thread.
+// One thread's event loop: POCO's SocketReactor for sockets, a timerfd for timers (the reactor's
+// own time-outs are whole milliseconds and fire only when nothing else happens), an eventfd for
+// work from other threads. Everything but post() and now() belongs to the loop's thread.
 #pragma once
 #include <Poco/Net/SocketNotification.h>
 #include <Poco/Net/SocketReactor.h>
@@ -21,8 +21,8 @@
 
 namespace robinhoist::net {
 
-// Time on this machine's steady clock, the same in every process; `epoch` is taken off by whoever wants spans
-// since a start.
+// Time on this machine's steady clock, the same in every process; `epoch` is taken off by whoever
+// wants durations since a start.
 SteadyTime steady_now();
 // Time since 1970, for what crosses machines.
 WallTime wall_now();
@@ -61,7 +61,8 @@
   Timer at(TimePoint when, Task task);
   Timer in(Duration wait, Task task) { return at(now() + wait, std::move(task)); }
   void cancel(Timer& timer);
-  // As if so much time had passed: what falls due meanwhile runs next. For those who test long lives.
+  // As if so much time had passed: what falls due meanwhile runs next. For those who test long
+  // lives.
   void pass(Duration time);
   // From any thread: runs on the loop's thread, in order.
   void post(Task task);
@@ -71,8 +72,8 @@
   // comes out here.
   void call(const Task& task);
 
-  // How late timers ran, for measurements, in microseconds: below what this part of the last few thousand
-  // lie.
+  // How late timers ran, for measurements, in microseconds: below what this part of the last few
+  // thousand lie.
   std::optional<std::int32_t> lateness(double part) const;
   std::size_t timers() const { return tasks_.size(); }
 
--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -12,13 +12,16 @@
     : came_(std::move(came)) {
   sigset_t set;
   sigemptyset(&set);
-  for (int one : which) sigaddset(&set, one);
+  for (int one : which)
+    sigaddset(&set, one);
   pthread_sigmask(SIG_BLOCK, &set, nullptr);
   fd_ = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
-  if (fd_ < 0) throw std::runtime_error("no file descriptor left for signals");
+  if (fd_ < 0)
+    throw std::runtime_error("no file descriptor left for signals");
   watched_ = std::make_unique<Watched>(loop, fd_, [this] {
     signalfd_siginfo info{};
-    if (::read(fd_, &info, sizeof info) == sizeof info) came_(static_cast<int>(info.ssi_signo));
+    if (::read(fd_, &info, sizeof info) == sizeof info)
+      came_(static_cast<int>(info.ssi_signo));
   });
 }
 
--- a/src/net/signals.h
+++ b/src/net/signals.h
@@ -1,4 +1,5 @@
-// Signals as events on a Loop. Made before any thread starts, so that all of them leave these alone.
+// Signals as events on a Loop. Made before any thread starts, so that all of them leave these
+// alone.
 #pragma once
 #include <functional>
 #include <initializer_list>
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,5 +1,6 @@
-// A non-blocking TCP connection on a Loop, and the listener that takes them. A stream reads while its owner
-// lets it, writes at once as far as the kernel takes it and keeps the rest, and says once that it has closed.
+// A non-blocking TCP connection on a Loop, and the listener that takes them. A stream reads while
+// its owner lets it, writes at once as far as the kernel takes it and keeps the rest, and says once
+// that it has closed.
 #pragma once
 #include <Poco/Net/ServerSocket.h>
 #include <Poco/Net/SocketAddress.h>
@@ -24,7 +25,8 @@
     virtual void on_closed(Stream&, Closed how) = 0;
   };
 
-  static std::shared_ptr<Stream> connect(Loop& loop, const Poco::Net::SocketAddress& to, Owner& owner);
+  static std::shared_ptr<Stream> connect(Loop& loop, const Poco::Net::SocketAddress& to,
+                                         Owner& owner);
   static std::shared_ptr<Stream> adopt(Loop& loop, int fd, Owner& owner);
   ~Stream();
 
@@ -33,9 +35,10 @@
   std::size_t unwritten() const { return out_.size() - out_at_; }
   // Stops and starts reading: back-pressure towards the peer.
   void read(bool on);
-  // Ends the connection once all is written: tells the peer so, and reads on without a use for it until the
-  // peer ends it too, for what lies unread at a close turns it into a reset that may destroy what was
-  // written. The owner hears of it by on_closed, later and once, and bounds the time.
+  // Ends the connection once all is written: tells the peer so, and reads on without a use for it
+  // until the peer ends it too, for what lies unread at a close turns it into a reset that may
+  // destroy what was written. The owner hears of it by on_closed, later and once, and bounds the
+  // time.
   void finish();
   // Ends it now; the owner hears nothing any more. With `reset` the peer sees a broken connection.
   void drop(bool reset = false);
@@ -76,7 +79,8 @@
 
 class Listener {
  public:
-  // Port 0 takes any; port() tells which. Throws std::runtime_error with the address when it can't be had.
+  // Port 0 takes any; port() tells which. Throws std::runtime_error with the address when it can't
+  // be had.
   Listener(Loop& loop, const std::string& address, std::function<void(int fd)> accepted);
   ~Listener();
   Listener(const Listener&) = delete;
--- a/src/objects/selector.h
+++ b/src/objects/selector.h
@@ -1,5 +1,6 @@
 // Which objects somebody wants: requirements on labels and fields, as Kubernetes writes them:
-// `team=front,tier!=test,zone in (a,b),zone notin (c),canary,!old`, and for fields `status.phase=trial`.
+// `team=front,tier!=test,zone in (a,b),zone notin (c),canary,!old`, and for fields
+// `status.phase=canary`.
 #pragma once
 #include <map>
 #include <stdexcept>
@@ -34,7 +35,8 @@
   std::vector<Need> labels_{}, fields_{};
 };
 
-// Words that may stand in labels: at most 63 of [A-Za-z0-9._-], and a name may have a prefix before a slash.
+// Words that may stand in labels: at most 63 of [A-Za-z0-9._-], and a name may have a prefix before
+// a slash.
 bool label_name(std::string_view text);
 bool label_value(std::string_view text);
 // Of objects: at most 63 of [a-z0-9-], no dash at either end.
--- a/src/objects/store.h
+++ b/src/objects/store.h
@@ -1,6 +1,6 @@
-// Objects of one kind as they are told to others: each change has a version that only grows, and the last
-// changes are kept for those that watch. Free of I/O and clocks. What is taken here is final: whoever calls
-// has written it down before.
+// Objects of one kind as they are told to others: each change has a version that only grows, and
+// the last changes are kept for those that watch. Free of I/O and clocks. What is taken here is
+// final: whoever calls has written it down before.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -15,7 +15,8 @@
 
 enum class Change { added, modified, deleted };
 
-// An object as it stood at a version. The texts are JSON; `brief` is the part that a watcher of `brief` sees.
+// An object as it stood at a version. The texts are JSON; `brief` is the part that a watcher of
+// `brief` sees.
 struct Snapshot {
   std::string name{};
   std::int64_t version = 0;
@@ -38,8 +39,8 @@
   // Keeps so many changes.
   explicit Store(std::size_t window) : window_(window) {}
   // As it stood when the process last ended; `oldest` is the version before the first event given.
-  void restore(std::int64_t version, std::int64_t oldest, std::map<std::string, SnapshotPtr> objects,
-               std::deque<Event> events);
+  void restore(std::int64_t version, std::int64_t oldest,
+               std::map<std::string, SnapshotPtr> objects, std::deque<Event> events);
 
   // In the order of versions.
   void take(Event event);
@@ -59,9 +60,9 @@
   std::deque<Event> events_{};
 };
 
-// What a watcher with a selector is told of an event; nothing when it is none of its own. One that comes into
-// the selection is added to it, one that leaves is deleted from it. With `brief` what changes elsewhere is
-// passed over.
+// What a watcher with a selector is told of an event; nothing when it is none of its own. One that
+// comes into the selection is added to it, one that leaves is deleted from it. With `brief` what
+// changes elsewhere is passed over.
 std::optional<Change> seen(const Event& event, const Selector& selector, bool brief);
 const char* to_string(Change change);
 
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -21,7 +21,8 @@
   } catch (const Poco::Exception&) {
     // Told below, like one without a port.
   }
-  throw BadInput(std::string("field ") + field + " holds '" + given + "', which is not a host:port");
+  throw BadInput(std::string("field ") + field + " holds '" + given +
+                 "', which is not a host:port");
 }
 
 unsigned salt_of(const Json& object) {
@@ -29,7 +30,8 @@
   std::uint64_t seed = 0;
   auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), seed, 16);
   if (digits.empty() || error != std::errc{} || end != digits.data() + digits.size())
-    throw BadInput("field seed holds '" + digits + "', which is not a hexadecimal number of 64 bits");
+    throw BadInput("field seed holds '" + digits +
+                   "', which is not a hexadecimal number of 64 bits");
   return static_cast<unsigned>(seed ^ (seed >> 32));
 }
 
@@ -52,15 +54,18 @@
   news.version = static_cast<std::int64_t>(revision);
   news.whole = truth(object, "complete");
   for (const Json& member : array(object, "members").GetArray()) {
-    if (!member.IsObject()) mistyped("members", "an array of objects");
+    if (!member.IsObject())
+      mistyped("members", "an array of objects");
     registry::Endpoint entry;
     entry.name = text(member, "id");
     entry.address = text(member, "host_port");
     entry.zone = text_or(member, "locality", "");
     entry.cell = static_cast<int>(number_or(member, "cell", 0));
     entry.build = whole(member, "build", 0, 65535);
-    entry.phase = enumerator<EndpointPhase>(
-        member, "phase", {{"ready", EndpointPhase::ready}, {"draining", EndpointPhase::draining}, {"gone", EndpointPhase::removed}});
+    entry.phase = enumerator<EndpointPhase>(member, "phase",
+                                            {{"ready", EndpointPhase::ready},
+                                             {"draining", EndpointPhase::draining},
+                                             {"gone", EndpointPhase::removed}});
     entry.size = number_or(member, "size", 1);
     entry.started = WallTime(span(number_or(member, "up_since_ms", 0)));
     news.entries.push_back(std::move(entry));
@@ -73,12 +78,13 @@
   release.build = whole(object, "Revision", 0, 65535);
   release.stage = whole(object, "Wave");
   release.phase = enumerator<ReleasePhase>(object, "State",
-                             {{"IN_PROGRESS", ReleasePhase::canary},
-                              {"ROLLING_BACK", ReleasePhase::rolling_back},
-                              {"COMPLETE", ReleasePhase::released},
-                              {"ROLLED_BACK", ReleasePhase::rolled_back}});
+                                           {{"IN_PROGRESS", ReleasePhase::canary},
+                                            {"ROLLING_BACK", ReleasePhase::rolling_back},
+                                            {"COMPLETE", ReleasePhase::released},
+                                            {"ROLLED_BACK", ReleasePhase::rolled_back}});
   release.cap = number(object, "MaxShare");
-  if (!(release.cap >= 0)) mistyped("MaxShare", "a number from 0");
+  if (!(release.cap >= 0))
+    mistyped("MaxShare", "a number from 0");
   release.since = duration_of(object, "AgeMs");
   return release;
 }
@@ -95,8 +101,10 @@
     to.limits.cores = number(limits, "cores");
     to.limits.memory_mb = number(limits, "memory_mb");
     to.limits.sockets = whole(limits, "sockets", 64);
-    if (!(to.limits.cores > 0)) mistyped("cores", "a number above 0");
-    if (!(to.limits.memory_mb > 0)) mistyped("memory_mb", "a number above 0");
+    if (!(to.limits.cores > 0))
+      mistyped("cores", "a number above 0");
+    if (!(to.limits.memory_mb > 0))
+      mistyped("memory_mb", "a number above 0");
   });
   within("release_api", [&] {
     const Json& api = inner(object, "release_api");
@@ -104,14 +112,16 @@
     to.news = release_update_of(inner(api, "news"));
   });
   within("known", [&] { to.known = endpoints_of(inner(object, "known")); });
-  within("settings", [&] { to.module_settings = module_settings::decode(inner(object, "settings")); });
+  within("settings",
+         [&] { to.module_settings = module_settings::decode(inner(object, "settings")); });
   return to;
 }
 
 Config of_file(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   std::ostringstream content;
-  if (!in || !(content << in.rdbuf())) throw BadInput(file + ": can't be read, or is empty");
+  if (!in || !(content << in.rdbuf()))
+    throw BadInput(file + ": can't be read, or is empty");
   try {
     return decoded(content.str());
   } catch (const BadInput& bad) {
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -1,11 +1,12 @@
-// What the operators' platform tells an umpire in its configuration file: one JSON object with its name, its
-// addresses, its limits, the deployment's settings, and what nodes and releases were last known.
+// What the operators' platform tells an proxy in its configuration file: one JSON object with its
+// name, its addresses, its limits, the deployment's settings, and what endpoints and releases were
+// last known.
 #pragma once
 #include <string>
 #include <string_view>
 
-#include "registry/registry.h"
 #include "module_settings/module_settings.h"
+#include "registry/registry.h"
 
 namespace robinhoist::platform {
 
--- a/src/platform/process.cpp
+++ b/src/platform/process.cpp
@@ -14,13 +14,16 @@
 
 using namespace std::chrono_literals;
 
-constexpr int own_sockets = 24;  // loop, signals, listener, watches, votes, the standard three, some in hand
-constexpr std::size_t most_body = 64 * 1024, most_head = 8 * 1024;  // of requests: the protocol's, and ours
-// Nodes' answers are larger than the protocol says (400 KB were seen), so they are bounded by the memory:
-// this many at once, each with its copies on the way through.
+constexpr int own_sockets =
+    24;  // loop, signals, listener, watches, votes, the standard three, some in hand
+constexpr std::size_t most_body = 64 * 1024,
+                      most_head = 8 * 1024;  // of requests: the protocol's, and ours
+// Endpoints' answers are larger than the protocol says (400 KB were seen), so they are bounded by
+// the memory: this many at once, each with its copies on the way through.
 constexpr double answers_held = 96;
 constexpr Duration first_within = 2s, request_within = 2s, idle_for = 5s;
-constexpr Duration restart_window = 600ms;  // new connections may still come for so long after SIGTERM
+constexpr Duration restart_window =
+    600ms;  // new connections may still come for so long after SIGTERM
 constexpr Duration figures_every = 5s;
 
 }  // namespace
@@ -44,7 +47,7 @@
   to.endpoint.most_connections = sockets - clients;
   to.endpoint.budget = std::make_shared<http::Budget>(sockets - clients);
   to.endpoint.connect_within = config.module_settings.connect_within;
-  to.endpoint.keep_for = config.module_settings.keep_idle * 4 / 5;  // before the node closes it
+  to.endpoint.keep_for = config.module_settings.keep_idle * 4 / 5;  // before the endpoint closes it
   to.endpoint.limits = {.header = most_head, .body = answer, .framed = true};
   return to;
 }
@@ -58,11 +61,13 @@
   log::Log log(config.name, "info");
   net::Loop loop(net::steady_now());
   std::signal(SIGPIPE, SIG_IGN);
-  Discovery endpoints(loop, config.discovery, config.known.version, Discovery::watching(config.salt + 1), log);
-  ReleaseApi releases(loop, config.release_api, config.news, config.module_settings.analysis.call_timeout, config.salt + 2,
-                      log);
+  Discovery endpoints(loop, config.discovery, config.known.version,
+                      Discovery::watching(config.salt + 1), log);
+  ReleaseApi releases(loop, config.release_api, config.news,
+                      config.module_settings.analysis.call_timeout, config.salt + 2, log);
   const PlatformProtocol protocol(config.module_settings);
-  proxy::Router router(loop, router_settings(config), config.module_settings, protocol, log, endpoints, releases);
+  proxy::Router router(loop, router_settings(config), config.module_settings, protocol, log,
+                       endpoints, releases);
   releases.on_flagged([&](const std::string& endpoint, Duration) { router.found_wrong(endpoint); });
 
   bool stopping = false;
@@ -79,7 +84,8 @@
       }
       return;
     }
-    if (stopping) return;
+    if (stopping)
+      return;
     stopping = true;
     router.retire();
     loop.in(restart_window, [&] { router.drain([&] { loop.quit(); }); });
