--- a/src/steps/runner.cpp
+++ b/src/steps/runner.cpp
@@ -10,32 +10,41 @@
 
 using namespace std::chrono_literals;
 
-std::int64_t wall_ms() { return net::wall_now().time_since_epoch().count() / 1000; }
-const char* to_string(Direction direction) { return direction == Direction::apply ? "apply" : "undo"; }
+std::int64_t wall_ms() {
+  return net::wall_now().time_since_epoch().count() / 1000;
+}
+const char* to_string(Direction direction) {
+  return direction == Direction::apply ? "apply" : "undo";
+}
 const char* to_string(Answer answer) {
   return answer == Answer::yes ? "yes" : answer == Answer::no ? "no" : "unknown";
 }
 
 void replay(Core& core, const journal::Entry& entry) {
   const int step = core.step(entry.step);
-  if (step < 0) return;
+  if (step < 0)
+    return;
   const Direction direction = entry.direction == "undo" ? Direction::undo : Direction::apply;
-  if (entry.what == "intent") return core.replay_intent(step, direction);
-  if (entry.what == "skipped") return core.replay_skipped(step);
+  if (entry.what == "intent")
+    return core.replay_intent(step, direction);
+  if (entry.what == "skipped")
+    return core.replay_skipped(step);
   if (entry.what == "looked")
     return core.replay_looked(step,
                               entry.outcome == "yes"  ? Answer::yes
                               : entry.outcome == "no" ? Answer::no
                                                       : Answer::unknown,
                               entry.after);
-  for (Result result : {Result::done, Result::more, Result::not_run, Result::unknown, Result::fenced})
-    if (entry.outcome == to_string(result)) return core.replay_ended(step, direction, result, entry.after);
+  for (Result result :
+       {Result::done, Result::more, Result::not_run, Result::unknown, Result::fenced})
+    if (entry.outcome == to_string(result))
+      return core.replay_ended(step, direction, result, entry.after);
 }
 
 }  // namespace
 
-Runner::Runner(net::Loop& loop, const RunnerSettings& settings, journal::Journal& journal, Target& target,
-               const log::Log& log)
+Runner::Runner(net::Loop& loop, const RunnerSettings& settings, journal::Journal& journal,
+               Target& target, const log::Log& log)
     : loop_(loop), settings_(settings), journal_(journal), target_(target), log_(log) {
   for (auto& [build, text] : journal_.plans()) {
     settings::Form form = settings::Form::of_text(text, "plan of build " + std::to_string(build));
@@ -53,14 +62,16 @@
 
 std::unique_ptr<Runner::Run> Runner::rebuilt(const Plan& plan, const std::string& text) const {
   auto run = std::make_unique<Run>(Run{Core(plan), text});
-  for (const journal::Entry& entry : journal_.entries(plan.build)) replay(run->core, entry);
+  for (const journal::Entry& entry : journal_.entries(plan.build))
+    replay(run->core, entry);
   run->core.lease(token_ > 0);
   return run;
 }
 
 Runner::Run* Runner::find(int build) const {
   for (auto& run : runs_)
-    if (run->core.plan().build == build) return run.get();
+    if (run->core.plan().build == build)
+      return run.get();
   return nullptr;
 }
 
@@ -68,12 +79,13 @@
   settings::Form form = settings::Form::of_text(text, name);
   Plan plan = read(form.sub("plan"), settings_.stages, journal_.applied());
   Run* old = find(plan.build);
-  if (old && old->core.busy()) form.problem("a step of the plan that it replaces is running; try again");
+  if (old && old->core.busy())
+    form.problem("a step of the plan that it replaces is running; try again");
   // What has been touched can't be dropped from the plan.
   for (auto& [step, digest] : journal_.applied()) {
     const std::string mine = std::to_string(plan.build) + "/";
-    if (step.rfind(mine, 0) == 0 &&
-        std::none_of(plan.steps.begin(), plan.steps.end(), [&](auto& s) { return mine + s.id == step; }))
+    if (step.rfind(mine, 0) == 0 && std::none_of(plan.steps.begin(), plan.steps.end(),
+                                                 [&](auto& s) { return mine + s.id == step; }))
       form.problem("step " + step.substr(mine.size()) + " has been applied and is missing now");
   }
   form.finish();
@@ -82,26 +94,30 @@
   auto run = rebuilt(plan, text);
   if (old) {
     for (auto& one : runs_)
-      if (one.get() == old) one = std::move(run);
+      if (one.get() == old)
+        one = std::move(run);
   } else {
     runs_.push_back(std::move(run));
     std::sort(runs_.begin(), runs_.end(),
               [](auto& a, auto& b) { return a->core.plan().build < b->core.plan().build; });
   }
-  log_.info("plan taken",
-            {{"build", log::text(plan.build)}, {"steps", log::text(plan.steps.size())}, {"who", who}});
+  log_.info(
+      "plan taken",
+      {{"build", log::text(plan.build)}, {"steps", log::text(plan.steps.size())}, {"who", who}});
   return plan.build;
 }
 
 void Runner::release(int build, const Release& release) {
-  if (Run* run = find(build)) run->core.release(release);
+  if (Run* run = find(build))
+    run->core.release(release);
 }
 
 bool Runner::allows(int build, int stage, std::string* why) const {
   // While an earlier release still has steps to undo or to finish, the next does not start.
   for (auto& other : runs_)
     if (other->core.plan().build < build && !other->core.succeeded()) {
-      if (why) *why = "build " + std::to_string(other->core.plan().build) + " still has steps to run";
+      if (why)
+        *why = "build " + std::to_string(other->core.plan().build) + " still has steps to run";
       return false;
     }
   const Run* run = find(build);
@@ -109,11 +125,13 @@
 }
 
 void Runner::at(const char* point) const {
-  if (settings_.point) settings_.point(point);
+  if (settings_.point)
+    settings_.point(point);
 }
 
 void Runner::failed(const std::string& why) {
-  if (broken_ != why) log_.error("the journal takes nothing", {{"why", why}});
+  if (broken_ != why)
+    log_.error("the journal takes nothing", {{"why", why}});
   broken_ = why;
   loop_.cancel(look_);
   look_ = loop_.in(settings_.journal_again, [this] { pull(); });
@@ -132,20 +150,22 @@
         log_.info("holds the lease", {{"token", log::text(token_)}});
       }
     }
-    if (token_ > 0) lease_until_ = loop_.now() + settings_.lease;
+    if (token_ > 0)
+      lease_until_ = loop_.now() + settings_.lease;
   } catch (const journal::Failed& bad) {
     failed(bad.what());
     again = std::min(again, settings_.journal_again);
   }
   at("lease kept");
-  for (auto& run : runs_) run->core.lease(token_ > 0);
+  for (auto& run : runs_)
+    run->core.lease(token_ > 0);
   lease_timer_ = loop_.in(again, [this] { keep_lease(); });
   pull();
 }
 
 void Runner::write(const Run& run, const Step& step, const char* what, Direction direction,
-                   const std::string& outcome, std::int64_t after, int attempt, const std::string& why,
-                   const std::string& who) {
+                   const std::string& outcome, std::int64_t after, int attempt,
+                   const std::string& why, const std::string& who) {
   journal::Entry entry;
   entry.build = run.core.plan().build;
   entry.step = step.id;
@@ -167,7 +187,8 @@
 }
 
 void Runner::pull() {
-  if (pulling_) return;
+  if (pulling_)
+    return;
   pulling_ = true;
   loop_.cancel(look_);
   try {
@@ -179,7 +200,8 @@
     // By its own clock too: one that slept through its lease must not act on it.
     if (token_ > 0 && loop_.now() < lease_until_) {
       for (auto& run : runs_) {
-        while (auto todo = run->core.next(loop_.now())) act(*run, *todo);
+        while (auto todo = run->core.next(loop_.now()))
+          act(*run, *todo);
         if (!run->core.succeeded() || run->core.busy()) {
           if (auto at = run->core.next_look())
             look_ = loop_.at(std::max(*at, loop_.now() + 1ms), [this] { pull(); });
@@ -191,7 +213,8 @@
     failed(bad.what());
   }
   pulling_ = false;
-  if (changed) changed();
+  if (changed)
+    changed();
 }
 
 void Runner::act(Run& run, const Todo& todo) {
@@ -206,15 +229,17 @@
                      {"attempt", log::text(todo.attempt)},
                      {"after", log::text(todo.after)},
                      {"why", todo.why}});
-  const auto looked = [this, build, index, direction = todo.direction](Answer answer, std::int64_t after,
-                                                                       const std::string& why) {
+  const auto looked = [this, build, index, direction = todo.direction](
+                          Answer answer, std::int64_t after, const std::string& why) {
     Run* of = find(build);
-    if (!of) return;
+    if (!of)
+      return;
     at("looked, not written");
     of->core.looked(index, answer, after, why, loop_.now());
     if (answer != Answer::unknown) {
       try {
-        write(*of, of->core.plan().steps[index], "looked", direction, to_string(answer), after, 0, why);
+        write(*of, of->core.plan().steps[index], "looked", direction, to_string(answer), after, 0,
+              why);
       } catch (const journal::Failed& bad) {
         failed(bad.what());
       }
@@ -240,24 +265,29 @@
       target_.run(run.core.plan(), step, todo.direction, todo.after, token_,
                   [this, build, index, todo](const Target::Outcome& outcome) {
                     Run* of = find(build);
-                    if (!of) return;
+                    if (!of)
+                      return;
                     at("ended, not written");
                     const Step& ended = of->core.plan().steps[index];
                     const Result result = outcome.result;
                     const bool ran = result == Result::done || result == Result::more;
                     const std::int64_t after = ran ? outcome.after : todo.after;
                     const std::string& why = outcome.why;
-                    if (outcome.last > 0) of->core.reaches(index, outcome.last);
+                    if (outcome.last > 0)
+                      of->core.reaches(index, outcome.last);
                     of->core.ended(index, todo.direction, result, after, why, loop_.now());
-                    if (result == Result::fenced) token_ = 0;
-                    log_.info("step ended", {{"build", log::text(build)},
-                                             {"step", ended.id},
-                                             {"result", to_string(result)},
-                                             {"after", log::text(after)},
-                                             {"took_ms", log::text((loop_.now() - of->began).count() / 1000)},
-                                             {"why", why}});
+                    if (result == Result::fenced)
+                      token_ = 0;
+                    log_.info("step ended",
+                              {{"build", log::text(build)},
+                               {"step", ended.id},
+                               {"result", to_string(result)},
+                               {"after", log::text(after)},
+                               {"took_ms", log::text((loop_.now() - of->began).count() / 1000)},
+                               {"why", why}});
                     try {
-                      write(*of, ended, "ended", todo.direction, to_string(result), after, todo.attempt, why);
+                      write(*of, ended, "ended", todo.direction, to_string(result), after,
+                            todo.attempt, why);
                     } catch (const journal::Failed& bad) {
                       failed(bad.what());
                     }
@@ -280,28 +310,36 @@
 }
 
 std::string Runner::pause(bool on, const std::string& who, const std::string& why) {
-  for (auto& run : runs_) run->core.pause(on);
+  for (auto& run : runs_)
+    run->core.pause(on);
   log_.info(on ? "steps paused" : "steps resumed", {{"who", who}, {"why", why}});
   pull();
   return "";
 }
 
-std::string Runner::retry(int build, const std::string& id, const std::string& who, const std::string& why) {
+std::string Runner::retry(int build, const std::string& id, const std::string& who,
+                          const std::string& why) {
   Run* run = find(build);
   const int step = run ? run->core.step(id) : -1;
-  if (step < 0) return "no such step";
-  if (!run->core.retry(step)) return "step " + id + " does not wait";
+  if (step < 0)
+    return "no such step";
+  if (!run->core.retry(step))
+    return "step " + id + " does not wait";
   log_.info("step tried again", {{"step", id}, {"who", who}, {"why", why}});
   pull();
   return "";
 }
 
-std::string Runner::skip(int build, const std::string& id, const std::string& who, const std::string& why) {
-  if (why.empty()) return "a skip needs a reason";
+std::string Runner::skip(int build, const std::string& id, const std::string& who,
+                         const std::string& why) {
+  if (why.empty())
+    return "a skip needs a reason";
   Run* run = find(build);
   const int step = run ? run->core.step(id) : -1;
-  if (step < 0) return "no such step";
-  if (!run->core.skip(step)) return "step " + id + " is done already, or running";
+  if (step < 0)
+    return "no such step";
+  if (!run->core.skip(step))
+    return "step " + id + " is done already, or running";
   try {
     write(*run, run->core.plan().steps[step], "skipped", Direction::apply, "", 0, 0, why, who);
   } catch (const journal::Failed& bad) {
@@ -313,7 +351,8 @@
 }
 
 void Runner::client_outcomes(long requests, long unsuccessful) {
-  for (auto& run : runs_) run->core.client_outcomes(requests, unsuccessful, loop_.now());
+  for (auto& run : runs_)
+    run->core.client_outcomes(requests, unsuccessful, loop_.now());
 }
 
 bool Runner::succeeded() const {
@@ -357,20 +396,26 @@
 void Runner::verify_next(const std::shared_ptr<Verification>& verification) {
   for (; verification->next < verification->asked.size(); ++verification->next) {
     Verification::Asked& asked = verification->asked[verification->next];
-    if (!asked.state.empty()) continue;
+    if (!asked.state.empty())
+      continue;
     const Step& step = asked.step;
     if (step.check.empty() && !step.transactional) {
       asked.state = "nothing can tell";
       continue;
     }
-    const auto told = [this, verification, &asked](Answer answer, std::int64_t, const std::string& why) {
-      asked.state = answer == Answer::yes ? "holds" : answer == Answer::no ? "does not hold" : "not answered";
+    const auto told = [this, verification, &asked](Answer answer, std::int64_t,
+                                                   const std::string& why) {
+      asked.state = answer == Answer::yes  ? "holds"
+                    : answer == Answer::no ? "does not hold"
+                                           : "not answered";
       asked.why = why;
       ++verification->next;
       verify_next(verification);
     };
-    if (step.check.empty()) target_.mark(find(asked.build)->core.plan(), step, token_, told);
-    else target_.check(step, told);
+    if (step.check.empty())
+      target_.mark(find(asked.build)->core.plan(), step, token_, told);
+    else
+      target_.check(step, told);
     return;
   }
   json::Out out;
@@ -387,7 +432,9 @@
 
 namespace {
 std::string state_of(const Progress& progress) {
-  return progress.skipped ? "skipped" : progress.stuck ? "waits for the operator" : to_string(progress.fact);
+  return progress.skipped ? "skipped"
+         : progress.stuck ? "waits for the operator"
+                          : to_string(progress.fact);
 }
 }  // namespace
 
@@ -410,19 +457,26 @@
   out.open_list("plans");
   for (auto& run : runs_) {
     const Core& core = run->core;
-    out.open().put("build", core.plan().build).put("paused", core.paused()).put("busy", core.busy());
+    out.open()
+        .put("build", core.plan().build)
+        .put("paused", core.paused())
+        .put("busy", core.busy());
     out.put("undoing", core.undoing()).put_ms("throttle_ms", core.throttle()).open_list("steps");
     for (std::size_t i = 0; i < core.plan().steps.size(); ++i) {
       const Step& step = core.plan().steps[i];
       const Progress& progress = core.progress()[i];
-      out.open().put("id", step.id).put("phase", to_string(step.phase)).put("before_wave", step.before_stage);
+      out.open()
+          .put("id", step.id)
+          .put("phase", to_string(step.phase))
+          .put("before_wave", step.before_stage);
       out.put("state", state_of(progress));
       out.put("verified", progress.verified)
           .put("tries", progress.tries)
           .put("after", static_cast<long>(progress.after));
       if (auto estimate = core.estimate(static_cast<int>(i))) {
         out.put("part", estimate->part);
-        if (estimate->left) out.put_ms("left_ms", *estimate->left);
+        if (estimate->left)
+          out.put_ms("left_ms", *estimate->left);
       }
       out.put("why", progress.why).close();
     }
--- a/src/steps/runner.h
+++ b/src/steps/runner.h
@@ -1,16 +1,16 @@
-// Carries out what the cores of steps decide: writes down, calls the target, writes down, and keeps the
-// lease. Plans run one after the other: a later release's steps wait until an earlier one has nothing left to
-// do.
+// Carries out what the cores of steps decide: writes down, calls the target, writes down, and keeps
+// the lease. Plans run one after the other: a later release's steps wait until an earlier one has
+// nothing left to do.
 #pragma once
 #include <deque>
 #include <functional>
 #include <memory>
 #include <string>
 
+#include "journal/journal.h"
 #include "log/log.h"
 #include "net/loop.h"
 #include "steps/core.h"
-#include "journal/journal.h"
 #include "steps/target.h"
 #include "time/time_types.h"
 
@@ -18,7 +18,7 @@
 
 struct RunnerSettings {
   std::string who{};  // holder of the lease
-  Duration lease{};  // its length; renewed at a third of it
+  Duration lease{};   // its length; renewed at a third of it
   int stages = 1;
   Duration journal_again = std::chrono::milliseconds(500);  // after it took nothing
   // Called at each point between two writes, for tests that end the process there.
@@ -38,11 +38,13 @@
   bool allows(int build, int stage, std::string* why = nullptr) const;
   // The operator's words; empty when done, else why not.
   std::string pause(bool on, const std::string& who, const std::string& why);
-  std::string retry(int build, const std::string& step, const std::string& who, const std::string& why);
-  std::string skip(int build, const std::string& step, const std::string& who, const std::string& why);
+  std::string retry(int build, const std::string& step, const std::string& who,
+                    const std::string& why);
+  std::string skip(int build, const std::string& step, const std::string& who,
+                   const std::string& why);
   void client_outcomes(long requests, long unsuccessful);
-  // Asks the target again about every step that was applied, by its check, else by its mark; nothing is
-  // changed. JSON, once all have been asked.
+  // Asks the target again about every step that was applied, by its check, else by its mark;
+  // nothing is changed. JSON, once all have been asked.
   void verify(std::function<void(const std::string&)> done);
   void pull();
   // Called after each change that may move a gate.
@@ -86,7 +88,7 @@
   TimePoint lease_until_{};
   net::Loop::Timer lease_timer_ = net::Loop::no_timer, look_ = net::Loop::no_timer;
   std::deque<journal::Entry> unwritten_{};  // outcomes that the journal has not taken yet
-  std::string broken_{};           // why the journal takes nothing
+  std::string broken_{};                    // why the journal takes nothing
   bool pulling_ = false;
 };
 
--- a/src/steps/target.cpp
+++ b/src/steps/target.cpp
@@ -14,7 +14,9 @@
   return to;
 }
 
-std::string mark_of(const Plan& plan, const Step& step) { return std::to_string(plan.build) + "/" + step.id; }
+std::string mark_of(const Plan& plan, const Step& step) {
+  return std::to_string(plan.build) + "/" + step.id;
+}
 
 http::Request post(const char* target, std::string body) {
   http::Request request;
@@ -26,7 +28,8 @@
 }
 
 std::string why_of(http::Ended how, const http::Response& response) {
-  if (how == http::Ended::answered) return "status " + std::to_string(response.status) + ": " + response.body;
+  if (how == http::Ended::answered)
+    return "status " + std::to_string(response.status) + ": " + response.body;
   static const char* const words[] = {
       "", "not reached", "connection broke", "garbled answer", "no answer in time", "called off"};
   return words[static_cast<int>(how)];
@@ -54,24 +57,29 @@
         .put("batch", step.batch)
         .put("after", static_cast<long>(after));
   body.put("lock_ms", static_cast<double>(step.lock_timeout.count()) / 1e3).close();
-  caller_.call(
-      post("/v1/steps/run", body.text()), step.timeout, [ran](http::Ended how, http::Response&& response) {
-        const std::string why = why_of(how, response);
-        if (how == http::Ended::unreached) return ran({.result = Result::not_run, .why = why});
-        if (how != http::Ended::answered) return ran({.result = Result::unknown, .why = why});
-        if (response.status == 409) return ran({.result = Result::fenced, .why = why});
-        if (response.status == 422) return ran({.result = Result::not_run, .why = why});
-        try {
-          if (response.status != 200) return ran({.result = Result::unknown, .why = why});
-          auto document = json::object_of(response.body);
-          const Result result =
-              json::enumerator<Result>(document, "result", {{"done", Result::done}, {"more", Result::more}});
-          ran({result, static_cast<std::int64_t>(json::number_or(document, "after", 0)),
-               static_cast<std::int64_t>(json::number_or(document, "last", 0)), ""});
-        } catch (const json::BadInput& bad) {
-          ran({.result = Result::unknown, .why = bad.what()});
-        }
-      });
+  caller_.call(post("/v1/steps/run", body.text()), step.timeout,
+               [ran](http::Ended how, http::Response&& response) {
+                 const std::string why = why_of(how, response);
+                 if (how == http::Ended::unreached)
+                   return ran({.result = Result::not_run, .why = why});
+                 if (how != http::Ended::answered)
+                   return ran({.result = Result::unknown, .why = why});
+                 if (response.status == 409)
+                   return ran({.result = Result::fenced, .why = why});
+                 if (response.status == 422)
+                   return ran({.result = Result::not_run, .why = why});
+                 try {
+                   if (response.status != 200)
+                     return ran({.result = Result::unknown, .why = why});
+                   auto document = json::object_of(response.body);
+                   const Result result = json::enumerator<Result>(
+                       document, "result", {{"done", Result::done}, {"more", Result::more}});
+                   ran({result, static_cast<std::int64_t>(json::number_or(document, "after", 0)),
+                        static_cast<std::int64_t>(json::number_or(document, "last", 0)), ""});
+                 } catch (const json::BadInput& bad) {
+                   ran({.result = Result::unknown, .why = bad.what()});
+                 }
+               });
 }
 
 void Target::mark(const Plan& plan, const Step& step, std::int64_t token, Looked looked) {
@@ -97,18 +105,20 @@
 
 void Target::check(const Step& step, Looked looked) {
   auto body = json::Out().open().put("statement", step.check).close().text();
-  caller_.call(post("/v1/query", body), step.timeout, [looked](http::Ended how, http::Response&& response) {
-    try {
-      if (how != http::Ended::answered || (response.status != 200 && response.status != 422))
-        return looked(Answer::unknown, 0, why_of(how, response));
-      // A check that can't even be asked, for a table is missing, says no.
-      if (response.status == 422) return looked(Answer::no, 0, response.body);
-      auto document = json::object_of(response.body);
-      looked(json::number_or(document, "value", 0) != 0 ? Answer::yes : Answer::no, 0, "");
-    } catch (const json::BadInput& bad) {
-      looked(Answer::unknown, 0, bad.what());
-    }
-  });
+  caller_.call(
+      post("/v1/query", body), step.timeout, [looked](http::Ended how, http::Response&& response) {
+        try {
+          if (how != http::Ended::answered || (response.status != 200 && response.status != 422))
+            return looked(Answer::unknown, 0, why_of(how, response));
+          // A check that can't even be asked, for a table is missing, says no.
+          if (response.status == 422)
+            return looked(Answer::no, 0, response.body);
+          auto document = json::object_of(response.body);
+          looked(json::number_or(document, "value", 0) != 0 ? Answer::yes : Answer::no, 0, "");
+        } catch (const json::BadInput& bad) {
+          looked(Answer::unknown, 0, bad.what());
+        }
+      });
 }
 
 }  // namespace robinhoist::steps
--- a/src/time/time_types.h
+++ b/src/time/time_types.h
@@ -1,7 +1,8 @@
 /// Points in time and lengths of time, as types that cannot be mixed up.
 ///
-/// Everything below the hosts gets the time handed to it. A host measures it by the clock of its event loop or
-/// of a simulation; both count from the start of their own run, so a TimePoint says nothing to another process.
+/// Everything below the hosts gets the time handed to it. A host measures it by the clock of its
+/// event loop or of a simulation; both count from the start of their own run, so a TimePoint says
+/// nothing to another process.
 #pragma once
 #include <chrono>
 
@@ -10,8 +11,8 @@
 /// A length of time, at the resolution that settings, wire and records use.
 using Duration = std::chrono::microseconds;
 
-/// The clock of one run: an event loop's steady clock, or a simulation's. Its zero is the start of the run.
-/// It has no now(): whoever owns the clock hands the time on.
+/// The clock of one run: an event loop's steady clock, or a simulation's. Its zero is the start of
+/// the run. It has no now(): whoever owns the clock hands the time on.
 struct RunClock {
   using duration = Duration;
   using rep = duration::rep;
--- a/src/tracing/trace_store.h
+++ b/src/tracing/trace_store.h
@@ -1,5 +1,6 @@
-// The ways of single txns through an umpire, for those that were sampled or asked for (W3C Trace Context). A
-// bounded ring: the oldest is let go. Free of I/O and clocks; a txn that is not traced costs one comparison.
+// The ways of single requests through an proxy, for those that were sampled or asked for (W3C Trace
+// Context). A bounded ring: the oldest is let go. Free of I/O and clocks; a request that is not
+// traced costs one comparison.
 #pragma once
 #include <chrono>
 #include <deque>
@@ -17,8 +18,8 @@
 
 namespace robinhoist::tracing {
 
-// 00-<32 hex>-<16 hex>-<2 hex>: trace, parent, flags. Nothing when it is none, which is then as if it were
-// not there.
+// 00-<32 hex>-<16 hex>-<2 hex>: trace, parent, flags. Nothing when it is none, which is then as if
+// it were not there.
 struct Parent {
   std::string trace{}, span{};
   bool sampled = false;
@@ -35,9 +36,14 @@
 class Trace {
  public:
   Trace(std::string request_name, std::string trace, std::string span, TimePoint began)
-      : request_name(std::move(request_name)), trace(std::move(trace)), span(std::move(span)), began(began) {}
-  void note(TimePoint now, std::string what, std::initializer_list<std::pair<std::string, std::string>> figures);
-  const std::string request_name, trace, span;  // the umpire's name for it; the trace's id; the id of our part in it
+      : request_name(std::move(request_name)),
+        trace(std::move(trace)),
+        span(std::move(span)),
+        began(began) {}
+  void note(TimePoint now, std::string what,
+            std::initializer_list<std::pair<std::string, std::string>> figures);
+  const std::string request_name, trace,
+      span;  // the proxy's name for it; the trace's id; the id of our part in it
   const TimePoint began;
   const std::vector<Event>& events() const { return events_; }
   std::size_t dropped() const { return dropped_; }
@@ -50,7 +56,7 @@
 using TracePtr = std::shared_ptr<Trace>;
 
 struct Settings {
-  double share = 0;      // of the txns that nobody asked to trace
+  double share = 0;      // of the requests that nobody asked to trace
   std::size_t keep = 0;  // traces; 0: none at all, also when asked for
 };
 
@@ -58,9 +64,10 @@
  public:
   TraceStore(const Settings& settings, unsigned salt) : settings_(settings), random_(salt) {}
   // Null when it is not traced.
-  TracePtr begin(const std::string& request_name, const std::optional<Parent>& parent, TimePoint now);
+  TracePtr begin(const std::string& request_name, const std::optional<Parent>& parent,
+                 TimePoint now);
   bool on() const { return settings_.keep > 0; }
-  // By the umpire's name for the txn or the trace's id; the last of that trace.
+  // By the proxy's name for the request or the trace's id; the last of that trace.
   TracePtr find(const std::string& id) const;
   const std::deque<TracePtr>& all() const { return traces_; }
 
@@ -72,4 +79,4 @@
   std::unordered_map<std::string, std::weak_ptr<Trace>> by_id_{};
 };
 
-}  // namespace robinhoist::trail
+}  // namespace robinhoist::tracing
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -1,5 +1,5 @@
-// Proves the auditor on records: tests/audit/*.txt each hold a small record that breaks one rule, or none.
-// The notation is described in tests/audit/README.md.
+// Proves the auditor on records: tests/audit/*.txt each hold a small record that breaks one rule,
+// or none. The notation is described in tests/audit/README.md.
 #include "audit/audit.h"
 
 #include <unistd.h>
@@ -32,10 +32,11 @@
 
   Written() {
     using namespace std::chrono_literals;
-    meta.request_classes = {{"look", 300ms, 500ms, 0ms, Idempotency::idempotent, DedupScope::all, 1},
-                     {"book", 300ms, 500ms, 200ms, Idempotency::idempotent_with_key, DedupScope::all, 1},
-                     {"pay", 300ms, 500ms, 0ms, Idempotency::non_idempotent, DedupScope::all, 1},
-                     {"file", 300ms, 500ms, 200ms, Idempotency::idempotent_with_key, DedupScope::zone, 1}};
+    meta.request_classes = {
+        {"look", 300ms, 500ms, 0ms, Idempotency::idempotent, DedupScope::all, 1},
+        {"book", 300ms, 500ms, 200ms, Idempotency::idempotent_with_key, DedupScope::all, 1},
+        {"pay", 300ms, 500ms, 0ms, Idempotency::non_idempotent, DedupScope::all, 1},
+        {"file", 300ms, 500ms, 200ms, Idempotency::idempotent_with_key, DedupScope::zone, 1}};
     meta.caps = {0.1, 1};
     meta.drain_grace = 1s;
     meta.window = 2s;
@@ -48,7 +49,8 @@
   static long us(const std::string& ms) { return std::stol(ms) * 1000; }
   int request_class(const std::string& name) const {
     for (std::size_t p = 0; p < meta.request_classes.size(); ++p)
-      if (meta.request_classes[p].name == name) return static_cast<int>(p);
+      if (meta.request_classes[p].name == name)
+        return static_cast<int>(p);
     throw std::runtime_error("no product " + name);
   }
 
@@ -78,8 +80,10 @@
     long work = 10000;
     bool effect = false;
     for (std::size_t i = 8; i < w.size(); ++i) {
-      if (w[i] == "effect") effect = true;
-      if (w[i] == "work") work = us(w[i + 1]);
+      if (w[i] == "effect")
+        effect = true;
+      if (w[i] == "work")
+        work = us(w[i + 1]);
     }
     files["nodes"] += json::Out()
                           .open()
@@ -111,7 +115,8 @@
   void step(const Words& w) {
     if (w[0] == "life") {
       files["umpires"] +=
-          json::Out().open().put("t", us(w[3])).put("umpire", w[1]).put("e", w[2]).close().text() + "\n";
+          json::Out().open().put("t", us(w[3])).put("umpire", w[1]).put("e", w[2]).close().text() +
+          "\n";
     } else if (w[0] == "node") {  // node NAME AT ZONE
       files["nodes"] += json::Out()
                             .open()
@@ -126,7 +131,8 @@
                         "\n";
     } else if (w[0] == "fell") {
       files["nodes"] +=
-          json::Out().open().put("t", us(w[2])).put("e", "fell").put("node", w[1]).close().text() + "\n";
+          json::Out().open().put("t", us(w[2])).put("e", "fell").put("node", w[1]).close().text() +
+          "\n";
     } else if (w[0] == "list") {  // list UMPIRE AT whole|changes NODE=PHASE:STARTED ...
       json::Out out;
       out.open()
@@ -161,8 +167,8 @@
     } else if (w[0] == "tries") {  // tries FROM COUNT UMPIRE PRODUCT AT EVERY: settled 10 ms later
       for (int i = 0; i < std::stoi(w[2]); ++i) {
         const long at = std::stol(w[5]) + i * std::stol(w[6]);
-        one_try({"try", std::to_string(std::stol(w[1]) + i), w[3], w[4], std::to_string(at), "settled",
-                 std::to_string(at + 10)});
+        one_try({"try", std::to_string(std::stol(w[1]) + i), w[3], w[4], std::to_string(at),
+                 "settled", std::to_string(at + 10)});
       }
     } else if (w[0] == "sent") {
       sent(w);
@@ -191,7 +197,8 @@
                             .text() +
                         "\n";
     } else if (w[0] == "unasked") {
-      files["clients"] += json::Out().open().put("unasked", 1).put("umpire", w[1]).close().text() + "\n";
+      files["clients"] +=
+          json::Out().open().put("unasked", 1).put("umpire", w[1]).close().text() + "\n";
     } else if (w[0] == "cut") {
       cut = true;
     } else if (w[0] == "expect") {  // expect RULE kept|broken [WORDS]
@@ -209,7 +216,8 @@
   tests::play(GetParam(), [&](const Words& words) { written.step(words); });
   record::write((written.folder.at / "meta.json").string(), written.meta);
   for (auto& [name, text] : written.files) {
-    if (written.cut && !text.empty()) text.resize(text.size() - 5);
+    if (written.cut && !text.empty())
+      text.resize(text.size() - 5);
     std::ofstream(written.folder.at / (name + ".jsonl")) << text;
   }
   Report report = check(written.folder.at.string());
@@ -224,7 +232,8 @@
     const std::string how = wanted->second.substr(0, wanted->second.find(' '));
     EXPECT_EQ(rule.kept(), how == "kept") << r << ": " << rule.first;
     if (how != wanted->second) {
-      EXPECT_NE(rule.first.find(wanted->second.substr(how.size() + 1)), std::string::npos) << rule.first;
+      EXPECT_NE(rule.first.find(wanted->second.substr(how.size() + 1)), std::string::npos)
+          << rule.first;
     }
   }
 }
--- a/tests/child.h
+++ b/tests/child.h
@@ -19,7 +19,8 @@
 struct Child {
   pid_t pid;
   Child(const Words& words, const std::string& log_file, rlim_t files = 0) : pid(::fork()) {
-    if (pid != 0) return;
+    if (pid != 0)
+      return;
     if (files > 0) {
       rlimit limit{files, files};
       ::setrlimit(RLIMIT_NOFILE, &limit);
@@ -27,7 +28,8 @@
     const int log = ::open(log_file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     ::dup2(log, 2);
     std::vector<char*> argv{const_cast<char*>(PROGRAM)};
-    for (const std::string& word : words) argv.push_back(const_cast<char*>(word.c_str()));
+    for (const std::string& word : words)
+      argv.push_back(const_cast<char*>(word.c_str()));
     argv.push_back(nullptr);
     ::execv(PROGRAM, argv.data());
     ::_exit(127);
@@ -36,7 +38,8 @@
   Child& operator=(const Child&) = delete;
   ~Child() { end(SIGKILL); }
   int end(int signal) {
-    if (pid <= 0) return 0;
+    if (pid <= 0)
+      return 0;
     ::kill(pid, signal);
     int status = 0;
     ::waitpid(pid, &status, 0);
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -1,5 +1,5 @@
-// The emulator: order and ties of its engine, known laws of queues on the machine model, days that repeat to
-// the bit, and days at the edge.
+// The emulator: order and ties of its engine, known laws of queues on the machine model, days that
+// repeat to the bit, and days at the edge.
 #include <boost/random/exponential_distribution.hpp>
 #include <cmath>
 
@@ -46,7 +46,8 @@
   double took_ms = 0, in_system = 0;  // means
 };
 
-// Poisson arrivals and exponential work of 10 ms at one machine; `count` txns after a warm-up of a tenth.
+// Poisson arrivals and exponential work of 10 ms at one machine; `count` txns after a warm-up of a
+// tenth.
 Queue queue(int cores, int slots, double rate, int count) {
   Engine engine;
   machine::Capacity capacity{.cores = cores, .slots = slots, .waiting_room = 1000000};
@@ -61,13 +62,15 @@
   const auto moved = [&](long by) {
     if (next > count / 10)
       area += static_cast<double>(held) * static_cast<double>((engine.now() - last).count());
-    else counted_from = engine.now();
+    else
+      counted_from = engine.now();
     last = engine.now();
     held += by;
   };
   std::function<void()> finish, plan = [&] {
     engine.cancel(timer);
-    if (auto at = server.next_at()) timer = engine.at(*at, [&] { finish(); });
+    if (auto at = server.next_at())
+      timer = engine.at(*at, [&] { finish(); });
   };
   finish = [&] {
     while (auto one = server.next(engine.now())) {
@@ -81,12 +84,14 @@
     plan();
   };
   std::function<void()> arrive = [&] {
-    machine::Work one{.id = ++next, .work = Duration(static_cast<std::int64_t>(work(chance) * 1e6))};
+    machine::Work one{.id = ++next,
+                      .work = Duration(static_cast<std::int64_t>(work(chance) * 1e6))};
     began[one.id] = engine.now();
     server.arrive(one, engine.now());
     moved(1);
     plan();
-    if (next < count) engine.in(Duration(static_cast<std::int64_t>(gap(chance) * 1e6)), [&] { arrive(); });
+    if (next < count)
+      engine.in(Duration(static_cast<std::int64_t>(gap(chance) * 1e6)), [&] { arrive(); });
   };
   arrive();
   engine.run(TimePoint(std::chrono::hours(10)));
@@ -94,8 +99,8 @@
   return {sum / static_cast<double>(done) / 1e3, area / span};
 }
 
-// Means of the literature, and Little's law between the two figures of one run. 300,000 txns keep the mean's
-// error well below the margin of 4% (seen: under 1%).
+// Means of the literature, and Little's law between the two figures of one run. 300,000 txns keep
+// the mean's error well below the margin of 4% (seen: under 1%).
 TEST(Laws, one_server_many_servers_and_sharing) {
   const int count = 300000;
   const auto near = [](double is, double wanted) { EXPECT_NEAR(is, wanted, 0.04 * wanted); };
@@ -131,12 +136,14 @@
 }
 
 std::string folder(const char* name) {
-  return (fs::temp_directory_path() / ("robinhoist-emulated-" + std::to_string(::getpid()) + name)).string();
+  return (fs::temp_directory_path() / ("robinhoist-emulated-" + std::to_string(::getpid()) + name))
+      .string();
 }
 
 TEST(Run, is_the_same_to_the_bit_by_its_seed) {
   const day::Day day = day_of();
-  const Summary a = run(day, 3, folder("a")), b = run(day, 3, folder("b")), other = run(day, 4, folder("c"));
+  const Summary a = run(day, 3, folder("a")), b = run(day, 3, folder("b")),
+                other = run(day, 4, folder("c"));
   for (const char* file : {"nodes.jsonl", "clients.jsonl", "told.jsonl", "umpires.jsonl"}) {
     EXPECT_EQ(content(folder("a") + "/" + file), content(folder("b") + "/" + file)) << file;
     EXPECT_FALSE(content(folder("a") + "/" + file).empty()) << file;
@@ -148,20 +155,23 @@
   EXPECT_EQ(run(day, 3, "").events, a.events);
   audit::Report report = audit::check(folder("a"));
   EXPECT_TRUE(report.kept()) << audit::shown(report);
-  for (const char* name : {"a", "b", "c"}) fs::remove_all(folder(name));
+  for (const char* name : {"a", "b", "c"})
+    fs::remove_all(folder(name));
 }
 
 // Verdicts come as on sockets: the good release goes out, the bad one goes back.
 TEST(Run, sends_the_bad_release_back_and_the_good_one_out) {
   for (long seed : {1, 2, 3}) {
     std::map<int, std::string> last;
-    for (const auto& verdict : run(day_of(), seed, "").verdicts) last[verdict.build] = verdict.phase;
+    for (const auto& verdict : run(day_of(), seed, "").verdicts)
+      last[verdict.build] = verdict.phase;
     EXPECT_EQ(last[2], "released") << seed;
     EXPECT_EQ(last[3], "withdrawn") << seed;
   }
 }
 
-// Baselines do as their names say: what never votes lets the bad release out, what always votes lets none.
+// Baselines do as their names say: what never votes lets the bad release out, what always votes
+// lets none.
 TEST(Run, plays_baselines_beside_the_module) {
   const auto ends = [](const char* policy) {
     std::map<int, std::string> last;
@@ -177,16 +187,19 @@
 }
 
 TEST(Run, bears_days_at_the_edge) {
-  // Hardly any traffic; one umpire; far more umpires than txns; one node for all; work of no length.
+  // Hardly any traffic; one umpire; far more umpires than txns; one node for all; work of no
+  // length.
   EXPECT_LT(run(day_of("(rate 150)", "(rate 0.1)"), 1, "").asked, 20);
   EXPECT_GT(run(day_of("(umpires 2)", "(umpires 1)"), 1, "").succeeded, 1000);
   const Summary many = run(day_of("(umpires 2)", "(umpires 200)"), 1, "");
   EXPECT_GT(many.succeeded, many.asked * 9 / 10);
   const Summary crowded = run(day_of("(places 8)", "(places 1)"), 1, "");
-  EXPECT_EQ(crowded.tries, crowded.succeeded + crowded.rejected + crowded.failed + crowded.unreached +
-                               crowded.broken + crowded.left + crowded.timed_out);
+  EXPECT_EQ(crowded.tries, crowded.succeeded + crowded.rejected + crowded.failed +
+                               crowded.unreached + crowded.broken + crowded.left +
+                               crowded.timed_out);
   EXPECT_GT(crowded.rejected + crowded.failed, 100);
-  // No delay at all: everything happens in the same microsecond, in the order in which it was planned.
+  // No delay at all: everything happens in the same microsecond, in the order in which it was
+  // planned.
   NetworkSettings none;
   none.delay = 0us;
   EXPECT_GT(run(day_of(), 1, "", none).succeeded, 1000);
@@ -210,16 +223,16 @@
   EXPECT_NEAR(mean.half, 2.5706 * mean.sd / std::sqrt(6), 1e-4);
 }
 
-// One that was stopped goes on where it was, and gives what an undisturbed one gives; another experiment's
-// results are not mixed in.
+// One that was stopped goes on where it was, and gives what an undisturbed one gives; another
+// experiment's results are not mixed in.
 TEST(Lab, goes_on_after_a_stop) {
   const std::string at = folder("lab");
   fs::create_directories(at);
   const auto written = [&](int repetitions, const char* values) {
     std::ofstream(at + "/e.exp") << "(experiment (name e) (day \"" ROOT
                                     "/days/agreement/quiet.day\") (repetitions "
-                                 << repetitions << ") (vary rate (at \"day.load.rate\") (values " << values
-                                 << ")))";
+                                 << repetitions << ") (vary rate (at \"day.load.rate\") (values "
+                                 << values << ")))";
     return lab::read(at + "/e.exp");
   };
   const lab::Experiment half = written(1, "50 100"), whole = written(3, "50 100");
--- a/tests/faulty_vfs.h
+++ b/tests/faulty_vfs.h
@@ -1,5 +1,5 @@
-// SQLite's file layer with a fault in it: from its nth write, cut or sync on, so many fail, half of what they
-// were given having been written. It becomes the default layer while it lives.
+// SQLite's file layer with a fault in it: from its nth write, cut or sync on, so many fail, half of
+// what they were given having been written. It becomes the default layer while it lives.
 #pragma once
 #include <sqlite3.h>
 
@@ -16,8 +16,8 @@
     vfs_.szOsFile = static_cast<int>(sizeof(File)) + real_->szOsFile;
     vfs_.xOpen = [](sqlite3_vfs* vfs, const char* name, sqlite3_file* file, int flags, int* out) {
       auto* self = static_cast<FaultyVfs*>(vfs->pAppData);
-      auto* mine =
-          new (file) File{{}, self, reinterpret_cast<sqlite3_file*>(reinterpret_cast<File*>(file) + 1)};
+      auto* mine = new (file)
+          File{{}, self, reinterpret_cast<sqlite3_file*>(reinterpret_cast<File*>(file) + 1)};
       const int code = self->real_->xOpen(self->real_, name, mine->real, flags, out);
       mine->base.pMethods = mine->real->pMethods ? &methods() : nullptr;
       return code;
@@ -56,7 +56,8 @@
       m.xClose = pass<&M::xClose>;
       m.xRead = pass<&M::xRead, void*, int, sqlite3_int64>;
       m.xWrite = [](sqlite3_file* file, const void* data, int size, sqlite3_int64 at) {
-        if (!reinterpret_cast<File*>(file)->of->fails()) return pass<&M::xWrite>(file, data, size, at);
+        if (!reinterpret_cast<File*>(file)->of->fails())
+          return pass<&M::xWrite>(file, data, size, at);
         pass<&M::xWrite>(file, data, size / 2, at);
         return SQLITE_IOERR_WRITE;
       };
@@ -65,7 +66,8 @@
                                                           : pass<&M::xTruncate>(file, size);
       };
       m.xSync = [](sqlite3_file* file, int flags) {
-        return reinterpret_cast<File*>(file)->of->fails() ? SQLITE_IOERR_FSYNC : pass<&M::xSync>(file, flags);
+        return reinterpret_cast<File*>(file)->of->fails() ? SQLITE_IOERR_FSYNC
+                                                          : pass<&M::xSync>(file, flags);
       };
       m.xFileSize = pass<&M::xFileSize, sqlite3_int64*>;
       m.xLock = pass<&M::xLock, int>;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,5 +1,5 @@
-// Plays tests/platform/*.txt against the router with the platform's protocol; its configuration, discovery
-// and release API against servers of the tests' own; and the process by its signals.
+// Plays tests/platform/*.txt against the router with the platform's protocol; its configuration,
+// discovery and release API against servers of the tests' own; and the process by its signals.
 #include <malloc.h>
 
 #include <csignal>
@@ -22,7 +22,8 @@
 
 std::string with(std::string text, const std::string& from, const std::string& to) {
   const std::size_t at = text.find(from);
-  if (at == std::string::npos) throw std::runtime_error("not in the configuration: " + from);
+  if (at == std::string::npos)
+    throw std::runtime_error("not in the configuration: " + from);
   return text.replace(at, from.size(), to);
 }
 
@@ -31,8 +32,9 @@
   platform::Config config;
   platform::PlatformProtocol protocol{config.module_settings};
   tests::Stage stage{[this](tests::Stage& on) {
-    return std::make_unique<proxy::Router>(on.loop, platform::router_settings(config), config.module_settings,
-                                            protocol, on.log, on.endpoints, on.releases);
+    return std::make_unique<proxy::Router>(on.loop, platform::router_settings(config),
+                                           config.module_settings, protocol, on.log, on.endpoints,
+                                           on.releases);
   }};
   explicit OnPlatform(const std::string& text) : config(platform::decoded(text)) {}
 };
@@ -45,20 +47,24 @@
   tests::play_on(stage, GetParam());
 }
 
-INSTANTIATE_TEST_SUITE_P(All, PlatformPlay, testing::ValuesIn(tests::files_in(TESTS "/platform", ".txt")),
+INSTANTIATE_TEST_SUITE_P(All, PlatformPlay,
+                         testing::ValuesIn(tests::files_in(TESTS "/platform", ".txt")),
                          tests::stem);
 
 TEST(Config, says_which_field_is_wrong) {
   const std::pair<std::pair<const char*, const char*>, const char*> cases[] = {
       {{"\"seed\": \"8c1f30d27a5be964\"", "\"seed\": \"xyz\""}, "field seed holds 'xyz'"},
-      {{"\"discovery\": \"127.0.0.1:1\"", "\"discovery\": \"nowhere\""}, "field discovery holds 'nowhere'"},
+      {{"\"discovery\": \"127.0.0.1:1\"", "\"discovery\": \"nowhere\""},
+       "field discovery holds 'nowhere'"},
       {{"\"sockets\": 256", "\"sockets\": \"many\""}, "limits: field sockets is not a number"},
-      {{"\"State\": \"COMPLETE\"", "\"State\": \"DONE\""}, "release_api: field State holds the unknown word"},
+      {{"\"State\": \"COMPLETE\"", "\"State\": \"DONE\""},
+       "release_api: field State holds the unknown word"},
       {{"\"members\": []", "\"members\": 3"}, "known: field members is not an array"},
       {{"\"tick_ms\": 1.0,", ""}, "settings: missing field tick_ms"},
       {{"\"name\": \"n0\",", ""}, "missing field name"},
       {{"\"balancers\": 1,", "\"balancers\": 1"}, "at byte"}};
-  for (auto& [change, told] : cases) try {
+  for (auto& [change, told] : cases)
+    try {
       platform::decoded(with(config_text(), change.first, change.second));
       ADD_FAILURE() << "taken: " << told;
     } catch (const json::BadInput& bad) {
@@ -75,13 +81,15 @@
   EXPECT_LT(settings.endpoint.keep_for, config.module_settings.keep_idle);
 }
 
-// A peer that drops idle connections unseen: what stood idle as long as those that broke is not used again.
+// A peer that drops idle connections unseen: what stood idle as long as those that broke is not
+// used again.
 TEST(Caller, learns_how_long_connections_may_stand_idle) {
   net::Loop loop(net::steady_now());
   tests::ScriptNode endpoint(loop, "stale-15");
   http::CallerSettings settings;
   settings.budget = std::make_shared<http::Budget>(10);
-  http::Caller caller(loop, Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(endpoint.port())), settings);
+  http::Caller caller(
+      loop, Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(endpoint.port())), settings);
   int broken = 0, answered = 0;
   for (int i = 0; i < 40; ++i)
     loop.in(i * 25ms, [&] {
@@ -102,7 +110,8 @@
   net::Loop loop(net::steady_now());
   int fd = -1;
   net::Listener listener(loop, "127.0.0.1:0", [&](int accepted) { fd = accepted; });
-  http::Caller caller(loop, Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(listener.port())), {});
+  http::Caller caller(loop,
+                      Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(listener.port())), {});
   http::Request request;
   request.method = "POST";
   request.body.assign(32 << 20, 'x');  // more than the kernel takes while nobody reads
@@ -122,7 +131,9 @@
   std::function<void(const http::ExchangePtr&)> act{};
   http::Server server;
   explicit Desk(net::Loop& on, std::function<void(const http::ExchangePtr&)> how)
-      : loop(on), act(std::move(how)), server(on, http::ServerSettings{}, [this](const http::ExchangePtr& e) {
+      : loop(on),
+        act(std::move(how)),
+        server(on, http::ServerSettings{}, [this](const http::ExchangePtr& e) {
           asked.push_back(e->request.target);
           bodies.push_back(e->request.body);
           open.push_back(e);
@@ -131,19 +142,20 @@
   std::string at() const { return "127.0.0.1:" + std::to_string(server.port()); }
 };
 
-const std::string member = R"({"id":"s1","host_port":"127.0.0.1:9","locality":"here","flavor":"m","cell":1,)"
-                           R"("phase":"ready","size":1.0,"up_since_ms":0,"build":1})";
+const std::string member =
+    R"({"id":"s1","host_port":"127.0.0.1:9","locality":"here","flavor":"m","cell":1,)"
+    R"("phase":"ready","size":1.0,"up_since_ms":0,"build":1})";
 std::string listed(int revision, bool whole) {
-  return "{\"revision\":" + std::to_string(revision) + ",\"complete\":" + (whole ? "true" : "false") +
-         ",\"members\":[" + member + "]}\n";
+  return "{\"revision\":" + std::to_string(revision) +
+         ",\"complete\":" + (whole ? "true" : "false") + ",\"members\":[" + member + "]}\n";
 }
 std::string rollout(int build, int stage, const char* state) {
-  return "{\"Revision\":" + std::to_string(build) + ",\"Wave\":" + std::to_string(stage) + ",\"State\":\"" +
-         state + "\",\"MaxShare\":0.5,\"AgeMs\":0}";
+  return "{\"Revision\":" + std::to_string(build) + ",\"Wave\":" + std::to_string(stage) +
+         ",\"State\":\"" + state + "\",\"MaxShare\":0.5,\"AgeMs\":0}";
 }
 
-// What is cut in mid-line or makes no sense is not believed, and the watch goes on from what is held; moved,
-// it goes on there.
+// What is cut in mid-line or makes no sense is not believed, and the watch goes on from what is
+// held; moved, it goes on there.
 TEST(Discovery, goes_on_from_its_version_through_cuts_noise_and_moves) {
   net::Loop loop(net::steady_now());
   log::Log log("test", "off");
@@ -151,9 +163,12 @@
   Desk first(loop, [&](const http::ExchangePtr& e) {
     e->begin_stream({});
     ++turn;
-    if (turn == 1) e->write(listed(8, true) + "\n" + listed(9, false).substr(0, 30)), e->hang_up();
-    else if (turn == 2) e->write(listed(9, false) + "what is this\n" + listed(10, false));
-    else e->write("\n");
+    if (turn == 1)
+      e->write(listed(8, true) + "\n" + listed(9, false).substr(0, 30)), e->hang_up();
+    else if (turn == 2)
+      e->write(listed(9, false) + "what is this\n" + listed(10, false));
+    else
+      e->write("\n");
   });
   Desk second(loop, [&](const http::ExchangePtr& e) {
     e->begin_stream({});
@@ -173,8 +188,8 @@
   EXPECT_EQ(second.asked.at(0), "/discovery/hosts?watch=1&from=9");
 }
 
-// Laid out over many lines, in the smallest pieces, two at a time, with braces in strings; what is older than
-// the list held is not believed, nor is a part.
+// Laid out over many lines, in the smallest pieces, two at a time, with braces in strings; what is
+// older than the list held is not believed, nor is a part.
 TEST(Discovery, takes_whole_lists_however_they_come) {
   net::Loop loop(net::steady_now());
   log::Log log("test", "off");
@@ -183,8 +198,10 @@
   int turn = 0;
   Desk desk(loop, [&](const http::ExchangePtr& e) {
     e->begin_stream({});
-    if (++turn > 1) return;
-    for (const char c : indented) e->write(std::string(1, c));
+    if (++turn > 1)
+      return;
+    for (const char c : indented)
+      e->write(std::string(1, c));
     e->write(listed(9, false) + listed(9, false));
     e->write(listed(10, true) + listed(7, true) + listed(11, false));
   });
@@ -217,29 +234,34 @@
   EXPECT_EQ(versions, std::vector<std::int64_t>{2});
 }
 
-// A watch that trickles an object without its end is silent, and so is a connection that never comes up: the
-// third has the list.
+// A watch that trickles an object without its end is silent, and so is a connection that never
+// comes up: the third has the list.
 TEST(Watch, bytes_that_make_no_whole_are_no_sign_of_life) {
   net::Loop loop(net::steady_now());
   log::Log log("test", "off");
   int turn = 0;
   std::function<void(http::ExchangePtr)> trickle = [&](http::ExchangePtr e) {
-    if (e->write("{")) loop.in(5ms, [&, e] { trickle(e); });
+    if (e->write("{"))
+      loop.in(5ms, [&, e] { trickle(e); });
   };
   Desk desk(loop, [&](const http::ExchangePtr& e) {
-    if (++turn == 2) return;
+    if (++turn == 2)
+      return;
     e->begin_stream({});
     e->write("\n{\"n\":" + std::to_string(turn) + "}");
-    if (turn == 1) trickle(e);
+    if (turn == 1)
+      trickle(e);
   });
   platform::Watch watch(
       loop, desk.at(),
-      {.what = "x", .silence = {.first = 100ms, .most = 100ms}, .pause_most = 50ms, .salt = 1}, log);
+      {.what = "x", .silence = {.first = 100ms, .most = 100ms}, .pause_most = 50ms, .salt = 1},
+      log);
   std::vector<int> heard;
   watch.start([] { return "/"; },
               [&](const json::Json& object) {
                 heard.push_back(json::whole(object, "n"));
-                if (heard.size() == 2) loop.stop();
+                if (heard.size() == 2)
+                  loop.stop();
               });
   loop.in(5s, [&] { loop.stop(); });
   loop.run();
@@ -255,23 +277,28 @@
 }
 
 TEST(ReleaseApi, each_vote_gets_one_answer_that_says_whether_it_may_count) {
-  const std::pair<std::string, Outcome> answers[] = {{"200 " + rollout(2, 1, "IN_PROGRESS"), Outcome::ok},
-                                                     {"200 {\"Revision\":2,", Outcome::timeout},
-                                                     {"200 {\"words\":\"other\"}", Outcome::timeout},
-                                                     {"409 {\"error\":\"conflict\"}", Outcome::obsolete},
-                                                     {"429 {\"error\":\"throttled\"}", Outcome::rejected},
-                                                     {"500 {\"error\":\"internal\"}", Outcome::error},
-                                                     {"break", Outcome::timeout},
-                                                     {"silence", Outcome::timeout}};
+  const std::pair<std::string, Outcome> answers[] = {
+      {"200 " + rollout(2, 1, "IN_PROGRESS"), Outcome::ok},
+      {"200 {\"Revision\":2,", Outcome::timeout},
+      {"200 {\"words\":\"other\"}", Outcome::timeout},
+      {"409 {\"error\":\"conflict\"}", Outcome::obsolete},
+      {"429 {\"error\":\"throttled\"}", Outcome::rejected},
+      {"500 {\"error\":\"internal\"}", Outcome::error},
+      {"break", Outcome::timeout},
+      {"silence", Outcome::timeout}};
   for (auto& [answer, outcome] : answers) {
     net::Loop loop(net::steady_now());
     log::Log log("test", "off");
     Desk desk(loop, [&, answer = answer](const http::ExchangePtr& e) {
-      if (e->request.target == "/v1/watch") return e->begin_stream({});
-      if (answer == "break") return e->hang_up();
-      if (answer != "silence") e->answer(http::json_answer(std::stoi(answer), answer.substr(4)));
+      if (e->request.target == "/v1/watch")
+        return e->begin_stream({});
+      if (answer == "break")
+        return e->hang_up();
+      if (answer != "silence")
+        e->answer(http::json_answer(std::stoi(answer), answer.substr(4)));
     });
-    platform::ReleaseApi api(loop, desk.at(), ReleaseUpdate{2, 0, ReleasePhase::canary, 0.1, 1s}, 100ms, 1, log);
+    platform::ReleaseApi api(loop, desk.at(), ReleaseUpdate{2, 0, ReleasePhase::canary, 0.1, 1s},
+                             100ms, 1, log);
     std::vector<int> stages;
     api.start([&](const ReleaseUpdate& release) { stages.push_back(release.stage); });
     std::vector<Outcome> outcomes;
@@ -295,30 +322,36 @@
     older.replace(older.find("\"AgeMs\":0"), 9, "\"AgeMs\":5000");
     e->write("{\"type\":\"ROLLOUT\",\"object\":" + rollout(2, 1, "IN_PROGRESS") + "}\n{}\n" +
              "{\"type\":\"ROLLOUT\",\"object\":" + older + "}\n" +
-             R"({"type":"DISPUTE","object":{"InstanceId":"s1","Lane":"look","AgeMs":1200}})" + "\n");
+             R"({"type":"DISPUTE","object":{"InstanceId":"s1","Lane":"look","AgeMs":1200}})" +
+             "\n");
   });
-  platform::ReleaseApi api(loop, desk.at(), ReleaseUpdate{1, 0, ReleasePhase::released, 1, 1s}, 100ms, 1, log);
+  platform::ReleaseApi api(loop, desk.at(), ReleaseUpdate{1, 0, ReleasePhase::released, 1, 1s},
+                           100ms, 1, log);
   std::vector<int> builds;
   std::vector<std::string> flagged;
   api.on_flagged([&](const std::string& endpoint, Duration) { flagged.push_back(endpoint); });
-  api.start([&](const ReleaseUpdate& release) { builds.push_back(release.build * 10 + release.stage); });
+  api.start(
+      [&](const ReleaseUpdate& release) { builds.push_back(release.build * 10 + release.stage); });
   loop.in(100ms, [&] { loop.stop(); });
   loop.run();
   EXPECT_EQ(builds, (std::vector<int>{10, 21}));
   EXPECT_EQ(flagged, std::vector<std::string>{"s1"});
 }
 
-// A vote's answer that is long on its way, from a stage that is over by then: its cap is not gone back to.
+// A vote's answer that is long on its way, from a stage that is over by then: its cap is not gone
+// back to.
 TEST(ReleaseApi, a_late_answer_does_not_bring_a_stage_back) {
   net::Loop loop(net::steady_now());
   log::Log log("test", "off");
   http::ExchangePtr watching, vote;
   Desk desk(loop, [&](const http::ExchangePtr& e) {
-    if (e->request.target != "/v1/watch") return void(vote = e);
+    if (e->request.target != "/v1/watch")
+      return void(vote = e);
     e->begin_stream({});
     watching = e;
   });
-  platform::ReleaseApi api(loop, desk.at(), ReleaseUpdate{2, 0, ReleasePhase::canary, 0.1, 1s}, 200ms, 1, log);
+  platform::ReleaseApi api(loop, desk.at(), ReleaseUpdate{2, 0, ReleasePhase::canary, 0.1, 1s},
+                           200ms, 1, log);
   std::vector<std::pair<int, ReleasePhase>> told;
   api.start([&](const ReleaseUpdate& release) { told.push_back({release.stage, release.phase}); });
   api.vote(2, 0, Verdict::roll_back, [](Outcome) {});
@@ -329,17 +362,19 @@
   });
   loop.in(200ms, [&] { loop.stop(); });
   loop.run();
-  EXPECT_EQ(told, (std::vector<std::pair<int, ReleasePhase>>{{0, ReleasePhase::canary}, {1, ReleasePhase::rolling_back}}));
+  EXPECT_EQ(told, (std::vector<std::pair<int, ReleasePhase>>{{0, ReleasePhase::canary},
+                                                             {1, ReleasePhase::rolling_back}}));
 }
 
-// A connection that is long in coming up: the node is told what is left by then. The kernel asks again after
-// a second, when there is room at last.
+// A connection that is long in coming up: the node is told what is left by then. The kernel asks
+// again after a second, when there is room at last.
 TEST(Caller, words_the_time_left_when_it_writes) {
   net::Loop loop(net::steady_now());
   tests::ScriptNode endpoint(loop, "stuck");
   http::CallerSettings settings;
   settings.connect_within = 3s;
-  http::Caller caller(loop, Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(endpoint.port())), settings);
+  http::Caller caller(
+      loop, Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(endpoint.port())), settings);
   std::optional<Duration> left;
   caller.call(
       {}, 4s, [](http::Ended, http::Response&&) {},
@@ -348,7 +383,8 @@
         loop.stop();
       });
   std::function<void()> make_room = [&] {
-    for (int fd; (fd = ::accept(endpoint.stuck[0], nullptr, nullptr)) >= 0;) endpoint.stuck.push_back(fd);
+    for (int fd; (fd = ::accept(endpoint.stuck[0], nullptr, nullptr)) >= 0;)
+      endpoint.stuck.push_back(fd);
     loop.in(10ms, make_room);
   };
   loop.in(50ms, [&] {
@@ -369,8 +405,8 @@
   std::map<std::string, tests::RawClient> clients{};
   std::thread thread{};
   explicit Served(const http::ServerSettings& settings)
-      : server(std::make_unique<http::Server>(loop, settings,
-                                              [this](const http::ExchangePtr& e) { asked.push_back(e); })),
+      : server(std::make_unique<http::Server>(
+            loop, settings, [this](const http::ExchangePtr& e) { asked.push_back(e); })),
         thread([this] { loop.run(); }) {}
   ~Served() {
     loop.call([this] {
@@ -420,10 +456,12 @@
   });
 }
 
-// What a client has sent behind its last request lies unread at the close: it must not break the answer.
+// What a client has sent behind its last request lies unread at the close: it must not break the
+// answer.
 TEST(Server, a_close_is_no_reset_though_bytes_are_unread) {
   Served on({});
-  on.send("c", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + std::string(1 << 20, 'x'));
+  on.send("c",
+          "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + std::string(1 << 20, 'x'));
   on.step([&] {
     ASSERT_EQ(on.asked.size(), 1u);
     on.asked[0]->answer(http::text_answer(200, "done"));
@@ -437,8 +475,8 @@
   });
 }
 
-// A full house: first goes who has had its last answer, then who is idle, then who has asked by half, which
-// is told so; never one with a request open.
+// A full house: first goes who has had its last answer, then who is idle, then who has asked by
+// half, which is told so; never one with a request open.
 TEST(Server, room_is_made_where_least_is_owed) {
   http::ServerSettings settings;
   settings.most_clients = 3;
@@ -463,7 +501,8 @@
   on.send("last", "");
   on.step([&] {
     EXPECT_EQ(on.clients["half"].got.substr(0, 12), "HTTP/1.1 503");
-    for (const char* name : {"open", "more", "last"}) EXPECT_FALSE(on.clients[name].closed) << name;
+    for (const char* name : {"open", "more", "last"})
+      EXPECT_FALSE(on.clients[name].closed) << name;
   });
 }
 
@@ -477,25 +516,29 @@
   return text;
 }
 
-// The way of some txns through a module of its own, whose settings are of one customer; `beside` runs between
-// any two steps.
+// The way of some txns through a module of its own, whose settings are of one customer; `beside`
+// runs between any two steps.
 std::vector<std::string> way(const std::string& config, const std::function<void()>& beside) {
   const module_settings::ModuleSettings module_settings = platform::decoded(config).module_settings;
-  DecisionEngine engine(7, module_settings.endpoints, module_settings.canary_quota, module_settings.analysis, module_settings.requests);
+  DecisionEngine engine(7, module_settings.endpoints, module_settings.canary_quota,
+                        module_settings.analysis, module_settings.requests);
   std::vector<std::string> decided;
-  TimePoint now {1s};
+  TimePoint now{1s};
   const auto pull = [&] {
     while (auto d = engine.next(now)) {
-      decided.push_back(std::to_string(static_cast<int>(d->action)) + " " + std::to_string(d->request_id) + " " +
-                        std::to_string(d->endpoint) + " " + std::to_string(d->span.count()) + d->text);
+      decided.push_back(std::to_string(static_cast<int>(d->action)) + " " +
+                        std::to_string(d->request_id) + " " + std::to_string(d->endpoint) + " " +
+                        std::to_string(d->span.count()) + d->text);
       if (d->action == Action::forward)
-        engine.attempt_ended(d->request_id, 0, d->request_id % 3 == 0 ? Outcome::rejected : Outcome::ok, d->request_id % 3 != 0, {},
-                                now + 5ms);
+        engine.attempt_ended(d->request_id, 0,
+                             d->request_id % 3 == 0 ? Outcome::rejected : Outcome::ok,
+                             d->request_id % 3 != 0, {}, now + 5ms);
     }
     beside();
   };
   std::vector<EndpointInfo> entries(6);
-  for (int n = 0; n < 6; ++n) entries[n].endpoint = n, entries[n].build = 1, entries[n].size = 1;
+  for (int n = 0; n < 6; ++n)
+    entries[n].endpoint = n, entries[n].build = 1, entries[n].size = 1;
   for (EndpointInfo& entry : entries)
     entry.phase = EndpointPhase::ready, entry.order = static_cast<unsigned>(entry.endpoint);
   engine.release_updated({1, 0, ReleasePhase::released, 1, Duration{}}, now);
@@ -513,16 +556,19 @@
   EXPECT_EQ(way(renamed(config_text()), [] {}), alone);
   int turns = 0;
   const auto other = [&] {
-    if (++turns % 50 == 0) way(renamed(config_text()), [] {});
+    if (++turns % 50 == 0)
+      way(renamed(config_text()), [] {});
   };
   EXPECT_EQ(way(config_text(), other), alone);
 }
 
-// One after the other in one process at one address: the second knows nothing of the first's products.
+// One after the other in one process at one address: the second knows nothing of the first's
+// products.
 TEST(Customers, one_follows_another_at_the_same_address) {
   const int port = tests::port_free();
   for (const bool second : {false, true}) {
-    const std::string text = with(config_text(), "127.0.0.1:0", "127.0.0.1:" + std::to_string(port));
+    const std::string text =
+        with(config_text(), "127.0.0.1:0", "127.0.0.1:" + std::to_string(port));
     OnPlatform on(second ? renamed(text) : text);
     tests::Stage& stage = on.stage;
     const auto step = [&](const tests::Words& words, Duration then = 0ms) {
@@ -559,7 +605,8 @@
   });
   std::this_thread::sleep_for(30ms);
   stage.loop.call([&] {
-    for (const char* name : {"c", "d"}) EXPECT_TRUE(stage.clients[name].closed) << name;
+    for (const char* name : {"c", "d"})
+      EXPECT_TRUE(stage.clients[name].closed) << name;
   });
 }
 
@@ -579,7 +626,8 @@
     for (int n = 0; n < 8; ++n)
       step({"node", "n" + r + "-" + std::to_string(n), "ok", "in", std::to_string(1 + round)});
     for (int c = 0; c < 20; ++c)
-      step({"send", "c" + std::to_string(c), "POST", "/book", "Request-Id: i" + r + "-" + std::to_string(c),
+      step({"send", "c" + std::to_string(c), "POST", "/book",
+            "Request-Id: i" + r + "-" + std::to_string(c),
             "Idempotency-Key: k" + r + "-" + std::to_string(c), "Request-Timeout: 400m"});
     std::size_t unanswered = 1;
     for (int tries = 0; tries < 200 && unanswered > 0; ++tries) {
@@ -587,7 +635,8 @@
       stage.loop.call([&] { unanswered = stage.router->open_requests(); });
     }
     EXPECT_EQ(unanswered, 0u);
-    for (int n = 0; n < 8; ++n) step({"listed", "n" + r + "-" + std::to_string(n), "out"});
+    for (int n = 0; n < 8; ++n)
+      step({"listed", "n" + r + "-" + std::to_string(n), "out"});
     stage.loop.call([&] {
       stage.clients.clear();
       stage.scripted.clear();
@@ -600,7 +649,8 @@
         upstreams = stage.router->upstreams();
         open = descriptors();
       }
-      if (round + 1 < rounds) return;
+      if (round + 1 < rounds)
+        return;
       EXPECT_LE(stage.router->upstreams(), upstreams);
       EXPECT_LE(descriptors(), open);
       EXPECT_LT(::mallinfo2().uordblks, memory + 64 * 1024);
@@ -608,7 +658,8 @@
   }
 }
 
-// What the program needs around it: a node, the platform's services, its file; and a client of its own.
+// What the program needs around it: a node, the platform's services, its file; and a client of its
+// own.
 struct Around {
   net::Loop& loop;
   Desk endpoint, desk;
@@ -619,7 +670,8 @@
       : loop(on), endpoint(on, std::move(node_does)), desk(on, [this](const http::ExchangePtr& e) {
           e->begin_stream({});
           if (e->request.target != "/v1/watch")
-            e->write(with(listed(8, true), "127.0.0.1:9", "127.0.0.1:" + std::to_string(endpoint.server.port())));
+            e->write(with(listed(8, true), "127.0.0.1:9",
+                          "127.0.0.1:" + std::to_string(endpoint.server.port())));
         }) {
     configure(desk.at());
   }
@@ -635,13 +687,14 @@
   }
   void ask(const std::string& line, const std::string& more = "") {
     connect(client);
-    client.stream->write(line + " HTTP/1.1\r\nHost: x\r\nRequest-Id: r1\r\nRequest-Timeout: 400m\r\n" + more +
-                         "\r\n");
+    client.stream->write(line +
+                         " HTTP/1.1\r\nHost: x\r\nRequest-Id: r1\r\nRequest-Timeout: 400m\r\n" +
+                         more + "\r\n");
   }
 };
 
-// The program itself: reloads in a row, one of them of a file that can't be read; SIGTERM twice with a txn
-// open.
+// The program itself: reloads in a row, one of them of a file that can't be read; SIGTERM twice
+// with a txn open.
 TEST(Process, reloads_and_ends_without_losing_a_request) {
   net::Loop loop(net::steady_now());
   Around around(loop, [&](const http::ExchangePtr& e) {
@@ -675,10 +728,12 @@
   EXPECT_EQ(moved.asked.size(), 2u);  // both watches, once
 }
 
-// Out of descriptors below what it was told: it waits without spinning and takes clients again afterwards.
+// Out of descriptors below what it was told: it waits without spinning and takes clients again
+// afterwards.
 TEST(Process, takes_clients_again_after_it_ran_out_of_descriptors) {
   net::Loop loop(net::steady_now());
-  Around around(loop, [&](const http::ExchangePtr& e) { e->answer(http::text_answer(200, "done")); });
+  Around around(loop,
+                [&](const http::ExchangePtr& e) { e->answer(http::text_answer(200, "done")); });
   rusage before{}, after{};
   ::getrusage(RUSAGE_CHILDREN, &before);
   tests::Child proxy({"platform", "--config", around.file}, "/dev/null", 30);
--- a/tests/plays.h
+++ b/tests/plays.h
@@ -44,7 +44,8 @@
 inline std::vector<std::string> files_in(const std::string& folder, const std::string& extension) {
   std::vector<std::string> files;
   for (auto& entry : std::filesystem::directory_iterator(folder))
-    if (entry.path().extension() == extension) files.push_back(entry.path().string());
+    if (entry.path().extension() == extension)
+      files.push_back(entry.path().string());
   std::sort(files.begin(), files.end());
   return files;
 }
@@ -52,7 +53,8 @@
 inline std::string stem(const testing::TestParamInfo<std::string>& info) {
   std::string name = std::filesystem::path(info.param).stem().string();
   for (char& c : name)
-    if (!std::isalnum(static_cast<unsigned char>(c))) c = '_';
+    if (!std::isalnum(static_cast<unsigned char>(c)))
+      c = '_';
   return name;
 }
 
@@ -63,7 +65,8 @@
   std::string line;
   for (int number = 1; std::getline(in, line); ++number) {
     Words words = words_of(line);
-    if (words.empty()) continue;
+    if (words.empty())
+      continue;
     SCOPED_TRACE(file + ":" + std::to_string(number) + ": " + line);
     try {
       step(words);
@@ -75,9 +78,12 @@
 }
 
 inline bool compares(double a, const std::string& how, double b) {
-  if (how == "=") return a == b;
-  if (how == "<") return a < b;
-  if (how == ">") return a > b;
+  if (how == "=")
+    return a == b;
+  if (how == "<")
+    return a < b;
+  if (how == ">")
+    return a > b;
   throw std::runtime_error("no comparison: " + how);
 }
 
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,5 +1,5 @@
-// The program as a user meets it: settings checked, files saved whole, a process killed, starved and stopped,
-// and a short day played; and plays of the machine model (tests/machine/README.md).
+// The program as a user meets it: settings checked, files saved whole, a process killed, starved
+// and stopped, and a short day played; and plays of the machine model (tests/machine/README.md).
 #include <fcntl.h>
 #include <netinet/in.h>
 #include <poll.h>
@@ -15,10 +15,10 @@
 #include <thread>
 
 #include "child.h"
+#include "endpoint_cache/endpoint_cache.h"
 #include "load/load.h"
 #include "machine/machine.h"
 #include "plays.h"
-#include "endpoint_cache/endpoint_cache.h"
 #include "settings/form.h"
 
 namespace robinhoist {
@@ -30,7 +30,8 @@
 using tests::Words;
 
 std::string temp(const std::string& name) {
-  const fs::path folder = fs::temp_directory_path() / ("robinhoist-program-" + std::to_string(::getpid()));
+  const fs::path folder =
+      fs::temp_directory_path() / ("robinhoist-program-" + std::to_string(::getpid()));
   fs::create_directories(folder);
   return (folder / name).string();
 }
@@ -40,13 +41,14 @@
   std::FILE* pipe = ::popen((std::string(PROGRAM) + " " + words + " 2>&1").c_str(), "r");
   std::string out;
   char buffer[4096];
-  while (std::size_t got = std::fread(buffer, 1, sizeof buffer, pipe)) out.append(buffer, got);
+  while (std::size_t got = std::fread(buffer, 1, sizeof buffer, pipe))
+    out.append(buffer, got);
   const int status = ::pclose(pipe);
   return {out, WIFEXITED(status) ? WEXITSTATUS(status) : -1};
 }
 
-// Settings: tests/settings/*.conf say on their first line what must come of them: `; good`, or `; bad N` and
-// then lines `; LINE: words` that must all be told, N being how many problems there are.
+// Settings: tests/settings/*.conf say on their first line what must come of them: `; good`, or `;
+// bad N` and then lines `; LINE: words` that must all be told, N being how many problems there are.
 class SettingsFile : public testing::TestWithParam<std::string> {};
 
 TEST_P(SettingsFile, is_judged_as_it_says) {
@@ -69,7 +71,8 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, SettingsFile, testing::ValuesIn(tests::files_in(TESTS "/settings", ".conf")),
+INSTANTIATE_TEST_SUITE_P(All, SettingsFile,
+                         testing::ValuesIn(tests::files_in(TESTS "/settings", ".conf")),
                          tests::stem);
 
 TEST(Saved, is_whole_or_not_there) {
@@ -91,7 +94,8 @@
     std::string other = whole;
     other[at] = static_cast<char>(other[at] ^ 4);
     std::ofstream(file, std::ios::binary) << other;
-    EXPECT_FALSE(endpoint_cache::read(file, why) && *endpoint_cache::read(file, why) != content) << at;
+    EXPECT_FALSE(endpoint_cache::read(file, why) && *endpoint_cache::read(file, why) != content)
+        << at;
   }
   EXPECT_NE(endpoint_cache::write("/nowhere/at/all", "x"), "");
 }
@@ -106,22 +110,26 @@
   at.sin_family = AF_INET;
   at.sin_port = htons(static_cast<std::uint16_t>(port));
   at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  if (::connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0) return fd;
+  if (::connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0)
+    return fd;
   ::close(fd);
   return -1;
 }
 
-// One request on a connection of its own; the answer as far as it came within the time, empty when none did.
+// One request on a connection of its own; the answer as far as it came within the time, empty when
+// none did.
 std::string ask(int port, const std::string& request, int within_ms = 2000) {
   int fd = connect_to(port);
-  if (fd < 0) return "";
+  if (fd < 0)
+    return "";
   [[maybe_unused]] ssize_t put = ::write(fd, request.data(), request.size());
   std::string got;
   char buffer[4096];
   pollfd ready{fd, POLLIN, 0};
   while (::poll(&ready, 1, within_ms) > 0) {
     const ssize_t some = ::read(fd, buffer, sizeof buffer);
-    if (some <= 0) break;
+    if (some <= 0)
+      break;
     got.append(buffer, static_cast<std::size_t>(some));
   }
   ::close(fd);
@@ -142,20 +150,23 @@
     std::ofstream(temp("list.conf")) << "(list (listen " << at(list) << "))";
     std::ofstream(temp("controller.conf"))
         << booking << "(controller (listen " << at(releases) << ") (places 3) (build 1))";
-    std::ofstream(temp("standin.conf")) << booking << "(standin (list " << at(list) << ") (orders-from "
-                                        << at(releases) << ") (nodes 3) (work 5ms) (build 1) (build 2))";
+    std::ofstream(temp("standin.conf"))
+        << booking << "(standin (list " << at(list) << ") (orders-from " << at(releases)
+        << ") (nodes 3) (work 5ms) (build 1) (build 2))";
     std::ofstream(temp("umpire.conf"))
-        << booking << "(umpire (name u0) (listen " << at(front) << ") (admin " << at(admin) << ") (list-from "
-        << at(list) << ") (releases-from " << at(releases) << ") (saved-list \"" << temp("u0.nodes")
-        << "\") (idle-for 1s))";
-    for (const char* one : {"list", "controller", "standin"}) start(one);
+        << booking << "(umpire (name u0) (listen " << at(front) << ") (admin " << at(admin)
+        << ") (list-from " << at(list) << ") (releases-from " << at(releases) << ") (saved-list \""
+        << temp("u0.nodes") << "\") (idle-for 1s))";
+    for (const char* one : {"list", "controller", "standin"})
+      start(one);
   }
   void start(const std::string& what, rlim_t files = 0) {
     children[what] = std::make_unique<Child>(Words{what, "--config", temp(what + ".conf")}, files);
   }
   bool settles(int tries = 400) {
     for (int i = 0; i < tries; ++i, std::this_thread::sleep_for(10ms))
-      if (get(front, "/slots/1").find("Robinhoist-Outcome: settled") != std::string::npos) return true;
+      if (get(front, "/slots/1").find("Robinhoist-Outcome: settled") != std::string::npos)
+        return true;
     return false;
   }
 };
@@ -166,7 +177,8 @@
   ASSERT_TRUE(fleet.settles());
   // Its list is saved in the background.
   std::string why;
-  for (int i = 0; i < 200 && !endpoint_cache::read(temp("u0.nodes"), why); ++i) std::this_thread::sleep_for(10ms);
+  for (int i = 0; i < 200 && !endpoint_cache::read(temp("u0.nodes"), why); ++i)
+    std::this_thread::sleep_for(10ms);
   fleet.children["umpire"]->end(SIGKILL);
   fleet.children["list"]->end(SIGKILL);
   fleet.children["controller"]->end(SIGKILL);
@@ -180,9 +192,11 @@
   fleet.start("umpire", 40);
   ASSERT_TRUE(fleet.settles());
   std::vector<int> held;
-  for (int i = 0; i < 100; ++i) held.push_back(connect_to(fleet.front));
+  for (int i = 0; i < 100; ++i)
+    held.push_back(connect_to(fleet.front));
   std::this_thread::sleep_for(200ms);
-  for (int fd : held) ::close(fd);
+  for (int fd : held)
+    ::close(fd);
   EXPECT_TRUE(fleet.settles());
   EXPECT_EQ(fleet.children["umpire"]->end(SIGTERM), 0);
 }
@@ -193,26 +207,30 @@
   ASSERT_TRUE(fleet.settles());
   auto [out, status] = run("umpire --config " + temp("umpire.conf"));
   EXPECT_EQ(status, 2);
-  EXPECT_NE(out.find("can't listen on 127.0.0.1:" + std::to_string(fleet.admin)), std::string::npos) << out;
+  EXPECT_NE(out.find("can't listen on 127.0.0.1:" + std::to_string(fleet.admin)), std::string::npos)
+      << out;
 }
 
 std::string post(int port, const std::string& path, const std::string& body) {
-  return ask(port, "POST " + path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: " +
-                       std::to_string(body.size()) + "\r\nContent-Type: application/json\r\n\r\n" + body);
+  return ask(port,
+             "POST " + path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: " +
+                 std::to_string(body.size()) + "\r\nContent-Type: application/json\r\n\r\n" + body);
 }
 
-// A controller killed at drawn moments while steps run: nothing is skipped, run twice or out of order. More
-// kills by the environment's ROBINHOIST_KILLS.
+// A controller killed at drawn moments while steps run: nothing is skipped, run twice or out of
+// order. More kills by the environment's ROBINHOIST_KILLS.
 TEST(Process, a_controller_killed_again_and_again_runs_each_step_once) {
   const int db = port_free(), port = port_free();
   const std::string at = "127.0.0.1:" + std::to_string(db);
-  for (const char* old : {"k.journal", "k.journal-wal", "k.journal-shm"}) fs::remove(temp(old));
-  Child database({"standin-db", "--listen", at, "--setup",
-                  "CREATE TABLE counter (n INTEGER, seen TEXT); INSERT INTO counter VALUES (0, ''); CREATE "
-                  "TABLE visits (id "
-                  "INTEGER PRIMARY KEY, n INTEGER); WITH RECURSIVE c(i) AS (SELECT 1 UNION ALL SELECT i + 1 "
-                  "FROM c WHERE "
-                  "i < 4000) INSERT INTO visits SELECT i, 0 FROM c"});
+  for (const char* old : {"k.journal", "k.journal-wal", "k.journal-shm"})
+    fs::remove(temp(old));
+  Child database(
+      {"standin-db", "--listen", at, "--setup",
+       "CREATE TABLE counter (n INTEGER, seen TEXT); INSERT INTO counter VALUES (0, ''); CREATE "
+       "TABLE visits (id "
+       "INTEGER PRIMARY KEY, n INTEGER); WITH RECURSIVE c(i) AS (SELECT 1 UNION ALL SELECT i + 1 "
+       "FROM c WHERE "
+       "i < 4000) INSERT INTO visits SELECT i, 0 FROM c"});
   std::ofstream(temp("k.conf")) << "(include \"" ROOT
                                    "/deploy/example/booking.conf\")\n(controller (listen 127.0.0.1:"
                                 << port << ") (places 1) (build 1) (journal \"" << temp("k.journal")
@@ -224,18 +242,22 @@
             "\"UPDATE counter SET n = n + 1, seen = seen || '" +
             step + "'\"))";
   plan +=
-      "(step fill (kind data) (phase migrate) (before-wave 1) (table visits) (key id) (batch 10) (on-back "
+      "(step fill (kind data) (phase migrate) (before-wave 1) (table visits) (key id) (batch 10) "
+      "(on-back "
       "keep)"
-      " (retry (tries 100) (pause 1ms)) (apply \"UPDATE visits SET n = n + 1 WHERE id > :after AND id <= "
+      " (retry (tries 100) (pause 1ms)) (apply \"UPDATE visits SET n = n + 1 WHERE id > :after AND "
+      "id <= "
       ":upto\")))";
   auto started = [&] {
     auto child = std::make_unique<Child>(Words{"controller", "--config", temp("k.conf")});
-    for (int i = 0; i < 300 && get(port, "/health").empty(); ++i) std::this_thread::sleep_for(5ms);
+    for (int i = 0; i < 300 && get(port, "/health").empty(); ++i)
+      std::this_thread::sleep_for(5ms);
     return child;
   };
   auto controller = started();
   ASSERT_NE(post(port, "/v1/plans", plan).find("200 OK"), std::string::npos);
-  ASSERT_NE(post(port, "/v1/releases", "{\"spec\":{\"build\":2}}").find("201 Created"), std::string::npos);
+  ASSERT_NE(post(port, "/v1/releases", "{\"spec\":{\"build\":2}}").find("201 Created"),
+            std::string::npos);
   const char* wanted = std::getenv("ROBINHOIST_KILLS");
   std::minstd_rand chance(3);
   for (int kills = wanted ? std::atoi(wanted) : 20; kills > 0; --kills) {
@@ -246,13 +268,16 @@
   std::string status;
   for (int i = 0; i < 1500; ++i, std::this_thread::sleep_for(10ms)) {
     status = get(port, "/v1/steps");
-    if (status.find("\"id\":\"fill\",\"phase\":\"migrate\",\"before_wave\":1,\"state\":\"applied\"") !=
+    if (status.find(
+            "\"id\":\"fill\",\"phase\":\"migrate\",\"before_wave\":1,\"state\":\"applied\"") !=
         std::string::npos)
       break;
   }
   const auto is = [&](const std::string& query, const std::string& value) {
     const std::string got = post(db, "/v1/query", "{\"statement\":\"" + query + "\"}");
-    EXPECT_NE(got.find("\"value\":" + value), std::string::npos) << query << "\n" << got << "\n" << status;
+    EXPECT_NE(got.find("\"value\":" + value), std::string::npos) << query << "\n"
+                                                                 << got << "\n"
+                                                                 << status;
   };
   is("SELECT n FROM counter", "3.0");
   is("SELECT seen = 'abc' FROM counter", "1.0");
@@ -261,7 +286,8 @@
 }
 
 TEST(Day, one_with_broken_watches_and_a_killed_controller_keeps_the_rules) {
-  auto [out, status] = run("day " ROOT "/days/broken-watches.day --seed 1 --out " + temp("watches"));
+  auto [out, status] =
+      run("day " ROOT "/days/broken-watches.day --seed 1 --out " + temp("watches"));
   EXPECT_EQ(status, 0) << out;
   EXPECT_NE(out.find("exposure within the cap  kept"), std::string::npos) << out;
 }
@@ -289,7 +315,8 @@
   std::int64_t next_id = 1;
 
   machine::Machine& it() {
-    if (!machine) machine = std::make_unique<machine::Machine>(capacity, build, 7, now, &marks);
+    if (!machine)
+      machine = std::make_unique<machine::Machine>(capacity, build, 7, now, &marks);
     return *machine;
   }
 
@@ -299,10 +326,12 @@
       capacity.cold_for = ms(w[1]);
       capacity.fall_window = 1s;
     } else if (w[0] == "bad") {
-      const std::map<std::string, machine::Flaw> flaws{
-          {"errors", machine::Flaw::errors},   {"slow", machine::Flaw::slow},
-          {"product", machine::Flaw::request_class}, {"load", machine::Flaw::load},
-          {"late", machine::Flaw::late},       {"wrong", machine::Flaw::wrong}};
+      const std::map<std::string, machine::Flaw> flaws{{"errors", machine::Flaw::errors},
+                                                       {"slow", machine::Flaw::slow},
+                                                       {"product", machine::Flaw::request_class},
+                                                       {"load", machine::Flaw::load},
+                                                       {"late", machine::Flaw::late},
+                                                       {"wrong", machine::Flaw::wrong}};
       build.flaw = flaws.at(w[1]);
       build.strength = std::stod(w[2]);
       build.request_class = 1;
@@ -311,9 +340,12 @@
       build.after = 500ms;
     } else if (w[0] == "arrive") {
       for (int i = 0; i < std::stoi(w[1]); ++i) {
-        machine::Work work{next_id++, std::stoi(w[2]), ms(w[3]), w.size() > 4 ? w[4] : "", w.size() > 4};
+        machine::Work work{next_id++, std::stoi(w[2]), ms(w[3]), w.size() > 4 ? w[4] : "",
+                           w.size() > 4};
         const machine::Entry entry = it().arrive(work, now);
-        ++counts[entry == machine::Entry::taken ? "taken" : entry == machine::Entry::full ? "full" : "down"];
+        ++counts[entry == machine::Entry::taken  ? "taken"
+                 : entry == machine::Entry::full ? "full"
+                                                 : "down"];
       }
     } else if (w[0] == "run") {
       for (const TimePoint until = now + ms(w[1]); now < until; now += 1ms)
@@ -341,8 +373,8 @@
   tests::play(GetParam(), [&](const Words& words) { stage.step(words); });
 }
 
-INSTANTIATE_TEST_SUITE_P(All, MachinePlay, testing::ValuesIn(tests::files_in(TESTS "/machine", ".txt")),
-                         tests::stem);
+INSTANTIATE_TEST_SUITE_P(All, MachinePlay,
+                         testing::ValuesIn(tests::files_in(TESTS "/machine", ".txt")), tests::stem);
 
 // The same seed gives the same txns; what may not come again does not.
 TEST(Load, is_drawn_from_its_seed_and_repeats_what_it_may) {
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -1,7 +1,7 @@
-// Plays tests/proxy/*.txt: a real router on loopback sockets against scripted nodes and raw clients.
-// The notation is described in tests/proxy/README.md.
-#include "stage.h"
+// Plays tests/proxy/*.txt: a real router on loopback sockets against scripted nodes and raw
+// clients. The notation is described in tests/proxy/README.md.
 #include "proxy/http_protocol.h"
+#include "stage.h"
 
 namespace robinhoist {
 namespace {
@@ -28,8 +28,8 @@
   const proxy::HttpProtocol protocol(settings);
   tests::Stage stage([&](tests::Stage& on) {
     return std::make_unique<proxy::Router>(on.loop, proxy::router_settings(settings),
-                                            proxy::module_settings_of(settings), protocol, on.log, on.endpoints,
-                                            on.releases);
+                                           proxy::module_settings_of(settings), protocol, on.log,
+                                           on.endpoints, on.releases);
   });
   tests::play_on(stage, GetParam());
 }
@@ -37,8 +37,8 @@
 INSTANTIATE_TEST_SUITE_P(All, ProxyPlay, testing::ValuesIn(tests::files_in(TESTS "/proxy", ".txt")),
                          tests::stem);
 
-// A watch that breaks in mid-event is taken up where it stood; one that can't be is begun anew. Each cap is
-// acknowledged.
+// A watch that breaks in mid-event is taken up where it stood; one that can't be is begun anew.
+// Each cap is acknowledged.
 TEST(Sources, a_broken_watch_is_taken_up_and_an_expired_one_begun_anew) {
   net::Loop loop(net::steady_now());
   log::Log log("test", "off");
@@ -57,10 +57,12 @@
       return exchange->answer(http::json_answer(200, "{\"leaseMs\":300}"));
     }
     watched.push_back(exchange->request.target);
-    if (watched.size() == 2) return exchange->answer(http::text_answer(410, "expired\n"));
+    if (watched.size() == 2)
+      return exchange->answer(http::text_answer(410, "expired\n"));
     exchange->begin_stream(http::Response{});
     if (watched.size() == 1) {
-      exchange->write(event("ADDED", 3, 0, "0.1") + mark + event("MODIFIED", 4, 1, "0.5").substr(0, 40));
+      exchange->write(event("ADDED", 3, 0, "0.1") + mark +
+                      event("MODIFIED", 4, 1, "0.5").substr(0, 40));
       loop.in(20ms, [exchange] { exchange->hang_up(); });
     } else {
       exchange->write(event("ADDED", 9, 2, "1") + mark);
@@ -68,7 +70,8 @@
     }
   });
   proxy::WatchReleaseSource source(
-      loop, {.from = "127.0.0.1:" + std::to_string(server.port()), .proxy = "u", .vote_within = 1s}, log);
+      loop, {.from = "127.0.0.1:" + std::to_string(server.port()), .proxy = "u", .vote_within = 1s},
+      log);
   std::vector<int> stages;
   source.start([&](const ReleaseUpdate& release) { stages.push_back(release.stage); });
   loop.in(800ms, [&] { loop.stop(); });
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -1,6 +1,6 @@
-// Release objects: plays of who counts among umpires (tests/members), of what an umpire makes of a watch
-// (tests/follower) and of the API on loopback (tests/api), and a history of concurrent clients that must have
-// one order that explains it.
+// Release objects: plays of who counts among umpires (tests/members), of what an umpire makes of a
+// watch (tests/follower) and of the API on loopback (tests/api), and a history of concurrent
+// clients that must have one order that explains it.
 #include <Poco/ErrorHandler.h>
 #include <Poco/Net/StreamSocket.h>
 #include <unistd.h>
@@ -27,8 +27,8 @@
   TimePoint now{};
   void step(const Words& w) {
     if (w[0] == "settings") {  // EXPECTED LEASE_MS MEMORY_MS
-      members = std::make_unique<membership::Members>(
-          membership::Settings{std::stoi(w[1]), Duration(std::stol(w[2]) * 1000), Duration(std::stol(w[3]) * 1000)});
+      members = std::make_unique<membership::Members>(membership::Settings{
+          std::stoi(w[1]), Duration(std::stol(w[2]) * 1000), Duration(std::stol(w[3]) * 1000)});
     } else if (w[0] == "heard") {
       EXPECT_EQ(membership::to_string(members->heard(w[1], w[2], now)), w[3]);
     } else if (w[0] == "leaves") {
@@ -60,8 +60,8 @@
   MembersStage stage;
   tests::play(GetParam(), [&](const Words& words) { stage.step(words); });
 }
-INSTANTIATE_TEST_SUITE_P(All, MembersPlay, testing::ValuesIn(tests::files_in(TESTS "/members", ".txt")),
-                         tests::stem);
+INSTANTIATE_TEST_SUITE_P(All, MembersPlay,
+                         testing::ValuesIn(tests::files_in(TESTS "/members", ".txt")), tests::stem);
 
 struct FollowerStage {
   releases::Follower follower{};
@@ -73,8 +73,8 @@
       return R"({"type":"BOOKMARK","version":)" + w[at + 1] + R"(,"series":"s"})" + "\n";
     return R"({"type":")" + w[at] + R"(","version":)" + w[at + 1] + R"(,"ageMs":)" + w[at + 2] +
            R"(,"object":{"metadata":{"name":")" + w[at + 3] + R"("},"spec":{"build":)" + w[at + 4] +
-           R"(},"status":{"stage":)" + w[at + 5] + R"(,"phase":")" + w[at + 6] + R"(","cap":)" + w[at + 7] +
-           "}}}\n";
+           R"(},"status":{"stage":)" + w[at + 5] + R"(,"phase":")" + w[at + 6] + R"(","cap":)" +
+           w[at + 7] + "}}}\n";
   }
   void take(const std::string& wanted) {
     static const char* const words[] = {"none", "taken", "begin-anew", "senseless"};
@@ -121,7 +121,8 @@
   FollowerStage stage;
   tests::play(GetParam(), [&](const Words& words) { stage.step(words); });
 }
-INSTANTIATE_TEST_SUITE_P(All, FollowerPlay, testing::ValuesIn(tests::files_in(TESTS "/follower", ".txt")),
+INSTANTIATE_TEST_SUITE_P(All, FollowerPlay,
+                         testing::ValuesIn(tests::files_in(TESTS "/follower", ".txt")),
                          tests::stem);
 
 TEST(Selector, takes_what_it_says) {
@@ -132,11 +133,13 @@
   for (const char* text : {"", "team", "team=front", "team==front", "team in (back, front)", "!old",
                            "tier notin (b),team", "zone!=x", "zone notin (x)"})
     EXPECT_TRUE(takes(text)) << text;
-  for (const char* text : {"zone", "team=back", "team!=front", "team in (back)", "!team", "team,zone"})
+  for (const char* text :
+       {"zone", "team=back", "team!=front", "team in (back)", "!team", "team,zone"})
     EXPECT_FALSE(takes(text)) << text;
   EXPECT_TRUE(takes("", "status.phase=trial"));
   EXPECT_FALSE(takes("", "status.phase!=trial"));
-  for (const char* text : {"=x", "team in (a", "team among (a)", "a,,b", "te am=x", "team=a b", "in (a)"})
+  for (const char* text :
+       {"=x", "team in (a", "team among (a)", "a,,b", "te am=x", "team=a b", "in (a)"})
     EXPECT_THROW(takes(text), objects::BadSelector) << text;
 }
 
@@ -147,8 +150,8 @@
   (rollout (waves 0.5 1) (caps 0.3 1) (gate clock) (bake 50ms) (step 60s) (settle 10ms) (drain 50ms) (vote-life 4s)
            (hold-share 0.5) (back-share 0.5) (votes-per-s 100))))";
 
-// A controller whose machines come up and stop as ordered, on a loop of its own; ended and started anew on
-// the same port and journal.
+// A controller whose machines come up and stop as ordered, on a loop of its own; ended and started
+// anew on the same port and journal.
 struct ApiStage {
   fs::path folder = fs::temp_directory_path() / ("robinhoist-api-" + std::to_string(::getpid()));
   net::Loop loop{net::steady_now()};
@@ -181,18 +184,22 @@
   void start_here() {
     auto form = settings::Form::of_text(
         std::string(deployment_text) + "(controller (listen 127.0.0.1:" + std::to_string(port) +
-            ") (places 4) (build 1) (journal \"" + (folder / "journal").string() + "\")" + extra + ")",
+            ") (places 4) (build 1) (journal \"" + (folder / "journal").string() + "\")" + extra +
+            ")",
         "test");
     controller::Settings settings = controller::read(form);
     settings.point = point;
-    controller =
-        std::make_unique<controller::Controller>(loop, settings, log, [this](const rollout::Order& order) {
-          if (order.kind == rollout::OrderKind::drain) return;
+    controller = std::make_unique<controller::Controller>(
+        loop, settings, log, [this](const rollout::Order& order) {
+          if (order.kind == rollout::OrderKind::drain)
+            return;
           loop.in(Duration(1000), [this, order] {
-            if (!controller) return;
+            if (!controller)
+              return;
             if (order.kind == rollout::OrderKind::start)
               controller->core().machine_up(order.machine, loop.now());
-            else controller->core().machine_gone(order.machine, loop.now());
+            else
+              controller->core().machine_gone(order.machine, loop.now());
             controller->pull();
           });
         });
@@ -204,7 +211,8 @@
     std::string text{}, body{};
     std::string header(const std::string& name) const {
       const std::size_t at = text.find("\r\n" + name + ": ");
-      if (at == std::string::npos) return "";
+      if (at == std::string::npos)
+        return "";
       const std::size_t from = at + name.size() + 4;
       return text.substr(from, text.find("\r\n", from) - from);
     }
@@ -213,13 +221,15 @@
              const std::string& headers) const {
     Answer answer;
     try {
-      Poco::Net::StreamSocket socket(Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(port)));
+      Poco::Net::StreamSocket socket(
+          Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(port)));
       socket.setReceiveTimeout(Poco::Timespan(5, 0));
       const std::string type = headers.find("Content-Type") == std::string::npos && !body.empty()
                                    ? "Content-Type: application/json\r\n"
                                    : "";
-      const std::string text = method + " " + path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n" + type +
-                               headers + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+      const std::string text = method + " " + path +
+                               " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n" + type + headers +
+                               "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
       socket.sendBytes(text.data(), static_cast<int>(text.size()));
       char buffer[65536];
       for (int got; (got = socket.receiveBytes(buffer, sizeof buffer)) > 0;)
@@ -228,7 +238,8 @@
       return answer;
     }
     const std::size_t end = answer.text.find("\r\n\r\n");
-    if (end == std::string::npos) return answer;
+    if (end == std::string::npos)
+      return answer;
     answer.status = std::atoi(answer.text.c_str() + 9);
     answer.body = answer.text.substr(end + 4);
     return answer;
@@ -245,10 +256,12 @@
       auto one = std::make_unique<Watch>();
       Watch* at = one.get();
       at->caller = std::make_unique<http::StreamCaller>(
-          loop, Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(port)), http::Limits{});
+          loop, Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(port)),
+          http::Limits{});
       http::Request request;
       request.target = path;
-      if (!token.empty()) request.headers.add("Authorization", "Bearer " + token);
+      if (!token.empty())
+        request.headers.add("Authorization", "Bearer " + token);
       at->caller->start(
           request, {10s, 10s},
           [at](std::string& body) {
@@ -278,14 +291,16 @@
     for (int i = 0; i < 300; ++i) {
       bool there = false;
       loop.call([&] { there = until(); });
-      if (there) return true;
+      if (there)
+        return true;
       std::this_thread::sleep_for(10ms);
     }
     return false;
   }
   void step(const Words& words) {
     Words w = words;
-    for (std::string& word : w) word = filled(word);
+    for (std::string& word : w)
+      word = filled(word);
     if (w[0] == "settings") {
       extra = w[1];
     } else if (w[0] == "start") {
@@ -298,14 +313,17 @@
     } else if (w[0] == "header") {
       headers += w[1] + ": " + w[2] + "\r\n";
     } else if (w[0] == "ask") {  // METHOD PATH STATUS [BODY]
-      if (!token.empty()) headers += "Authorization: Bearer " + token + "\r\n";
+      if (!token.empty())
+        headers += "Authorization: Bearer " + token + "\r\n";
       answer = ask(w[1], w[2], w.size() > 4 ? w[4] : "", headers);
       headers.clear();
       EXPECT_EQ(answer.status, std::stoi(w[3])) << answer.text;
     } else if (w[0] == "until") {  // PATH TEXT: asked again until it says so
       for (int i = 0; i < 300; ++i, std::this_thread::sleep_for(10ms)) {
-        answer = ask("GET", w[1], "", token.empty() ? "" : "Authorization: Bearer " + token + "\r\n");
-        if (answer.text.find(w[2]) != std::string::npos) return;
+        answer =
+            ask("GET", w[1], "", token.empty() ? "" : "Authorization: Bearer " + token + "\r\n");
+        if (answer.text.find(w[2]) != std::string::npos)
+          return;
       }
       ADD_FAILURE() << answer.text;
     } else if (w[0] == "has" || w[0] == "lacks") {
@@ -321,8 +339,9 @@
       EXPECT_TRUE(within([&] { return watches.at(w[1])->got.find(w[2]) != std::string::npos; }))
           << watches.at(w[1])->got;
     } else if (w[0] == "unseen") {
-      loop.call(
-          [&] { EXPECT_EQ(watches.at(w[1])->got.find(w[2]), std::string::npos) << watches.at(w[1])->got; });
+      loop.call([&] {
+        EXPECT_EQ(watches.at(w[1])->got.find(w[2]), std::string::npos) << watches.at(w[1])->got;
+      });
     } else if (w[0] == "ends") {  // NAME STATUS TEXT
       EXPECT_TRUE(within([&] { return watches.at(w[1])->status >= 0; }));
       EXPECT_EQ(watches.at(w[1])->status, std::stoi(w[2]));
@@ -340,28 +359,31 @@
   ApiStage stage;
   tests::play(GetParam(), [&](const Words& words) { stage.step(words); });
 }
-INSTANTIATE_TEST_SUITE_P(All, ApiPlay, testing::ValuesIn(tests::files_in(TESTS "/api", ".txt")), tests::stem);
+INSTANTIATE_TEST_SUITE_P(All, ApiPlay, testing::ValuesIn(tests::files_in(TESTS "/api", ".txt")),
+                         tests::stem);
 
 // One that does not read is cut, and says so last; one that reads misses nothing for it.
 TEST(Watches, a_slow_one_is_cut_and_no_other_suffers) {
   ApiStage stage;
   stage.start();
   stage.watch("fast", "/v1/releases?watch=1", "");
-  Poco::Net::StreamSocket slow(Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(stage.port)));
+  Poco::Net::StreamSocket slow(
+      Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(stage.port)));
   const std::string request = "GET /v1/releases?watch=1 HTTP/1.1\r\nHost: x\r\n\r\n";
   slow.sendBytes(request.data(), static_cast<int>(request.size()));
   int patches = 0;
   const auto cut = [&] {
-    return stage.ask("GET", "/v1/umpires", "", "").body.find("\"watchesCut\":1") != std::string::npos;
+    return stage.ask("GET", "/v1/umpires", "", "").body.find("\"watchesCut\":1") !=
+           std::string::npos;
   };
   for (; patches < 8000 && !(patches % 100 == 99 && cut()); ++patches)
-    ASSERT_EQ(
-        stage
-            .ask("PATCH", "/v1/releases/build-1",
-                 R"({"spec":{"description":")" + std::to_string(patches) + std::string(4000, 'x') + "\"}}",
-                 "")
-            .status,
-        200);
+    ASSERT_EQ(stage
+                  .ask("PATCH", "/v1/releases/build-1",
+                       R"({"spec":{"description":")" + std::to_string(patches) +
+                           std::string(4000, 'x') + "\"}}",
+                       "")
+                  .status,
+              200);
   EXPECT_TRUE(cut());
   EXPECT_TRUE(stage.within([&] {
     const std::string& got = stage.watches.at("fast")->got;
@@ -370,7 +392,8 @@
   std::size_t seen = 0;
   stage.loop.call([&] {
     const std::string& got = stage.watches.at("fast")->got;
-    for (std::size_t at = 0; (at = got.find("\"description\":\"", at)) != std::string::npos; ++at) ++seen;
+    for (std::size_t at = 0; (at = got.find("\"description\":\"", at)) != std::string::npos; ++at)
+      ++seen;
   });
   EXPECT_GE(seen, static_cast<std::size_t>(patches));
   // What the slow one reads at last ends with whole events and the word that it was too slow.
@@ -379,7 +402,8 @@
   slow.setReceiveTimeout(Poco::Timespan(5, 0));
   while (text.find("TooSlow") == std::string::npos) {
     const int got = slow.receiveBytes(buffer, sizeof buffer);
-    if (got <= 0) break;
+    if (got <= 0)
+      break;
     text.append(buffer, static_cast<std::size_t>(got));
   }
   EXPECT_NE(text.find("\"reason\":\"TooSlow\""), std::string::npos);
@@ -391,14 +415,16 @@
   stage.start();
   const std::string request = "GET /v1/releases?watch=1 HTTP/1.1\r\nHost: x\r\n\r\n";
   for (int i = 0; i < 10000; ++i) {
-    Poco::Net::StreamSocket one(Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(stage.port)));
+    Poco::Net::StreamSocket one(
+        Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(stage.port)));
     one.sendBytes(request.data(), static_cast<int>(request.size()));
     one.setLinger(true, 0);
   }
   std::string told;
   for (int i = 0; i < 300; ++i, std::this_thread::sleep_for(10ms)) {
     told = stage.ask("GET", "/v1/umpires", "", "").body;
-    if (told.find("\"watches\":0") != std::string::npos) break;
+    if (told.find("\"watches\":0") != std::string::npos)
+      break;
   }
   EXPECT_NE(told.find("\"watches\":0"), std::string::npos) << told;
 }
@@ -418,7 +444,8 @@
   for (auto& path : json::inner(description, "paths").GetObject())
     for (auto& method : path.value.GetObject()) {
       std::string name = method.name.GetString();
-      for (char& c : name) c = static_cast<char>(std::toupper(c));
+      for (char& c : name)
+        c = static_cast<char>(std::toupper(c));
       told.insert(name + " " + path.name.GetString());
     }
   EXPECT_EQ(told, real);
@@ -432,8 +459,8 @@
   void exception() override {}
 };
 
-// Clients create, patch, delete and read, watchers follow and break off, and the controller ends now and then
-// right after it has written a change down.
+// Clients create, patch, delete and read, watchers follow and break off, and the controller ends
+// now and then right after it has written a change down.
 history::History played(int seconds_tenths) {
   static Quiet quiet;
   Poco::ErrorHandler::set(&quiet);
@@ -442,7 +469,8 @@
   int writes = 0;
   bool dying = false;
   stage.point = [&](const char*) {
-    if (dying || ++writes % 37 != 0) return;
+    if (dying || ++writes % 37 != 0)
+      return;
     dying = true;
     stage.loop.in(Duration(500), [&] {
       stage.controller.reset();
@@ -474,8 +502,8 @@
           op.name = "build-" + std::to_string(mine);
           op.kind = history::Kind::write;
           answer = stage.ask("POST", "/v1/releases",
-                             R"({"metadata":{"labels":{"mark":")" + op.mark + R"("}},"spec":{"build":)" +
-                                 std::to_string(mine) + "}}",
+                             R"({"metadata":{"labels":{"mark":")" + op.mark +
+                                 R"("}},"spec":{"build":)" + std::to_string(mine) + "}}",
                              "");
         } else if (kind < 5) {
           op.kind = history::Kind::write;
@@ -505,20 +533,23 @@
       while (true) {
         const bool last = over;
         const auto answer = stage.ask(
-            "GET", "/v1/releases?watch=1&resourceVersion=" + std::to_string(version) + "&timeoutSeconds=1",
+            "GET",
+            "/v1/releases?watch=1&resourceVersion=" + std::to_string(version) + "&timeoutSeconds=1",
             w == 0 ? "" : "", "");
         for (const history::Seen& one : history::seen_in(answer.body)) {
           seen.push_back(one);
           version = one.version;
         }
-        if (last && answer.status == 200) break;
+        if (last && answer.status == 200)
+          break;
       }
       std::lock_guard lock(mutex);
       all.watchers.push_back(seen);
     });
   std::this_thread::sleep_for(std::chrono::milliseconds(100 * seconds_tenths));
   over = true;
-  for (std::thread& thread : threads) thread.join();
+  for (std::thread& thread : threads)
+    thread.join();
   all.restarts = writes / 37;
   return all;
 }
@@ -528,24 +559,28 @@
   EXPECT_EQ(history::wrong_with(all), "");
   EXPECT_GT(all.ops.size(), 200u);
   EXPECT_GT(all.restarts, 3);
-  std::printf("ops: %zu, changes: %zu, ends of the controller: %d\n", all.ops.size(), all.watchers[0].size(),
-              all.restarts);
+  std::printf("ops: %zu, changes: %zu, ends of the controller: %d\n", all.ops.size(),
+              all.watchers[0].size(), all.restarts);
   // The checker sees what is planted.
   const auto broken = [&](auto change) {
     history::History other = all;
     change(other);
     return history::wrong_with(other);
   };
-  EXPECT_NE(broken([](auto& h) { h.watchers[1].erase(h.watchers[1].begin() + 20); }), "") << "a lost event";
-  EXPECT_NE(broken([](auto& h) { std::swap(h.watchers[2][10], h.watchers[2][11]); }), "") << "two swapped";
-  EXPECT_NE(broken([](auto& h) { h.watchers[0].push_back(h.watchers[0].back()); }), "") << "one told twice";
+  EXPECT_NE(broken([](auto& h) { h.watchers[1].erase(h.watchers[1].begin() + 20); }), "")
+      << "a lost event";
+  EXPECT_NE(broken([](auto& h) { std::swap(h.watchers[2][10], h.watchers[2][11]); }), "")
+      << "two swapped";
+  EXPECT_NE(broken([](auto& h) { h.watchers[0].push_back(h.watchers[0].back()); }), "")
+      << "one told twice";
   EXPECT_NE(broken([](auto& h) {
               // A read that gives what an earlier write had long replaced.
               for (auto& read : h.ops)
                 if (read.kind == history::Kind::read && read.done)
                   for (auto& write : h.ops)
-                    if (write.kind == history::Kind::write && write.done && write.name == read.name &&
-                        write.to < read.from && write.version > h.watchers[0].front().version) {
+                    if (write.kind == history::Kind::write && write.done &&
+                        write.name == read.name && write.to < read.from &&
+                        write.version > h.watchers[0].front().version) {
                       for (auto& old : h.watchers[0])
                         if (old.name == read.name && old.version < write.version) {
                           read.version = old.version;
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -10,7 +10,9 @@
 
 using tests::Words;
 
-Duration ms(const std::string& word) { return Duration(std::stol(word) * 1000); }
+Duration ms(const std::string& word) {
+  return Duration(std::stol(word) * 1000);
+}
 
 struct Stage {
   Settings settings{.stages = {0.25, 0.5, 1},
@@ -48,8 +50,10 @@
       const std::string word = words[static_cast<int>(order->kind)];
       ++orders[word];
       ++orders[word + " " + std::to_string(order->build)];
-      if (order->kind == OrderKind::start && boots) booting.emplace_back(now + ms("100"), order->machine);
-      if (order->kind == OrderKind::stop) core->machine_gone(order->machine, now);
+      if (order->kind == OrderKind::start && boots)
+        booting.emplace_back(now + ms("100"), order->machine);
+      if (order->kind == OrderKind::stop)
+        core->machine_gone(order->machine, now);
     }
   }
 
@@ -69,38 +73,53 @@
 
   static Verdict verdict(const std::string& word) {
     for (Verdict one : {Verdict::none, Verdict::promote, Verdict::hold, Verdict::roll_back})
-      if (word == rollout::to_string(one)) return one;
+      if (word == rollout::to_string(one))
+        return one;
     throw std::runtime_error("no verdict: " + word);
   }
 
   double figure(const std::string& what) {
     const ReleaseUpdate news = it().news(now);
-    if (what == "build") return news.build;
-    if (what == "stage") return news.stage;
-    if (what == "cap") return news.cap;
-    if (what == "held") return it().held(now);
-    if (what == "waited") return static_cast<double>(it().gate_waited().count()) / 1000;
-    if (what == "baseline") return it().baseline();
+    if (what == "build")
+      return news.build;
+    if (what == "stage")
+      return news.stage;
+    if (what == "cap")
+      return news.cap;
+    if (what == "held")
+      return it().held(now);
+    if (what == "waited")
+      return static_cast<double>(it().gate_waited().count()) / 1000;
+    if (what == "baseline")
+      return it().baseline();
     throw std::runtime_error("no figure: " + what);
   }
 
   void step(const Words& w) {
     if (w[0] == "set") {
       if (w[1] == "gate")
-        settings.promotion_mode = w[2] == "first-vote" ? PromotionMode::first_vote : w[2] == "count" ? PromotionMode::count : PromotionMode::clock;
-      else if (w[1] == "in-place") settings.in_place = true;
-      else if (w[1] == "umpires") proxies = std::stoi(w[2]);
-      else if (w[1] == "no-boot") boots = false;
-      else throw std::runtime_error("no such setting");
+        settings.promotion_mode = w[2] == "first-vote" ? PromotionMode::first_vote
+                                  : w[2] == "count"    ? PromotionMode::count
+                                                       : PromotionMode::clock;
+      else if (w[1] == "in-place")
+        settings.in_place = true;
+      else if (w[1] == "umpires")
+        proxies = std::stoi(w[2]);
+      else if (w[1] == "no-boot")
+        boots = false;
+      else
+        throw std::runtime_error("no such setting");
     } else if (w[0] == "offer") {
       refused = it().offer(std::stoi(w[1]), now).value_or("");
     } else if (w[0] == "vote") {
-      EXPECT_EQ(to_string(it().vote(w[1], std::stoi(w[2]), std::stoi(w[3]), verdict(w[4]), now)), w[5]);
+      EXPECT_EQ(to_string(it().vote(w[1], std::stoi(w[2]), std::stoi(w[3]), verdict(w[4]), now)),
+                w[5]);
     } else if (w[0] == "votes") {
       for (int u = 0; u < std::stoi(w[1]); ++u)
         it().vote("u" + std::to_string(u), std::stoi(w[2]), std::stoi(w[3]), verdict(w[4]), now);
     } else if (w[0] == "operator") {
-      const bool done = w[1] == "back" ? it().back("asked", now) : it().hold(w[1] == "hold", "asked", now);
+      const bool done =
+          w[1] == "back" ? it().back("asked", now) : it().hold(w[1] == "hold", "asked", now);
       EXPECT_EQ(done, w[2] == "yes");
     } else if (w[0] == "gate") {
       it().gate_open(std::stoi(w[1]), std::stoi(w[2]), w[3] == "open");
@@ -119,7 +138,8 @@
       EXPECT_NE(refused, "");
     } else if (w[0] == "expect" && w[1] == "orders") {
       std::string what = w[2] + (w.size() > 5 ? " " + w[3] : "");
-      EXPECT_TRUE(tests::compares(orders[what], w[w.size() - 2], std::stod(w.back()))) << orders[what];
+      EXPECT_TRUE(tests::compares(orders[what], w[w.size() - 2], std::stod(w.back())))
+          << orders[what];
     } else if (w[0] == "expect") {
       EXPECT_TRUE(tests::compares(figure(w[1]), w[2], std::stod(w[3]))) << figure(w[1]);
     } else {
@@ -135,8 +155,8 @@
   tests::play(GetParam(), [&](const Words& words) { stage.step(words); });
 }
 
-INSTANTIATE_TEST_SUITE_P(All, RolloutPlay, testing::ValuesIn(tests::files_in(TESTS "/rollout", ".txt")),
-                         tests::stem);
+INSTANTIATE_TEST_SUITE_P(All, RolloutPlay,
+                         testing::ValuesIn(tests::files_in(TESTS "/rollout", ".txt")), tests::stem);
 
 }  // namespace
 }  // namespace robinhoist::rollout
--- a/tests/steps_test.cpp
+++ b/tests/steps_test.cpp
@@ -1,5 +1,6 @@
-// Steps: plays of the core (tests/steps/README.md), plans that must be refused (tests/plans), the core's
-// whole state space at small sizes, and a runner that is killed at every point between two writes.
+// Steps: plays of the core (tests/steps/README.md), plans that must be refused (tests/plans), the
+// core's whole state space at small sizes, and a runner that is killed at every point between two
+// writes.
 #include <Poco/ErrorHandler.h>
 #include <sqlite3.h>
 #include <unistd.h>
@@ -48,7 +49,8 @@
   void step(const Words& w) {
     const auto words = [&](std::size_t from) {
       std::string all;
-      for (std::size_t i = from; i < w.size(); ++i) all += (i > from ? " " : "") + w[i];
+      for (std::size_t i = from; i < w.size(); ++i)
+        all += (i > from ? " " : "") + w[i];
       return all;
     };
     if (w[0] == "step") {
@@ -78,7 +80,8 @@
       todo = it().next(now);
       const char* const acts[] = {"run", "looks", "checks", "verifies", "asks"};
       if (w[1] == "nothing") {
-        EXPECT_FALSE(todo) << acts[static_cast<int>(todo->act)] << " " << it().plan().steps[todo->step].id;
+        EXPECT_FALSE(todo) << acts[static_cast<int>(todo->act)] << " "
+                           << it().plan().steps[todo->step].id;
         return;
       }
       ASSERT_TRUE(todo);
@@ -88,11 +91,14 @@
       if (w.size() > 4 && w[w.size() - 2] == "after") {
         EXPECT_EQ(todo->after, std::stol(w.back()));
       }
-      if (todo->act == Act::run) it().replay_intent(todo->step, todo->direction);
+      if (todo->act == Act::run)
+        it().replay_intent(todo->step, todo->direction);
     } else if (w[0] == "ends") {
-      for (Result result : {Result::done, Result::more, Result::not_run, Result::unknown, Result::fenced})
+      for (Result result :
+           {Result::done, Result::more, Result::not_run, Result::unknown, Result::fenced})
         if (w[1] == to_string(result))
-          return it().ended(todo->step, todo->direction, result, w.size() > 2 ? std::stol(w[2]) : 0, "", now);
+          return it().ended(todo->step, todo->direction, result, w.size() > 2 ? std::stol(w[2]) : 0,
+                            "", now);
       throw std::runtime_error("no such result");
     } else if (w[0] == "says") {
       it().looked(todo->step,
@@ -142,7 +148,8 @@
   }
   while (std::getline(in, line) && line.rfind("; ", 0) == 0) {
     const std::size_t colon = line.find(':');
-    EXPECT_NE(told.find(":" + line.substr(2, colon - 2) + ": "), std::string::npos) << line << "\n" << told;
+    EXPECT_NE(told.find(":" + line.substr(2, colon - 2) + ": "), std::string::npos) << line << "\n"
+                                                                                    << told;
     EXPECT_NE(told.find(line.substr(colon + 2)), std::string::npos) << line << "\n" << told;
   }
 }
@@ -150,8 +157,9 @@
 INSTANTIATE_TEST_SUITE_P(All, PlanFile, testing::ValuesIn(tests::files_in(TESTS "/plans", ".conf")),
                          tests::stem);
 
-// The whole state space of the core at a small size: a host that may crash, lose answers and be told to go
-// back at any point, breadth first. `Bug` plants an error in the host, which the search must find.
+// The whole state space of the core at a small size: a host that may crash, lose answers and be
+// told to go back at any point, breadth first. `Bug` plants an error in the host, which the search
+// must find.
 enum class Bug { none, no_intent, lost_is_not_run, back_while_serving };
 
 struct Model {
@@ -166,16 +174,17 @@
     std::string key;
     for (const Core* one : {&core, &durable})
       for (const Progress& p : one->progress())
-        key += std::to_string(static_cast<int>(p.fact)) + (p.whole ? "w" : "") + (p.verified ? "v" : "") +
-               (p.stuck ? "s" : "") + (p.asked ? "a" : "") + (p.skipped ? "k" : "") +
-               std::to_string(p.tries) + ",";
+        key += std::to_string(static_cast<int>(p.fact)) + (p.whole ? "w" : "") +
+               (p.verified ? "v" : "") + (p.stuck ? "s" : "") + (p.asked ? "a" : "") +
+               (p.skipped ? "k" : "") + std::to_string(p.tries) + ",";
     for (std::size_t i = 0; i < truth.size(); ++i)
       key += std::string(truth[i] ? "T" : "f") + (marked[i] ? "M" : "n");
     if (todo)
       key += std::to_string(static_cast<int>(todo->act)) + "." + std::to_string(todo->step) +
              std::to_string(static_cast<int>(todo->direction));
     key += "r" + std::to_string(release.stage) + (release.offered ? "o" : "") +
-           (release.going_back ? "b" : "") + (release.withdrawn ? "w" : "") + (release.final ? "f" : "");
+           (release.going_back ? "b" : "") + (release.withdrawn ? "w" : "") +
+           (release.final ? "f" : "");
     return key + "c" + std::to_string(crashes) + "f" + std::to_string(faults);
   }
 };
@@ -186,22 +195,26 @@
 };
 
 Explored explore(const Plan& plan, Bug bug) {
-  constexpr TimePoint late {std::chrono::hours(10)};
+  constexpr TimePoint late{std::chrono::hours(10)};
   const std::size_t count = plan.steps.size();
   std::deque<Model> open;
   std::set<std::string> seen;
   Explored explored;
   auto fail = [&](const std::string& what) {
-    if (explored.broken.empty()) explored.broken = what;
+    if (explored.broken.empty())
+      explored.broken = what;
   };
   auto add = [&](Model model) {
-    if (seen.insert(model.key()).second) open.push_back(std::move(model));
+    if (seen.insert(model.key()).second)
+      open.push_back(std::move(model));
   };
-  Model first{Core(plan), Core(plan), std::vector<bool>(count, false), std::vector<bool>(count, false)};
+  Model first{Core(plan), Core(plan), std::vector<bool>(count, false),
+              std::vector<bool>(count, false)};
   first.core.lease(true);
   add(first);
   auto crash = [&](Model model) {
-    if (model.crashes >= 2) return;
+    if (model.crashes >= 2)
+      return;
     ++model.crashes;
     model.core = model.durable;
     model.core.lease(true);
@@ -214,14 +227,18 @@
     const int i = model.todo->step;
     const Step& step = plan.steps[i];
     const bool apply = model.todo->direction == Direction::apply;
-    if (apply && model.truth[i] && !step.idempotent) fail("step " + step.id + " ran twice");
+    if (apply && model.truth[i] && !step.idempotent)
+      fail("step " + step.id + " ran twice");
     for (int j = 0; apply && j < i; ++j)
       if (!model.truth[j] && !model.core.progress()[j].skipped)
         fail(step.id + " ran before " + plan.steps[j].id);
-    if (step.phase == Phase::contract && !model.release.final) fail("contract while back is possible");
-    if (!apply && !model.release.withdrawn) fail(step.id + " undone while machines serve");
+    if (step.phase == Phase::contract && !model.release.final)
+      fail("contract while back is possible");
+    if (!apply && !model.release.withdrawn)
+      fail(step.id + " undone while machines serve");
     model.truth[i] = apply;
-    if (step.transactional) model.marked[i] = apply;
+    if (step.transactional)
+      model.marked[i] = apply;
   };
   while (!open.empty() && explored.broken.empty() && seen.size() < 4000000) {
     Model model = std::move(open.front());
@@ -230,9 +247,10 @@
     for (int stage = 0; stage <= model.release.stage; ++stage)
       for (std::size_t i = 0; i < count; ++i) {
         const Step& step = plan.steps[i];
-        const bool needed =
-            step.phase == Phase::expand || (step.phase == Phase::migrate && step.before_stage <= stage);
-        if (needed && !model.release.withdrawn && !model.truth[i] && !model.core.progress()[i].skipped)
+        const bool needed = step.phase == Phase::expand ||
+                            (step.phase == Phase::migrate && step.before_stage <= stage);
+        if (needed && !model.release.withdrawn && !model.truth[i] &&
+            !model.core.progress()[i].skipped)
           fail("wave " + std::to_string(stage) + " runs without " + step.id);
       }
     crash(model);
@@ -262,7 +280,8 @@
       } else {
         auto says = [&](Model next, Answer answer) {
           next.core.looked(i, answer, 0, "", TimePoint{});
-          if (answer != Answer::unknown) next.durable.replay_looked(i, answer, 0);
+          if (answer != Answer::unknown)
+            next.durable.replay_looked(i, answer, 0);
           next.todo.reset();
           add(std::move(next));
         };
@@ -281,18 +300,22 @@
         next.todo = todo;
         if (todo->act == Act::run) {
           next.core.replay_intent(todo->step, todo->direction);
-          if (bug != Bug::no_intent) next.durable.replay_intent(todo->step, todo->direction);
+          if (bug != Bug::no_intent)
+            next.durable.replay_intent(todo->step, todo->direction);
         }
         add(next);
       } else {
         // Always a way forward, or an operator's word that is asked for.
         bool stuck = false;
-        for (const Progress& p : next.core.progress()) stuck |= p.stuck;
-        if (!next.core.succeeded() && !stuck) fail("nothing to do, and not settled");
+        for (const Progress& p : next.core.progress())
+          stuck |= p.stuck;
+        if (!next.core.succeeded() && !stuck)
+          fail("nothing to do, and not settled");
         if (stuck) {
           for (std::size_t i = 0; i < count; ++i) {
             Model helped = next;
-            if (!helped.core.progress()[i].stuck || helped.faults >= 2) continue;
+            if (!helped.core.progress()[i].stuck || helped.faults >= 2)
+              continue;
             ++helped.faults;
             // An operator says 'again' only after having made sure that it is not there.
             const bool clean = !helped.truth[i];
@@ -328,8 +351,10 @@
         move(on);
       }
       Release back = r;
-      if (bug == Bug::back_while_serving) back.withdrawn = true, back.going_back = false;
-      else back.going_back = true;
+      if (bug == Bug::back_while_serving)
+        back.withdrawn = true, back.going_back = false;
+      else
+        back.going_back = true;
       move(back);
     }
     if (r.going_back && !r.withdrawn) {
@@ -368,7 +393,8 @@
   EXPECT_EQ(explore(plan_of(model_plans[0]), Bug::lost_is_not_run).broken, "step a ran twice");
 }
 
-// A runner against the stand-in database, ended at its Nth point between two writes and started anew.
+// A runner against the stand-in database, ended at its Nth point between two writes and started
+// anew.
 struct Ended : std::exception {};
 
 const char* const crash_plan = R"P((plan (release 2)
@@ -436,7 +462,8 @@
     settings.stages = 3;
     settings.journal_again = 5ms;
     settings.point = [this](const char*) {
-      if (points++ != crash_at) return;
+      if (points++ != crash_at)
+        return;
       crash_at = -1;
       // The runner ends here: it may write nothing more, and is started anew a little later.
       dead = true;
@@ -448,7 +475,8 @@
     };
     runner = std::make_unique<Runner>(loop, settings, *journal, *target, log);
     try {
-      if (!runner->has_plan(2)) runner->take_plan(crash_plan, "plan", "test");
+      if (!runner->has_plan(2))
+        runner->take_plan(crash_plan, "plan", "test");
     } catch (const journal::Failed&) {
       runner.reset();
       ++refused;
@@ -470,7 +498,8 @@
     for (int i = 0; i < 3000; ++i) {
       bool there = false;
       loop.call([&] { there = !dead && runner && until(); });
-      if (there) return true;
+      if (there)
+        return true;
       std::this_thread::sleep_for(1ms);
     }
     return false;
@@ -487,7 +516,8 @@
   void exception() override {}
 };
 
-// Plays offer, waves and either the way on or the way back; true when it came to its end as it must.
+// Plays offer, waves and either the way on or the way back; true when it came to its end as it
+// must.
 std::string crash_once(int crash_at, bool back, int& points) {
   Crashing stage;
   stage.crash_at = crash_at;
@@ -495,14 +525,17 @@
     stage.at = {.stage = -1, .offered = true};
     try {
       stage.start();
-    } catch (const Ended&) {}
+    } catch (const Ended&) {
+    }
   };
   stage.loop.call(begin);
-  if (!stage.wait([&] { return stage.runner->allows(2, 0); })) return "never allows wave 0";
+  if (!stage.wait([&] { return stage.runner->allows(2, 0); }))
+    return "never allows wave 0";
   stage.loop.call([&] {
     try {
       stage.move({.stage = 0, .offered = true});
-    } catch (const Ended&) {}
+    } catch (const Ended&) {
+    }
   });
   if (!back) {
     if (!stage.wait([&] { return stage.runner->allows(2, 1) && stage.runner->succeeded(); }))
@@ -511,9 +544,11 @@
     stage.loop.call([&] {
       try {
         stage.move({.stage = 0, .offered = true, .going_back = true, .withdrawn = true});
-      } catch (const Ended&) {}
+      } catch (const Ended&) {
+      }
     });
-    if (!stage.wait([&] { return stage.runner->succeeded(); })) return "never settles its way back";
+    if (!stage.wait([&] { return stage.runner->succeeded(); }))
+      return "never settles its way back";
   }
   std::string wrong;
   stage.loop.call([&] {
@@ -596,7 +631,8 @@
   };
   EXPECT_EQ(verified().find("not"), std::string::npos);
   stage.loop.call([&] { stage.database->execute("DROP TABLE chairs"); });
-  EXPECT_NE(verified().find(R"("id":"table","state":"does not hold")"), std::string::npos) << verified();
+  EXPECT_NE(verified().find(R"("id":"table","state":"does not hold")"), std::string::npos)
+      << verified();
   stage.loop.call([&] { EXPECT_TRUE(stage.runner->allows(2, 1)); });
 }
 
@@ -651,7 +687,8 @@
   { journal::Journal(file).put("k", "v"); }
   journal::Entry entry;
   entry.step = "s";
-  for (int i = 0; i < 200; ++i) journal::Journal(file).write(entry);
+  for (int i = 0; i < 200; ++i)
+    journal::Journal(file).write(entry);
   {
     // Torn: a page in the middle is gone.
     std::fstream torn(file, std::ios::in | std::ios::out | std::ios::binary);
@@ -685,7 +722,8 @@
     refused(fewer, "step counter has been applied and is missing now");
     // What has not run yet may be written anew.
     std::string later = plan;
-    EXPECT_EQ(stage.runner->take_plan(later.replace(later.find("(batch 4)"), 9, "(batch 5)"), "plan", "test"),
+    EXPECT_EQ(stage.runner->take_plan(later.replace(later.find("(batch 4)"), 9, "(batch 5)"),
+                                      "plan", "test"),
               2);
     stage.move({.stage = 0, .offered = true});
   });
@@ -700,19 +738,26 @@
   sqlite3* db = nullptr;
   ASSERT_EQ(sqlite3_open(file.c_str(), &db), SQLITE_OK);
   const char* first_version =
-      "PRAGMA application_id=1919902313; PRAGMA user_version=1; CREATE TABLE entries (id INTEGER PRIMARY "
+      "PRAGMA application_id=1919902313; PRAGMA user_version=1; CREATE TABLE entries (id INTEGER "
+      "PRIMARY "
       "KEY, at_ms INTEGER "
-      "NOT NULL, build INTEGER NOT NULL, step TEXT NOT NULL, what TEXT NOT NULL, direction TEXT NOT NULL, "
+      "NOT NULL, build INTEGER NOT NULL, step TEXT NOT NULL, what TEXT NOT NULL, direction TEXT "
+      "NOT NULL, "
       "outcome TEXT NOT "
-      "NULL, after INTEGER NOT NULL, token INTEGER NOT NULL, attempt INTEGER NOT NULL, digest TEXT NOT "
+      "NULL, after INTEGER NOT NULL, token INTEGER NOT NULL, attempt INTEGER NOT NULL, digest TEXT "
+      "NOT "
       "NULL); CREATE TABLE "
-      "plans (build INTEGER PRIMARY KEY, text TEXT NOT NULL, at_ms INTEGER NOT NULL); CREATE TABLE lease (id "
+      "plans (build INTEGER PRIMARY KEY, text TEXT NOT NULL, at_ms INTEGER NOT NULL); CREATE TABLE "
+      "lease (id "
       "INTEGER PRIMARY "
-      "KEY CHECK (id = 1), holder TEXT NOT NULL, token INTEGER NOT NULL, until_ms INTEGER NOT NULL); CREATE "
+      "KEY CHECK (id = 1), holder TEXT NOT NULL, token INTEGER NOT NULL, until_ms INTEGER NOT "
+      "NULL); CREATE "
       "TABLE state (key "
-      "TEXT PRIMARY KEY, value TEXT NOT NULL); INSERT INTO entries VALUES (1, 5, 2, 'a', 'intent', 'apply', "
+      "TEXT PRIMARY KEY, value TEXT NOT NULL); INSERT INTO entries VALUES (1, 5, 2, 'a', 'intent', "
+      "'apply', "
       "'', 0, 1, 1, 'd')";
-  ASSERT_EQ(sqlite3_exec(db, first_version, nullptr, nullptr, nullptr), SQLITE_OK) << sqlite3_errmsg(db);
+  ASSERT_EQ(sqlite3_exec(db, first_version, nullptr, nullptr, nullptr), SQLITE_OK)
+      << sqlite3_errmsg(db);
   {
     journal::Journal journal(file);
     ASSERT_EQ(journal.entries(2).size(), 1u);
@@ -725,7 +770,8 @@
     journal::Journal journal(file);
     ADD_FAILURE() << "a newer version was taken";
   } catch (const journal::Failed& bad) {
-    EXPECT_NE(std::string(bad.what()).find("of version 9, newer than"), std::string::npos) << bad.what();
+    EXPECT_NE(std::string(bad.what()).find("of version 9, newer than"), std::string::npos)
+        << bad.what();
   }
   fs::remove(file);
 }
@@ -741,7 +787,8 @@
   entry.why = std::string(3000, 'x');
   std::size_t written = 0;
   try {
-    for (;; ++written) journal.write(entry);
+    for (;; ++written)
+      journal.write(entry);
   } catch (const journal::Failed& bad) {
     EXPECT_NE(std::string(bad.what()).find("full"), std::string::npos) << bad.what();
   }
