--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -23,8 +23,8 @@
   return Outcome::unknown;
 }
 
-Load load_of(const Json& fields) {
-  Load load;
+LoadReport load_of(const Json& fields) {
+  LoadReport load;
   auto at = fields.FindMember("pressure");
   if (at == fields.MemberEnd() || at->value.IsNull())
     return load;
@@ -179,7 +179,7 @@
     int attempt = whole(fields, "seq_no");
     Outcome outcome = outcome_of(fields);
     bool succeeded = truth(fields, "settled");
-    Load load = load_of(fields);
+    LoadReport load = load_of(fields);
     if (request_id >= 0)
       engine.attempt_ended(request_id, attempt, outcome, succeeded, load, now_);
     drop_if_done(instance, request_id);
--- a/src/benchlink/wire.h
+++ b/src/benchlink/wire.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "json/fields.h"
-#include "logic.h"
+#include "policy/decision_engine.h"
 #include "module_settings/module_settings.h"
 #include "time/time_types.h"
 
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -7,7 +7,9 @@
 
 #include "rollout/rollout.h"
 #include "settings/form.h"
-#include "state.h"
+#include "policy/endpoint.h"
+#include "policy/release.h"
+#include "policy/request.h"
 #include "time/time_types.h"
 
 namespace robinhoist::deployment {
@@ -45,7 +47,7 @@
   bool hedging = false, sized = false, advice = false;
   Duration max_pause{}, vote_timeout{};
   double wrong_answer_report_share = 0, over_quota_weight = 0;
-  Reports reports = Reports::none;
+  LoadReportSource reports = LoadReportSource::none;
   rollout::Settings rollout{};
 
   // -1: no request class takes it.
--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -20,7 +20,7 @@
   void request_arrived(const RequestInfo& request, TimePoint now) override {
     policy_.request_arrived(request, now);
   }
-  void attempt_ended(int request, int attempt, Outcome outcome, bool succeeded, const Load& load,
+  void attempt_ended(int request, int attempt, Outcome outcome, bool succeeded, const LoadReport& load,
                      TimePoint now) override {
     policy_.attempt_ended(request, attempt, outcome, succeeded, load, now);
   }
@@ -64,7 +64,7 @@
     requests_[request.request_id] = {.asked = request};
     ready_.push_back(request.request_id);
   }
-  void attempt_ended(int request, int, Outcome outcome, bool succeeded, const Load&,
+  void attempt_ended(int request, int, Outcome outcome, bool succeeded, const LoadReport&,
                      TimePoint now) override {
     auto at = requests_.find(request);
     if (at == requests_.end())
@@ -181,7 +181,7 @@
   }
 
   PolicySpec spec_;
-  RandomGenerator random_;
+  std::minstd_rand random_;
   std::map<int, int> endpoints_{};  // build, by endpoint
   std::map<int, int> out_{};
   std::unordered_map<int, Held> requests_{};
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -4,7 +4,7 @@
 #include <memory>
 #include <string>
 
-#include "logic.h"
+#include "policy/decision_engine.h"
 #include "time/time_types.h"
 
 namespace robinhoist::emulator {
@@ -16,7 +16,7 @@
                                  TimePoint now) = 0;
   virtual void request_arrived(const RequestInfo& request, TimePoint now) = 0;
   virtual void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded,
-                             const Load& load, TimePoint now) = 0;
+                             const LoadReport& load, TimePoint now) = 0;
   virtual void client_disconnected(int request_id) = 0;
   virtual void release_updated(const ReleaseUpdate& release, TimePoint now) = 0;
   virtual void vote_answered(Outcome outcome, TimePoint now) = 0;
--- a/src/emulator/simulated_proxy.cpp
+++ b/src/emulator/simulated_proxy.cpp
@@ -393,7 +393,7 @@
     }
   }
   in_flight.last = outcome;
-  Load load;
+  LoadReport load;
   if (answer.held >= 0) {
     load.busy = answer.busy;
     load.held = answer.held;
--- a/src/http/caller.h
+++ b/src/http/caller.h
@@ -12,7 +12,7 @@
 
 #include "http/message.h"
 #include "net/stream.h"
-#include "sliding_window.h"
+#include "util/sliding_window.h"
 #include "time/time_types.h"
 
 namespace robinhoist::http {
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -83,9 +83,9 @@
   settings.sized = enumerator<bool>(
       params, "weights", {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
   settings.probes = truth(inner(params, "bounds"), "probes");
-  settings.reports = enumerator<Reports>(
+  settings.reports = enumerator<LoadReportSource>(
       inner(params, "load_report"), "source",
-      {{"piggyback", Reports::answers}, {"pull", Reports::probes}, {"silent", Reports::none}});
+      {{"piggyback", LoadReportSource::answers}, {"pull", LoadReportSource::probes}, {"silent", LoadReportSource::none}});
   return settings;
 }
 
@@ -152,7 +152,7 @@
   return to;
 }
 
-std::optional<double>* load_field(Load& load, std::string_view name) {
+std::optional<double>* load_field(LoadReport& load, std::string_view name) {
   const std::pair<const char*, std::optional<double>*> places[] = {
       {"busy_reqs", &load.held},    {"pending", &load.waiting},     {"cpu_share", &load.busy},
       {"svc_ms", &load.service_ms}, {"served_ps", &load.served_ps}, {"failed_ps", &load.failed_ps}};
--- a/src/module_settings/module_settings.h
+++ b/src/module_settings/module_settings.h
@@ -7,7 +7,9 @@
 #include <vector>
 
 #include "json/fields.h"
-#include "state.h"
+#include "policy/endpoint.h"
+#include "policy/release.h"
+#include "policy/request.h"
 #include "time/time_types.h"
 
 namespace robinhoist::module_settings {
@@ -32,6 +34,6 @@
 ModuleSettings decode(const json::Json& object);
 
 // Where a value of a load report belongs, by the words of `load_report`; null: not one of them.
-std::optional<double>* load_field(Load& load, std::string_view name);
+std::optional<double>* load_field(LoadReport& load, std::string_view name);
 
 }  // namespace robinhoist::module_settings
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 
 #include "settings/form.h"
-#include "statistics.h"
+#include "policy/statistics.h"
 
 namespace robinhoist::platform {
 namespace {
@@ -144,7 +144,7 @@
                            : turned_away                                    ? Outcome::rejected
                                                                             : Outcome::error;
   proxy::AttemptResult classify{proxy::outcome_of(how, answered)};
-  if (module_settings_.endpoints.reports == Reports::none)
+  if (module_settings_.endpoints.reports == LoadReportSource::none)
     return classify;
   if (const auto load = figures_of(response.headers.get(load_header)))
     for (auto& [name, value] : *load)
--- a/src/statistics.h
+++ b/src/policy/statistics.h
@@ -1,14 +1,12 @@
-// Plain arithmetic that the module uses. Nothing here decides.
+/// Plain arithmetic of the decision module: unit conversions, tails of distributions, quantiles.
 #pragma once
 #include <algorithm>
 #include <cmath>
-#include <cstdio>
 #include <random>
-#include <string>
 #include <vector>
 
-#include "state.h"
 #include "time/time_types.h"
+#include "util/sliding_window.h"
 
 namespace robinhoist {
 
@@ -60,27 +58,6 @@
   return *at;
 }
 
-// Sums over some samples: how many, how they ended, and the logarithms of their times.
-struct Counts {
-  double n = 0, failed = 0, lost = 0, timed = 0, sum = 0, squares = 0, whole = 0, near = 0, due = 0;
-  void add(const Sample& sample, bool beside, double expected) {
-    n += 1;
-    near += beside;
-    due += expected;
-    failed += sample.failed;
-    lost += sample.lost && beside;
-  }
-  void time(double log_ratio, double objective_ratio) {
-    timed += 1;
-    sum += log_ratio;
-    squares += log_ratio * log_ratio;
-    whole += std::log(std::clamp(objective_ratio, 0.001, 10.0));
-  }
-  double mean() const { return sum / timed; }
-  double mean_log_objective_ratio() const { return whole / timed; }
-  double doubt() const { return std::max(0.0, squares / timed - mean() * mean()) / timed; }
-};
-
 inline int count(const SlidingWindow<char>& of) {
   int sum = 0;
   for (std::size_t i = 0; i < of.size(); ++i)
@@ -93,21 +70,4 @@
   return n * 0.6180339887498949 - std::floor(n * 0.6180339887498949);
 }
 
-// The words of the log for what is wanted of a release.
-inline std::string mode_text(Verdict verdict, const std::optional<ReleaseUpdate>& release) {
-  const char* words[] = {"watching", "on", "hold", "back"};
-  const char* phases[] = {"trial", "going back", "released", "withdrawn"};
-  std::string text = words[static_cast<int>(verdict)];
-  if (!release)
-    return text;
-  return text + " build " + std::to_string(release->build) + " stage " +
-         std::to_string(release->stage) + " " + phases[static_cast<int>(release->phase)];
-}
-
-inline std::string figures(const char* what, double a, double b) {
-  char text[96];
-  std::snprintf(text, sizeof text, "%s %.3g against %.3g", what, a, b);
-  return text;
-}
-
 }  // namespace robinhoist
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "statistics.h"
+#include "policy/statistics.h"
 
 namespace robinhoist::proxy {
 namespace {
@@ -16,8 +16,8 @@
 
 // Endpoint's load from the header that proxies of the field use (Open Request Cost Aggregation,
 // text form).
-Load load_of(std::string_view header) {
-  Load load;
+LoadReport load_of(std::string_view header) {
+  LoadReport load;
   if (header.substr(0, 5) != "TEXT ")
     return load;
   header.remove_prefix(5);
--- a/src/proxy/protocol.h
+++ b/src/proxy/protocol.h
@@ -8,7 +8,9 @@
 
 #include "http/caller.h"
 #include "http/server.h"
-#include "state.h"
+#include "policy/endpoint.h"
+#include "policy/release.h"
+#include "policy/request.h"
 #include "time/time_types.h"
 
 namespace robinhoist::proxy {
@@ -31,7 +33,7 @@
 // What an attempt came to.
 struct AttemptResult {
   Outcome outcome;
-  Load load{};
+  LoadReport load{};
 };
 
 // `answered`: what an answer that came whole amounts to, which alone differs by protocol.
--- a/src/proxy/router.h
+++ b/src/proxy/router.h
@@ -13,7 +13,7 @@
 #include "http/caller.h"
 #include "http/server.h"
 #include "log/log.h"
-#include "logic.h"
+#include "policy/decision_engine.h"
 #include "module_settings/module_settings.h"
 #include "proxy/protocol.h"
 #include "proxy/sources.h"
--- a/src/record/meta.h
+++ b/src/record/meta.h
@@ -3,7 +3,9 @@
 #include <string>
 #include <vector>
 
-#include "state.h"
+#include "policy/endpoint.h"
+#include "policy/release.h"
+#include "policy/request.h"
 #include "time/time_types.h"
 
 namespace robinhoist::record {
--- a/src/releases/follower.h
+++ b/src/releases/follower.h
@@ -7,7 +7,9 @@
 #include <optional>
 #include <string>
 
-#include "state.h"
+#include "policy/endpoint.h"
+#include "policy/release.h"
+#include "policy/request.h"
 #include "time/time_types.h"
 
 namespace robinhoist::releases {
--- a/src/rollout/names.h
+++ b/src/rollout/names.h
@@ -1,6 +1,8 @@
 // The words of the module's values as the API, logs and records have them.
 #pragma once
-#include "state.h"
+#include "policy/endpoint.h"
+#include "policy/release.h"
+#include "policy/request.h"
 
 namespace robinhoist::rollout {
 
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -377,7 +377,7 @@
                          testing::ValuesIn(tests::files_in(TESTS "/machine", ".txt")), tests::stem);
 
 // The same seed gives the same txns; what may not come again does not.
-TEST(Load, is_drawn_from_its_seed_and_repeats_what_it_may) {
+TEST(LoadReport, is_drawn_from_its_seed_and_repeats_what_it_may) {
   load::Settings settings;
   settings.length = 10s;
   settings.rate = 200;
