--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -50,7 +50,9 @@
               ") (places 40) (build 1) (journal \"" + journal.string() + "\"))",
           "bench");
       controller::Settings settings = controller::read(form);
-      settings.point = [this](const char*) { written = net::steady_now().count(); };
+      settings.point = [this](const char*) {
+        written = net::steady_now().time_since_epoch().count();
+      };
       controller = std::make_unique<controller::Controller>(loop, settings, log);
       port = controller->port();
     });
@@ -119,7 +121,7 @@
       http::Request request;
       request.target = "/v1/releases?watch=1";
       stream->start(
-          request, 100s,
+          request, http::StreamCaller::Silence{100s, 100s},
           [&](std::string& body) {
             for (std::size_t end; (end = body.find('\n')) != std::string::npos;
                  body.erase(0, end + 1)) {
@@ -127,7 +129,7 @@
                 ++marks;
               if (body.compare(0, 18, R"({"type":"MODIFIED")") != 0)
                 continue;
-              took.push_back(net::steady_now().count() - served.written);
+              took.push_back(net::steady_now().time_since_epoch().count() - served.written);
               ++got;
             }
           },
--- a/src/benchlink/wire.h
+++ b/src/benchlink/wire.h
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "json/fields.h"
-#include "policy/decision_engine.h"
 #include "module_settings/module_settings.h"
+#include "policy/decision_engine.h"
 #include "time/time_types.h"
 
 namespace robinhoist::benchlink {
--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -140,7 +140,8 @@
   to.sized = form.truth("sized-nodes", false);
   to.over_quota_weight = form.number("over-share-revenue", 0, 1, 1.0);
   to.reports = form.enumerator<LoadReportSource>(
-      "load-reports", {{"none", LoadReportSource::none}, {"answers", LoadReportSource::answers}}, LoadReportSource::answers);
+      "load-reports", {{"none", LoadReportSource::none}, {"answers", LoadReportSource::answers}},
+      LoadReportSource::answers);
   read_rules(form.sub("rules"), to);
   read_rollout(form.sub("rollout"), to);
   form.finish();
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
-#include "rollout/rollout.h"
-#include "settings/form.h"
 #include "policy/endpoint.h"
 #include "policy/release.h"
 #include "policy/request.h"
+#include "rollout/rollout.h"
+#include "settings/form.h"
 #include "time/time_types.h"
 
 namespace robinhoist::deployment {
--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -20,8 +20,8 @@
   void request_arrived(const RequestInfo& request, TimePoint now) override {
     policy_.request_arrived(request, now);
   }
-  void attempt_ended(int request, int attempt, Outcome outcome, bool succeeded, const LoadReport& load,
-                     TimePoint now) override {
+  void attempt_ended(int request, int attempt, Outcome outcome, bool succeeded,
+                     const LoadReport& load, TimePoint now) override {
     policy_.attempt_ended(request, attempt, outcome, succeeded, load, now);
   }
   void client_disconnected(int request) override { policy_.client_disconnected(request); }
--- a/src/http/caller.h
+++ b/src/http/caller.h
@@ -12,8 +12,8 @@
 
 #include "http/message.h"
 #include "net/stream.h"
-#include "util/sliding_window.h"
 #include "time/time_types.h"
+#include "util/sliding_window.h"
 
 namespace robinhoist::http {
 
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -83,9 +83,10 @@
   settings.sized = enumerator<bool>(
       params, "weights", {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
   settings.probes = truth(inner(params, "bounds"), "probes");
-  settings.reports = enumerator<LoadReportSource>(
-      inner(params, "load_report"), "source",
-      {{"piggyback", LoadReportSource::answers}, {"pull", LoadReportSource::probes}, {"silent", LoadReportSource::none}});
+  settings.reports = enumerator<LoadReportSource>(inner(params, "load_report"), "source",
+                                                  {{"piggyback", LoadReportSource::answers},
+                                                   {"pull", LoadReportSource::probes},
+                                                   {"silent", LoadReportSource::none}});
   return settings;
 }
 
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -4,8 +4,8 @@
 #include <cmath>
 #include <cstdio>
 
-#include "settings/form.h"
 #include "policy/statistics.h"
+#include "settings/form.h"
 
 namespace robinhoist::platform {
 namespace {
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -43,8 +43,17 @@
 }
 
 struct Play {
-  EndpointSettings endpoints{0, ms(4000), ms(1500), ms(10000), ms(1000),     0.3,
-                             2, false,    false,    false,     LoadReportSource::none};
+  EndpointSettings endpoints{0,
+                             ms(4000),
+                             ms(1500),
+                             ms(10000),
+                             ms(1000),
+                             0.3,
+                             2,
+                             false,
+                             false,
+                             false,
+                             LoadReportSource::none};
   CanaryQuotaSettings canary_quota{ms(4000), 1, false, false, false, 0, {0.1, 0.3, 1}};
   AnalysisSettings analysis{
       PromotionMode::clock, ms(2000), ms(4000), ms(8000), ms(1000), 20, 0.3, 1, 1, 1, 1};
