--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -132,6 +132,7 @@
               took.push_back(net::steady_now().time_since_epoch().count() - served.written);
               ++got;
             }
+            return true;
           },
           [](int, const std::string&) {});
       streams.push_back(std::move(stream));
