--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -11,7 +11,7 @@
 #include <thread>
 
 #include "controller/process.h"
-#include "http/stream_caller.h"
+#include "http/stream_client.h"
 #include "json/fields.h"
 #include "proxy/sources.h"
 
@@ -67,9 +67,11 @@
 
 // One request after another on one connection.
 struct Client : Running {
-  std::unique_ptr<http::Caller> caller{};
+  std::unique_ptr<http::ConnectionPool> caller{};
   explicit Client(const Poco::Net::SocketAddress& to) {
-    loop.call([&] { caller = std::make_unique<http::Caller>(loop, to, http::CallerSettings{}); });
+    loop.call([&] {
+      caller = std::make_unique<http::ConnectionPool>(loop, to, http::ConnectionPoolSettings{});
+    });
   }
   int ask(const std::string& method, const std::string& target, const std::string& body) {
     std::atomic<int> status{-1};
@@ -79,8 +81,8 @@
       request.target = target;
       request.headers.add("Content-Type", "application/json");
       request.body = body;
-      caller->call(request, 5s, [&](http::Ended how, http::Response&& response) {
-        status = how == http::Ended::answered ? response.status : 0;
+      caller->call(request, 5s, [&](http::CallResult how, http::Response&& response) {
+        status = how == http::CallResult::answered ? response.status : 0;
       });
     });
     while (status < 0)
@@ -110,18 +112,18 @@
 
 void delays(Served& served, int watchers) {
   Running readers;
-  std::vector<std::unique_ptr<http::StreamCaller>> streams;
+  std::vector<std::unique_ptr<http::StreamClient>> streams;
   std::vector<std::int64_t> took;
   std::atomic<int> marks{0}, got{0};
   const long before = resident_kb();
   for (int i = 0; i < watchers; ++i) {
     readers.loop.call([&] {
-      auto stream =
-          std::make_unique<http::StreamCaller>(readers.loop, served.address(), http::Limits{});
+      auto stream = std::make_unique<http::StreamClient>(readers.loop, served.address(),
+                                                         http::MessageLimits{});
       http::Request request;
       request.target = "/v1/releases?watch=1";
       stream->start(
-          request, http::StreamCaller::Silence{100s, 100s},
+          request, http::StreamClient::SilenceLimits{100s, 100s},
           [&](std::string& body) {
             for (std::size_t end; (end = body.find('\n')) != std::string::npos;
                  body.erase(0, end + 1)) {
--- a/fuzz/framing_fuzz.cpp
+++ b/fuzz/framing_fuzz.cpp
@@ -12,17 +12,17 @@
     return 0;
   const std::string all(reinterpret_cast<const char*>(data) + 1, size - 1);
   const std::size_t cut = all.empty() ? 0 : data[0] % all.size();
-  const http::Limits limits{2048, 4096};
+  const http::MessageLimits limits{2048, 4096};
   http::RequestReader requests(limits);
   http::ResponseReader responses(limits);
   responses.expect(data[0] & 1);
   std::string in, out;
   for (const std::string& piece : {all.substr(0, cut), all.substr(cut)}) {
     in += piece;
-    while (requests.read(in) == http::Read::whole)
+    while (requests.read(in) == http::ParseResult::complete)
       requests.take();
     out += piece;
-    while (responses.read(out) == http::Read::whole) {
+    while (responses.read(out) == http::ParseResult::complete) {
       http::Headers kept;
       http::copy_end_to_end(responses.take().headers, kept);
       responses.expect(false);
--- a/src/cli/ask.cpp
+++ b/src/cli/ask.cpp
@@ -2,8 +2,8 @@
 
 #include <cstdlib>
 
-#include "http/caller.h"
-#include "http/stream_caller.h"
+#include "http/connection_pool.h"
+#include "http/stream_client.h"
 
 namespace robinhoist::cli {
 
@@ -17,13 +17,13 @@
 Asked ask(const std::string& address, http::Request request) {
   add_token(request);
   net::Loop loop(net::steady_now());
-  http::CallerSettings settings;
-  settings.connect_within = 2s;
-  settings.limits.body = 64u << 20;
-  http::Caller caller(loop, Poco::Net::SocketAddress(address), settings);
+  http::ConnectionPoolSettings settings;
+  settings.connect_timeout = 2s;
+  settings.limits.max_body_bytes = 64u << 20;
+  http::ConnectionPool caller(loop, Poco::Net::SocketAddress(address), settings);
   Asked asked;
-  caller.call(request, 10s, [&](http::Ended how, http::Response&& response) {
-    if (how == http::Ended::answered)
+  caller.call(request, 10s, [&](http::CallResult how, http::Response&& response) {
+    if (how == http::CallResult::answered)
       asked = {response.status, response.body, response.headers};
     loop.stop();
   });
@@ -36,9 +36,9 @@
   http::Request request = given;
   add_token(request);
   net::Loop loop(net::steady_now());
-  http::Limits limits;
-  limits.body = 64u << 20;
-  http::StreamCaller stream(loop, Poco::Net::SocketAddress(address), limits);
+  http::MessageLimits limits;
+  limits.max_body_bytes = 64u << 20;
+  http::StreamClient stream(loop, Poco::Net::SocketAddress(address), limits);
   bool well = false;
   stream.start(
       request, {30s, 30s},
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -183,20 +183,20 @@
         .put("build", order.build)
         .close();
   untaken_.clear();
-  asked.exchange->answer(http::json_answer(200, out.close_list().close().text()));
+  asked.exchange->answer(http::json_response(200, out.close_list().close().text()));
 }
 
 void Controller::with_steps(const Asked& asked, const std::function<void()>& does) {
   if (!runner_)
-    return asked.exchange->answer(http::text_answer(404, "this controller runs no steps\n"));
+    return asked.exchange->answer(http::text_response(404, "this controller runs no steps\n"));
   try {
     does();
   } catch (const json::BadInput& bad) {
-    asked.exchange->answer(http::text_answer(422, std::string(bad.what()) + "\n"));
+    asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
   } catch (const settings::Invalid& bad) {
-    asked.exchange->answer(http::text_answer(422, std::string(bad.what()) + "\n"));
+    asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
   } catch (const journal::Failed& bad) {
-    asked.exchange->answer(http::text_answer(503, std::string(bad.what()) + "\n"));
+    asked.exchange->answer(http::text_response(503, std::string(bad.what()) + "\n"));
   }
 }
 
@@ -209,18 +209,18 @@
     tell_steps();
     pull();
     asked.exchange->answer(
-        http::json_answer(200, json::Out().open().put("build", build).close().text()));
+        http::json_response(200, json::Out().open().put("build", build).close().text()));
   });
 }
 
 void Controller::steps_status(const Asked& asked) {
-  with_steps(asked, [&] { asked.exchange->answer(http::json_answer(200, runner_->status())); });
+  with_steps(asked, [&] { asked.exchange->answer(http::json_response(200, runner_->status())); });
 }
 
 void Controller::steps_verify(const Asked& asked) {
   with_steps(asked, [&] {
     runner_->verify([exchange = asked.exchange](const std::string& body) {
-      exchange->answer(http::json_answer(200, body));
+      exchange->answer(http::json_response(200, body));
     });
   });
 }
@@ -242,8 +242,8 @@
                                 : runner_->skip(build, step, who, why);
     }
     pull();
-    asked.exchange->answer(refused.empty() ? http::json_answer(200, runner_->status())
-                                           : http::text_answer(409, refused + "\n"));
+    asked.exchange->answer(refused.empty() ? http::json_response(200, runner_->status())
+                                           : http::text_response(409, refused + "\n"));
   });
 }
 
@@ -257,10 +257,10 @@
     else
       core_->machine_gone(machine, loop_.now());
   } catch (const json::BadInput& bad) {
-    return asked.exchange->answer(http::text_answer(422, std::string(bad.what()) + "\n"));
+    return asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
   }
   pull();
-  asked.exchange->answer(http::json_answer(200, "{}"));
+  asked.exchange->answer(http::json_response(200, "{}"));
 }
 
 const std::vector<Controller::Route>& Controller::routes() {
@@ -317,7 +317,7 @@
   const http::Request& request = exchange->request;
   const std::string path(request.path());
   if (request.method == "GET" && path == "/health")
-    return exchange->answer(http::text_answer(200, "well\n"));
+    return exchange->answer(http::text_response(200, "well\n"));
   const auto caller = tokens_.caller(request.headers.get("Authorization"));
   if (!caller) {
     http::Response response = problem(401, "not known", "no token, or none that is known here");
--- a/src/controller/problem.h
+++ b/src/controller/problem.h
@@ -27,7 +27,7 @@
       out.open().put("pointer", one.pointer).put("detail", one.detail).close();
     out.close_list();
   }
-  http::Response response = http::json_answer(status, out.close().text());
+  http::Response response = http::json_response(status, out.close().text());
   response.headers.set("Content-Type", "application/problem+json");
   return response;
 }
--- a/src/controller/releases.cpp
+++ b/src/controller/releases.cpp
@@ -90,7 +90,7 @@
 }
 
 http::Response shown(const objects::Snapshot& object, int status) {
-  http::Response response = http::json_answer(status, object.full);
+  http::Response response = http::json_response(status, object.full);
   response.headers.add("ETag", "\"" + std::to_string(object.version) + "\"");
   return response;
 }
@@ -351,7 +351,7 @@
   out.open().open_list("routes");
   for (const Route& one : routes())
     out.open().put("method", one.method).put("path", one.path).close();
-  asked.exchange->answer(http::json_answer(200, out.close_list().close().text()));
+  asked.exchange->answer(http::json_response(200, out.close_list().close().text()));
 }
 
 void Controller::list(const Asked& asked) {
@@ -398,7 +398,7 @@
         ",\"items\":[";
     for (std::size_t i = 0; i < items.size(); ++i)
       body += (i > 0 ? "," : "") + items[i]->full;
-    asked.exchange->answer(http::json_answer(200, body + "]}"));
+    asked.exchange->answer(http::json_response(200, body + "]}"));
   });
 }
 
@@ -438,7 +438,7 @@
   if (const auto release = catalog_.store().find(reply.name))
     return asked.exchange->answer(shown(*release, reply.status));
   asked.exchange->answer(
-      http::json_answer(reply.status, "{\"kind\":\"Status\",\"status\":\"Success\"}"));
+      http::json_response(reply.status, "{\"kind\":\"Status\",\"status\":\"Success\"}"));
 }
 
 // Writes a request's change down; false when it was a dry run, which is answered here.
@@ -570,10 +570,10 @@
   if (trouble_ == Trouble::none)
     return false;
   if (trouble_ == Trouble::errors) {
-    exchange->answer(http::text_answer(503, "out of order\n"));
+    exchange->answer(http::text_response(503, "out of order\n"));
   } else {
     // Never answered; it goes when the proxy hangs up.
-    exchange->on_gone = [keep = exchange]() mutable { keep.reset(); };
+    exchange->on_disconnect = [keep = exchange]() mutable { keep.reset(); };
   }
   return true;
 }
@@ -618,7 +618,7 @@
       asked.exchange->answer(
           problem(409, "moot", "the release is not in that wave, or such a vote has no meaning"));
     else
-      asked.exchange->answer(http::json_answer(200, "{\"result\":\"ok\"}"));
+      asked.exchange->answer(http::json_response(200, "{\"result\":\"ok\"}"));
     pull();
   });
 }
@@ -665,13 +665,13 @@
     look_at_members();
     pull();
     asked.exchange->answer(
-        http::json_answer(200, json::Out()
-                                   .open()
-                                   .put("leaseMs", settings_.members.lease.count() / 1000)
-                                   .put("known", members_.known())
-                                   .put("live", members_.live())
-                                   .close()
-                                   .text()));
+        http::json_response(200, json::Out()
+                                     .open()
+                                     .put("leaseMs", settings_.members.lease.count() / 1000)
+                                     .put("known", members_.known())
+                                     .put("live", members_.live())
+                                     .close()
+                                     .text()));
   });
 }
 
@@ -682,7 +682,7 @@
   log_.info("umpire", {{"name", asked.name}, {"is", "gone by its own word"}});
   look_at_members();
   pull();
-  asked.exchange->answer(http::json_answer(200, "{\"kind\":\"Status\",\"status\":\"Success\"}"));
+  asked.exchange->answer(http::json_response(200, "{\"kind\":\"Status\",\"status\":\"Success\"}"));
 }
 
 void Controller::proxies(const Asked& asked) {
@@ -704,7 +704,7 @@
           .close();
     out.close();
   }
-  asked.exchange->answer(http::json_answer(200, out.close_list().close().text()));
+  asked.exchange->answer(http::json_response(200, out.close_list().close().text()));
 }
 
 void Controller::client_outcomes(const Asked& asked) {
@@ -713,7 +713,7 @@
     const int requests = json::whole(body, "txns"), unsuccessful = json::whole(body, "poorly");
     if (runner_ && settings_.throttle)
       runner_->client_outcomes(requests, unsuccessful);
-    asked.exchange->answer(http::json_answer(200, "{}"));
+    asked.exchange->answer(http::json_response(200, "{}"));
   });
 }
 
--- a/src/controller/watches.cpp
+++ b/src/controller/watches.cpp
@@ -36,7 +36,7 @@
 Watches::~Watches() {
   for (Watcher& one : watchers_) {
     loop_.cancel(one.end);
-    one.exchange->on_gone = nullptr;
+    one.exchange->on_disconnect = nullptr;
   }
 }
 
@@ -82,7 +82,7 @@
   head.headers.add("Content-Type", "application/json;stream=watch");
   head.headers.add("Cache-Control", "no-store");
   exchange->begin_stream(head);
-  exchange->on_gone = [this, at] {
+  exchange->on_disconnect = [this, at] {
     at->gone = true;
     remove(at);
   };
@@ -168,7 +168,7 @@
     ++next_;
   loop_.cancel(at->end);
   if (!at->gone) {
-    at->exchange->on_gone = nullptr;
+    at->exchange->on_disconnect = nullptr;
     at->exchange->end();
   }
   watchers_.erase(at);
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -11,10 +11,10 @@
   return Duration(static_cast<std::int64_t>(s * 1e6));
 }
 
-http::CallerSettings call_settings() {
-  http::CallerSettings settings;
-  settings.most_connections = 4000;
-  settings.connect_within = 1s;
+http::ConnectionPoolSettings call_settings() {
+  http::ConnectionPoolSettings settings;
+  settings.max_connections = 4000;
+  settings.connect_timeout = 1s;
   return settings;
 }
 }  // namespace
@@ -26,8 +26,10 @@
     auto at = [](int port) {
       return Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(port));
     };
-    fronts_.push_back(std::make_unique<http::Caller>(loop, at(ports.front), call_settings()));
-    admins_.push_back(std::make_unique<http::Caller>(loop, at(ports.admin), call_settings()));
+    fronts_.push_back(
+        std::make_unique<http::ConnectionPool>(loop, at(ports.front), call_settings()));
+    admins_.push_back(
+        std::make_unique<http::ConnectionPool>(loop, at(ports.admin), call_settings()));
   }
 }
 
@@ -107,7 +109,7 @@
   // to.
   const auto call = fronts_[one.proxy]->call(
       request, std::max(Duration(1), left) + 2 * day_.answer_slack,
-      [this, one](http::Ended how, http::Response&& response) { ended(one, how, response); });
+      [this, one](http::CallResult how, http::Response&& response) { ended(one, how, response); });
   calls_[one.id] = {one.proxy, call};
   if (one.leaves == TimePoint{})
     return;
@@ -116,22 +118,22 @@
     if (at == calls_.end())
       return;
     fronts_[at->second.first]->cancel(at->second.second);
-    ended(one, http::Ended::cancelled, {});
+    ended(one, http::CallResult::cancelled, {});
   });
 }
 
-void Clients::ended(const load::Try& one, http::Ended how, const http::Response& response) {
+void Clients::ended(const load::Try& one, http::CallResult how, const http::Response& response) {
   if (calls_.erase(one.id) == 0)
     return;
   load::End end = load::End::broken;
   const std::string_view said = response.headers.get("Robinhoist-Outcome");
-  if (how == http::Ended::unreached)
+  if (how == http::CallResult::connect_failed)
     end = load::End::unreached;
-  if (how == http::Ended::timed_out)
+  if (how == http::CallResult::timed_out)
     end = load::End::timed_out;
-  if (how == http::Ended::cancelled)
+  if (how == http::CallResult::cancelled)
     end = load::End::left;
-  if (how == http::Ended::answered)
+  if (how == http::CallResult::answered)
     end = said == "settled"    ? load::End::succeeded
           : said == "declined" ? load::End::rejected
           : said == "voided"   ? load::End::failed
@@ -178,7 +180,7 @@
   request.method = "POST";
   request.target = "/wrong";
   request.body = json::Out().open().put("node", node).close().text();
-  admins_[proxy]->call(request, 2s, [](http::Ended, http::Response&&) {});
+  admins_[proxy]->call(request, 2s, [](http::CallResult, http::Response&&) {});
 }
 
 void Clients::note_unasked() {
--- a/src/day/clients.h
+++ b/src/day/clients.h
@@ -5,7 +5,7 @@
 #include <memory>
 
 #include "day/notation.h"
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "record/record.h"
 #include "time/time_types.h"
 
@@ -29,7 +29,7 @@
  private:
   void pull();
   void send(const load::Try& one);
-  void ended(const load::Try& one, http::Ended how, const http::Response& response);
+  void ended(const load::Try& one, http::CallResult how, const http::Response& response);
   void begin_trouble(const Trouble& trouble);
   void report(int proxy, const std::string& node);
   TimePoint now() const { return TimePoint(loop_.now() - from_); }
@@ -41,8 +41,8 @@
   load::Load load_;
   std::minstd_rand random_;
   record::Writer& record_;
-  std::vector<std::unique_ptr<http::Caller>> fronts_{}, admins_{};
-  std::map<std::int64_t, std::pair<int, http::Caller::Id>> calls_{};
+  std::vector<std::unique_ptr<http::ConnectionPool>> fronts_{}, admins_{};
+  std::map<std::int64_t, std::pair<int, http::ConnectionPool::Id>> calls_{};
   net::Loop::Timer timer_ = net::Loop::no_timer;
   TimePoint from_{};
   bool begun_ = false;
--- a/src/emulator/fleet.h
+++ b/src/emulator/fleet.h
@@ -60,7 +60,7 @@
   void gone(int server, std::uint64_t id);
   // Connections that a server holds, and the most that it takes; 0: any number.
   int& connections(int server) { return servers_[server]->connections; }
-  int most_connections(int server) const { return servers_[server]->most; }
+  int max_connections(int server) const { return servers_[server]->most; }
 
   void silence(int server);
   void slow(int server, double times) { servers_[server]->machine.slowed(times); }
--- a/src/emulator/simulated_proxy.cpp
+++ b/src/emulator/simulated_proxy.cpp
@@ -316,7 +316,7 @@
       in_flight.attempts[index].upstream = -1;
       return fails(2 * there, Outcome::connect_failure);
     }
-    const int most = fleet_.most_connections(upstream.server);
+    const int most = fleet_.max_connections(upstream.server);
     if (most > 0 && fleet_.connections(upstream.server) >= most) {
       in_flight.attempts[index].upstream = -1;
       return fails(2 * there, Outcome::reset);
@@ -383,7 +383,7 @@
     // Kept open after an answer; gone with anything else.
     const bool keeps =
         outcome == Outcome::ok || outcome == Outcome::error || outcome == Outcome::rejected;
-    const int most = fleet_.most_connections(upstream.server);
+    const int most = fleet_.max_connections(upstream.server);
     if (fleet_.runs(upstream.server)) {
       if (keeps && upstream.phase != EndpointPhase::removed &&
           (most == 0 || fleet_.connections(upstream.server) <= most))
--- a/src/http/caller.cpp
+++ b/src/http/connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "http/caller.h"
+#include "http/connection_pool.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,7 +12,7 @@
 // One connection and the call that it carries, if any.
 class Connection : public net::Stream::Owner, public std::enable_shared_from_this<Connection> {
  public:
-  Connection(Caller& caller)
+  Connection(ConnectionPool& caller)
       : caller_(&caller), budget_(caller.settings_.budget), reader_(caller.settings_.limits) {
     if (budget_)
       ++budget_->open_;
@@ -21,14 +21,14 @@
 
   void connect() {
     stream_ = net::Stream::connect(caller_->loop_, caller_->peer_, *this);
-    connect_timer_ = caller_->loop_.in(caller_->settings_.connect_within, [this] {
+    connect_timer_ = caller_->loop_.in(caller_->settings_.connect_timeout, [this] {
       connect_timer_ = net::Loop::no_timer;
-      end(Ended::unreached);
+      end(CallResult::connect_failed);
     });
   }
 
-  void carry(Caller::Id id, Request request, Duration within, Caller::Done done,
-             Caller::Word word) {
+  void carry(ConnectionPool::Id id, Request request, Duration within, ConnectionPool::Done done,
+             ConnectionPool::Word word) {
     id_ = id;
     done_ = std::move(done);
     request_ = std::move(request);
@@ -37,7 +37,7 @@
     caller_->loop_.cancel(timer_);
     timer_ = caller_->loop_.in(within, [this] {
       timer_ = net::Loop::no_timer;
-      end(whole() ? Ended::timed_out : Ended::unreached);
+      end(whole() ? CallResult::timed_out : CallResult::connect_failed);
     });
     reader_.expect(request_.method == "HEAD");
     written_ = false;
@@ -54,36 +54,37 @@
     auto self = shared_from_this();
     if (!busy()) {
       ++caller_->unasked_;
-      return end(Ended::garbled);
+      return end(CallResult::malformed);
     }
-    Read read = reader_.read(stream.in());
-    if (read == Read::bad)
-      return end(Ended::garbled);
-    if (read == Read::whole)
+    ParseResult read = reader_.read(stream.in());
+    if (read == ParseResult::invalid)
+      return end(CallResult::malformed);
+    if (read == ParseResult::complete)
       finished();
   }
 
-  void on_closed(net::Stream& stream, net::Closed how) override {
+  void on_closed(net::Stream& stream, net::CloseReason how) override {
     auto self = shared_from_this();
-    if (busy() && how == net::Closed::by_peer && reader_.begun() &&
-        reader_.read(stream.in(), true) == Read::whole)
+    if (busy() && how == net::CloseReason::by_peer && reader_.begun() &&
+        reader_.read(stream.in(), true) == ParseResult::complete)
       return finished();
-    end(whole() ? (reader_.fault().status != 0 && reader_.begun() ? Ended::garbled : Ended::broken)
-                : Ended::unreached);
+    end(whole() ? (reader_.error().status != 0 && reader_.begun() ? CallResult::malformed
+                                                                  : CallResult::connection_lost)
+                : CallResult::connect_failed);
   }
 
   // The connection is over; its call, if any, ends so.
-  void end(Ended how) {
+  void end(CallResult how) {
     if (!caller_)
       return;
     auto self = shared_from_this();
-    Caller* caller = caller_;
+    ConnectionPool* caller = caller_;
     caller_ = nullptr;
     caller->loop_.cancel(timer_);
     caller->loop_.cancel(connect_timer_);
-    shut(how == Ended::cancelled || how == Ended::timed_out);
+    shut(how == CallResult::cancelled || how == CallResult::timed_out);
     caller->remove(this);
-    if (how == Ended::broken)
+    if (how == CallResult::connection_lost)
       note_reuse(true);
     tell(how, {});
   }
@@ -91,11 +92,11 @@
   // Ends it without a word.
   void abandon() {
     done_ = nullptr;
-    end(Ended::cancelled);
+    end(CallResult::cancelled);
   }
 
   bool busy() const { return done_ != nullptr; }
-  Caller::Id id() const { return busy() ? id_ : 0; }
+  ConnectionPool::Id id() const { return busy() ? id_ : 0; }
   // Not one on which the peer has said something meanwhile, or its end: guards against taking what
   // came late behind one answer for the next.
   bool usable() const { return caller_ && stream_ && stream_->open() && stream_->quiet(); }
@@ -127,7 +128,7 @@
     if (word_)
       word_(request_, std::max(Duration(1), until_ - caller_->loop_.now()));
     std::string out;
-    put(out, request_, caller_->host_);
+    serialize(out, request_, caller_->host_);
     request_ = {};  // not kept: endpoints are many, and requests may be large
     word_ = nullptr;
     stream_->write(out);
@@ -140,23 +141,23 @@
     caller_->unasked_ += !stream_->in().empty();
     // What follows an answer unasked taints the connection.
     if (!response.keep_alive || !stream_->open() || !stream_->in().empty()) {
-      Caller* caller = caller_;
+      ConnectionPool* caller = caller_;
       caller_ = nullptr;
       caller->loop_.cancel(timer_);
       shut(false);
       caller->remove(this);
     } else {
       caller_->loop_.cancel(timer_);
-      timer_ = caller_->loop_.in(caller_->settings_.keep_for, [this] {
+      timer_ = caller_->loop_.in(caller_->settings_.idle_timeout, [this] {
         timer_ = net::Loop::no_timer;
-        end(Ended::cancelled);
+        end(CallResult::cancelled);
       });
       caller_->idle_.push_back(this);
       idle_from_ = caller_->loop_.now();
       if (budget_)
         idle_at_ = budget_->idle_.insert(budget_->idle_.end(), this);
     }
-    tell(Ended::answered, std::move(response));
+    tell(CallResult::answered, std::move(response));
   }
 
   void note_reuse(bool broke) {
@@ -165,22 +166,22 @@
     reused_after_.reset();
   }
 
-  void tell(Ended how, Response&& response) {
-    Caller::Done done = std::move(done_);
+  void tell(CallResult how, Response&& response) {
+    ConnectionPool::Done done = std::move(done_);
     done_ = nullptr;
     if (done)
       done(how, std::move(response));
   }
 
-  Caller* caller_;
-  std::shared_ptr<Budget> budget_;
+  ConnectionPool* caller_;
+  std::shared_ptr<ConnectionBudget> budget_;
   std::optional<std::list<Connection*>::iterator> idle_at_{};
   std::shared_ptr<net::Stream> stream_{};
   ResponseReader reader_;
-  Caller::Id id_ = 0;
-  Caller::Done done_{};
+  ConnectionPool::Id id_ = 0;
+  ConnectionPool::Done done_{};
   Request request_{};  // until it is written
-  Caller::Word word_{};
+  ConnectionPool::Word word_{};
   net::Loop::Timer timer_ = net::Loop::no_timer, connect_timer_ = net::Loop::no_timer;
   TimePoint until_{}, idle_from_{};
   std::optional<Duration>
@@ -188,7 +189,7 @@
   bool written_ = false, shut_ = false;
 };
 
-bool Budget::stale(Duration idle) const {
+bool ConnectionBudget::stale(Duration idle) const {
   int alike = 0, broke = 0;
   for (std::size_t i = 0; i < reuses_.size(); ++i) {
     const Reuse& reuse = reuses_.back(i);
@@ -200,28 +201,29 @@
   return alike >= stale_told_by && stale_part * broke > alike;
 }
 
-bool Budget::room() {
+bool ConnectionBudget::room() {
   if (open_ >= most_ && !idle_.empty())
-    idle_.front()->end(Ended::cancelled);
+    idle_.front()->end(CallResult::cancelled);
   return open_ < most_;
 }
 
-Caller::Caller(net::Loop& loop, Poco::Net::SocketAddress peer, const CallerSettings& settings)
+ConnectionPool::ConnectionPool(net::Loop& loop, Poco::Net::SocketAddress peer,
+                               const ConnectionPoolSettings& settings)
     : loop_(loop), peer_(std::move(peer)), host_(peer_.toString()), settings_(settings) {}
 
-Caller::~Caller() {
+ConnectionPool::~ConnectionPool() {
   auto connections = connections_;
   for (auto& connection : connections)
     connection->abandon();
 }
 
-Caller::Id Caller::call(Request request, Duration within, Done done, Word word) {
+ConnectionPool::Id ConnectionPool::call(Request request, Duration within, Done done, Word word) {
   const Id id = next_++;
   while (!idle_.empty()) {
     Connection* last = idle_.back();
     idle_.pop_back();
     if (!last->usable() || (settings_.budget && settings_.budget->stale(last->idle()))) {
-      last->end(Ended::cancelled);
+      last->end(CallResult::cancelled);
       continue;
     }
     ++reused_;
@@ -230,9 +232,9 @@
     last->carry(id, std::move(request), within, std::move(done), std::move(word));
     return id;
   }
-  if (connections_.size() >= settings_.most_connections ||
+  if (connections_.size() >= settings_.max_connections ||
       (settings_.budget && !settings_.budget->room())) {
-    loop_.in(Duration(0), [done = std::move(done)] { done(Ended::withheld, {}); });
+    loop_.in(Duration(0), [done = std::move(done)] { done(CallResult::not_sent, {}); });
     return 0;
   }
   ++opened_;
@@ -243,7 +245,7 @@
   return id;
 }
 
-void Caller::cancel(Id id) {
+void ConnectionPool::cancel(Id id) {
   if (id == 0)
     return;
   for (auto& connection : connections_)
@@ -251,7 +253,7 @@
       return std::shared_ptr<Connection>(connection)->abandon();
 }
 
-bool Caller::recall(Id id) {
+bool ConnectionPool::recall(Id id) {
   if (id == 0)
     return false;
   for (auto& connection : connections_)
@@ -264,18 +266,18 @@
   return false;
 }
 
-void Caller::close_idle() {
+void ConnectionPool::close_idle() {
   auto idle = idle_;
   for (Connection* connection : idle)
-    connection->end(Ended::cancelled);
+    connection->end(CallResult::cancelled);
 }
 
-std::size_t Caller::busy() const {
+std::size_t ConnectionPool::busy() const {
   return static_cast<std::size_t>(
       std::count_if(connections_.begin(), connections_.end(), [](auto& c) { return c->busy(); }));
 }
 
-void Caller::remove(Connection* connection) {
+void ConnectionPool::remove(Connection* connection) {
   idle_.erase(std::remove(idle_.begin(), idle_.end(), connection), idle_.end());
   auto at = std::find_if(connections_.begin(), connections_.end(),
                          [&](auto& c) { return c.get() == connection; });
--- a/src/http/caller.h
+++ b/src/http/connection_pool.h
@@ -20,21 +20,29 @@
 // How a call ended. Only `answered` comes with a response. `unreached` means that not a byte of the
 // request left this process whole on an open connection, so that the peer can't have acted on it;
 // `withheld` the same where it was our own limits that left no connection for it.
-enum class Ended { answered, unreached, withheld, broken, garbled, timed_out, cancelled };
+enum class CallResult {
+  answered,
+  connect_failed,
+  not_sent,
+  connection_lost,
+  malformed,
+  timed_out,
+  cancelled
+};
 
 class Connection;
 
 // Connections that several callers have together at most. Where they have them all, the one that
 // has been idle for longest makes room.
-class Budget {
+class ConnectionBudget {
  public:
-  explicit Budget(std::size_t most) : most_(most) {}
-  Budget(const Budget&) = delete;
-  Budget& operator=(const Budget&) = delete;
+  explicit ConnectionBudget(std::size_t most) : most_(most) {}
+  ConnectionBudget(const ConnectionBudget&) = delete;
+  ConnectionBudget& operator=(const ConnectionBudget&) = delete;
 
  private:
   friend class Connection;
-  friend class Caller;
+  friend class ConnectionPool;
   struct Reuse {
     Duration idle;
     bool broke;
@@ -49,26 +57,27 @@
   std::list<Connection*> idle_{};  // the longest idle first
 };
 
-struct CallerSettings {
-  std::size_t most_connections = 64;
-  Duration connect_within = std::chrono::milliseconds(250);
-  Duration keep_for = std::chrono::seconds(30);  // an idle connection
-  Limits limits{};
-  std::shared_ptr<Budget> budget{};  // none: `most_connections` is the only bound
+struct ConnectionPoolSettings {
+  std::size_t max_connections = 64;
+  Duration connect_timeout = std::chrono::milliseconds(250);
+  Duration idle_timeout = std::chrono::seconds(30);  // an idle connection
+  MessageLimits limits{};
+  std::shared_ptr<ConnectionBudget> budget{};  // none: `most_connections` is the only bound
 };
 
-class Caller {
+class ConnectionPool {
  public:
-  using Done = std::function<void(Ended, Response&&)>;
+  using Done = std::function<void(CallResult, Response&&)>;
   // The last word on a request, when it is written: how much of its time is left by then.
   using Word = std::function<void(Request& request, Duration left)>;
   // Names a call for cancel(); 0 is none.
   using Id = std::uint64_t;
 
-  Caller(net::Loop& loop, Poco::Net::SocketAddress peer, const CallerSettings& settings);
-  ~Caller();  // cancels what is out, without a word
-  Caller(const Caller&) = delete;
-  Caller& operator=(const Caller&) = delete;
+  ConnectionPool(net::Loop& loop, Poco::Net::SocketAddress peer,
+                 const ConnectionPoolSettings& settings);
+  ~ConnectionPool();  // cancels what is out, without a word
+  ConnectionPool(const ConnectionPool&) = delete;
+  ConnectionPool& operator=(const ConnectionPool&) = delete;
 
   // `done` runs later, never from inside call(), and not after cancel().
   Id call(Request request, Duration within, Done done, Word word = {});
@@ -93,7 +102,7 @@
   net::Loop& loop_;
   Poco::Net::SocketAddress peer_;
   std::string host_;
-  CallerSettings settings_;
+  ConnectionPoolSettings settings_;
   std::vector<std::shared_ptr<Connection>> connections_{};
   std::vector<Connection*> idle_{};  // the last used at the end
   Id next_ = 1;
--- a/src/http/long_poll.cpp
+++ b/src/http/long_poll.cpp
@@ -16,11 +16,11 @@
 LongPoll::~LongPoll() {
   for (Waiting& one : waiting_) {
     loop_.cancel(one.timer);
-    one.asked.exchange->on_gone = nullptr;
+    one.query.exchange->on_disconnect = nullptr;
   }
 }
 
-LongPoll::Asked LongPoll::read(const ExchangePtr& exchange) {
+LongPoll::Query LongPoll::read(const ExchangePtr& exchange) {
   const Request& request = exchange->request;
   const auto wait = std::min<Duration>(
       most_wait, std::chrono::milliseconds(whole_or(request.query("wait_ms"), 0)));
@@ -28,11 +28,11 @@
           whole_or(request.query("since"), 0), wait};
 }
 
-void LongPoll::wait(Asked asked) {
-  waiting_.push_back({std::move(asked)});
+void LongPoll::wait(Query query) {
+  waiting_.push_back({std::move(query)});
   auto at = std::prev(waiting_.end());
-  at->timer = loop_.in(at->asked.wait, [this, at] { answer(at); });
-  at->asked.exchange->on_gone = [this, at] {
+  at->timer = loop_.in(at->query.wait, [this, at] { answer(at); });
+  at->query.exchange->on_disconnect = [this, at] {
     loop_.cancel(at->timer);
     waiting_.erase(at);
   };
@@ -40,10 +40,10 @@
 
 void LongPoll::answer(std::list<Waiting>::iterator at) {
   loop_.cancel(at->timer);
-  const Asked asked = std::move(at->asked);
-  asked.exchange->on_gone = nullptr;
+  const Query query = std::move(at->query);
+  query.exchange->on_disconnect = nullptr;
   waiting_.erase(at);
-  answer_(asked);
+  answer_(query);
 }
 
 // Those who wait now; one that asks again while others are answered waits for the next time.
--- a/src/http/long_poll.h
+++ b/src/http/long_poll.h
@@ -13,27 +13,27 @@
 
 class LongPoll {
  public:
-  struct Asked {
+  struct Query {
     ExchangePtr exchange;
     std::string proxy, series;
     std::int64_t since;
     Duration wait;  // zero: answered at once
   };
-  using Answer = std::function<void(const Asked&)>;
+  using Answer = std::function<void(const Query&)>;
 
   LongPoll(net::Loop& loop, Answer answer) : loop_(loop), answer_(std::move(answer)) {}
   ~LongPoll();
   LongPoll(const LongPoll&) = delete;
   LongPoll& operator=(const LongPoll&) = delete;
 
-  static Asked read(const ExchangePtr& exchange);
+  static Query read(const ExchangePtr& exchange);
   // Answers when woken, at the end of the wait, or never if the client leaves before.
-  void wait(Asked asked);
+  void wait(Query query);
   void wake();
 
  private:
   struct Waiting {
-    Asked asked;
+    Query query;
     net::Loop::Timer timer = net::Loop::no_timer;
   };
   void answer(std::list<Waiting>::iterator at);
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -40,7 +40,7 @@
   in.erase(0, at);
 }
 
-Fault fault_of(const Error& error) {
+ParseError parse_error_of(const Error& error) {
   if (error == beast::error::body_limit)
     return {413, "the body is larger than allowed"};
   if (error == beast::error::header_limit)
@@ -56,7 +56,7 @@
     to.add(view(field.name_string()), view(field.value()));
 }
 
-void put_headers(std::string& out, const Headers& headers) {
+void serialize_headers(std::string& out, const Headers& headers) {
   for (auto& [name, value] : headers.all()) {
     out += name;
     out += ": ";
@@ -65,13 +65,13 @@
   }
 }
 
-void put_status(std::string& out, const Response& response) {
+void serialize_status(std::string& out, const Response& response) {
   out += "HTTP/1.1 ";
   out += std::to_string(response.status);
   out += ' ';
   out += reason(response.status);
   out += "\r\n";
-  put_headers(out, response.headers);
+  serialize_headers(out, response.headers);
   if (!response.keep_alive)
     out += "Connection: close\r\n";
 }
@@ -82,7 +82,7 @@
 
 }  // namespace
 
-bool same_word(std::string_view a, std::string_view b) {
+bool equals_ignoring_case(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(), [](unsigned char x, unsigned char y) {
            return std::tolower(x) == std::tolower(y);
@@ -90,21 +90,22 @@
 }
 
 void Headers::set(std::string_view name, std::string_view value) {
-  all_.erase(
-      std::remove_if(all_.begin(), all_.end(), [&](auto& h) { return same_word(h.first, name); }),
-      all_.end());
+  all_.erase(std::remove_if(all_.begin(), all_.end(),
+                            [&](auto& h) { return equals_ignoring_case(h.first, name); }),
+             all_.end());
   add(name, value);
 }
 
 std::string_view Headers::get(std::string_view name) const {
   for (auto& [key, value] : all_)
-    if (same_word(key, name))
+    if (equals_ignoring_case(key, name))
       return value;
   return {};
 }
 
 bool Headers::has(std::string_view name) const {
-  return std::any_of(all_.begin(), all_.end(), [&](auto& h) { return same_word(h.first, name); });
+  return std::any_of(all_.begin(), all_.end(),
+                     [&](auto& h) { return equals_ignoring_case(h.first, name); });
 }
 
 std::string percent_decoded(std::string_view text) {
@@ -139,14 +140,14 @@
   return view(beast::obsolete_reason(beast::int_to_status(static_cast<unsigned>(status))));
 }
 
-void put(std::string& out, const Request& request, std::string_view host) {
+void serialize(std::string& out, const Request& request, std::string_view host) {
   out += request.method;
   out += ' ';
   out += request.target;
   out += " HTTP/1.1\r\nHost: ";
   out += host;
   out += "\r\n";
-  put_headers(out, request.headers);
+  serialize_headers(out, request.headers);
   if (!request.keep_alive)
     out += "Connection: close\r\n";
   if (!request.body.empty() || (request.method != "GET" && request.method != "HEAD"))
@@ -155,8 +156,8 @@
   out += request.body;
 }
 
-void put(std::string& out, const Response& response, bool head_only) {
-  put_status(out, response);
+void serialize(std::string& out, const Response& response, bool head_only) {
+  serialize_status(out, response);
   if (!bodiless(response.status))
     out += "Content-Length: " + std::to_string(response.body.size()) + "\r\n";
   out += "\r\n";
@@ -164,12 +165,12 @@
     out += response.body;
 }
 
-void put_head(std::string& out, const Response& response) {
-  put_status(out, response);
+void serialize_head(std::string& out, const Response& response) {
+  serialize_status(out, response);
   out += "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-void put_chunk(std::string& out, std::string_view piece) {
+void serialize_chunk(std::string& out, std::string_view piece) {
   if (piece.empty())
     return;
   char size[20];
@@ -179,7 +180,7 @@
   out += "\r\n";
 }
 
-void put_last_chunk(std::string& out) {
+void serialize_last_chunk(std::string& out) {
   out += "0\r\n\r\n";
 }
 
@@ -199,7 +200,7 @@
   std::string_view named = from.get("Connection");
   for (auto& [name, value] : from.all()) {
     bool skip = std::any_of(std::begin(hop), std::end(hop),
-                            [&, &key = name](auto h) { return same_word(h, key); });
+                            [&, &key = name](auto h) { return equals_ignoring_case(h, key); });
     // A field that Connection names belongs to the hop too.
     for (std::size_t at = 0; !skip && at < named.size();) {
       std::size_t end = std::min(named.find(',', at), named.size());
@@ -208,7 +209,7 @@
         word.remove_prefix(1);
       while (!word.empty() && word.back() == ' ')
         word.remove_suffix(1);
-      skip = same_word(word, name);
+      skip = equals_ignoring_case(word, name);
       at = end + 1;
     }
     if (!skip)
@@ -223,16 +224,16 @@
   bool begun = false, told_to_go_on = false;
 };
 
-RequestReader::RequestReader(Limits limits)
+RequestReader::RequestReader(MessageLimits limits)
     : limits_(limits), parser_(std::make_unique<Parser>()) {}
 RequestReader::~RequestReader() = default;
 bool RequestReader::begun() const {
   return parser_->begun;
 }
 
-Read RequestReader::read(std::string& in) {
-  if (fault_.status != 0)
-    return Read::bad;
+ParseResult RequestReader::read(std::string& in) {
+  if (error_.status != 0)
+    return ParseResult::invalid;
   auto& parser = parser_->of;
   if (!parser) {
     // Empty lines before a request are to be passed over (RFC 9112, 2.2).
@@ -241,27 +242,27 @@
       blank += 2;
     in.erase(0, blank);
     if (in.empty())
-      return Read::more;
+      return ParseResult::incomplete;
     parser.emplace();
-    parser->header_limit(static_cast<std::uint32_t>(limits_.header));
-    parser->body_limit(limits_.body);
+    parser->header_limit(static_cast<std::uint32_t>(limits_.max_header_bytes));
+    parser->body_limit(limits_.max_body_bytes);
     parser_->begun = true;
     parser_->told_to_go_on = false;
   }
   if (in.empty())
-    return Read::more;
+    return ParseResult::incomplete;
   Error error;
-  feed(*parser, in, limits_.body, error);
+  feed(*parser, in, limits_.max_body_bytes, error);
   if (error == beast::error::need_more) {
     // What the parser leaves is one line without its end, of the head or before a chunk: guards
     // against one that never ends.
-    if (in.size() <= limits_.header)
-      return Read::more;
+    if (in.size() <= limits_.max_header_bytes)
+      return ParseResult::incomplete;
     error = beast::error::header_limit;
   }
   if (error) {
-    fault_ = fault_of(error);
-    return Read::bad;
+    error_ = parse_error_of(error);
+    return ParseResult::invalid;
   }
   if (parser->is_header_done()) {
     // Guards against two readings of where a request ends (RFC 9112, 6.1): one could hide another
@@ -269,11 +270,11 @@
     auto& message = parser->get();
     if (message.count(beast::field::transfer_encoding) > 0 &&
         (!parser->chunked() || message.count(beast::field::content_length) > 0)) {
-      fault_ = {400, "where the body ends is not clear"};
-      return Read::bad;
+      error_ = {400, "where the body ends is not clear"};
+      return ParseResult::invalid;
     }
   }
-  return parser->is_done() ? Read::whole : Read::more;
+  return parser->is_done() ? ParseResult::complete : ParseResult::incomplete;
 }
 
 bool RequestReader::wants_continue() {
@@ -281,7 +282,8 @@
   if (!parser || parser_->told_to_go_on || !parser->is_header_done() || parser->is_done())
     return false;
   auto& message = parser->get();
-  if (message.version() < 11 || !same_word(view(message[beast::field::expect]), "100-continue"))
+  if (message.version() < 11 ||
+      !equals_ignoring_case(view(message[beast::field::expect]), "100-continue"))
     return false;
   return parser_->told_to_go_on = true;
 }
@@ -305,53 +307,53 @@
   std::optional<beast::response_parser<beast::string_body>> of{};
 };
 
-ResponseReader::ResponseReader(Limits limits)
+ResponseReader::ResponseReader(MessageLimits limits)
     : limits_(limits), parser_(std::make_unique<Parser>()) {}
 ResponseReader::~ResponseReader() = default;
 
 void ResponseReader::expect(bool head_only) {
   head_only_ = head_only;
   begun_ = false;
-  fault_ = {};
+  error_ = {};
   parser_->of.emplace();
-  parser_->of->header_limit(static_cast<std::uint32_t>(limits_.header));
-  parser_->of->body_limit(limits_.body);
+  parser_->of->header_limit(static_cast<std::uint32_t>(limits_.max_header_bytes));
+  parser_->of->body_limit(limits_.max_body_bytes);
   if (head_only)
     parser_->of->skip(true);
 }
 
-Read ResponseReader::read(std::string& in, bool ended) {
-  if (fault_.status != 0)
-    return Read::bad;
+ParseResult ResponseReader::read(std::string& in, bool ended) {
+  if (error_.status != 0)
+    return ParseResult::invalid;
   auto& parser = *parser_->of;
   Error error;
   if (!in.empty()) {
     begun_ = true;
-    feed(parser, in, limits_.body, error);
+    feed(parser, in, limits_.max_body_bytes, error);
     if (error == beast::error::need_more) {
       error = {};
-      if (in.size() > limits_.header)
+      if (in.size() > limits_.max_header_bytes)
         error = beast::error::header_limit;
     }
   }
   if (!error && ended && !parser.is_done())
     parser.put_eof(error);
   if (error) {
-    fault_ = fault_of(error);
-    return Read::bad;
+    error_ = parse_error_of(error);
+    return ParseResult::invalid;
   }
-  if (limits_.framed && parser.is_header_done() && parser.need_eof()) {
-    fault_ = {400, "an answer without a length"};
-    return Read::bad;
+  if (limits_.require_length && parser.is_header_done() && parser.need_eof()) {
+    error_ = {400, "an answer without a length"};
+    return ParseResult::invalid;
   }
   if (!parser.is_done())
-    return Read::more;
+    return ParseResult::incomplete;
   // An interim answer (100, 103) is not the answer.
   if (unsigned status = parser.get().result_int(); status >= 100 && status < 200 && status != 101) {
     expect(head_only_);
-    return in.empty() ? Read::more : read(in, ended);
+    return in.empty() ? ParseResult::incomplete : read(in, ended);
   }
-  return Read::whole;
+  return ParseResult::complete;
 }
 
 Response ResponseReader::take() {
@@ -371,8 +373,9 @@
   beast::response_parser<beast::string_body> of{};
 };
 
-StreamReader::StreamReader(Limits limits) : limits_(limits), parser_(std::make_unique<Parser>()) {
-  parser_->of.header_limit(static_cast<std::uint32_t>(limits.header));
+StreamReader::StreamReader(MessageLimits limits)
+    : limits_(limits), parser_(std::make_unique<Parser>()) {
+  parser_->of.header_limit(static_cast<std::uint32_t>(limits.max_header_bytes));
   // No limit on all pieces together; none at all would read as less than any length (Beast 1.74).
   parser_->of.body_limit(std::numeric_limits<std::uint64_t>::max());
 }
@@ -382,19 +385,19 @@
   return parser_->of.is_header_done() ? static_cast<int>(parser_->of.get().result_int()) : 0;
 }
 
-Read StreamReader::read(std::string& in) {
+ParseResult StreamReader::read(std::string& in) {
   Error error;
   if (!in.empty())
-    feed(parser_->of, in, limits_.body, error);
+    feed(parser_->of, in, limits_.max_body_bytes, error);
   if (error && error != beast::error::need_more)
-    return Read::bad;
-  if (in.size() > limits_.header)
-    return Read::bad;  // one line without its end
+    return ParseResult::invalid;
+  if (in.size() > limits_.max_header_bytes)
+    return ParseResult::invalid;  // one line without its end
   if (parser_->of.is_header_done()) {
     body_ += parser_->of.get().body();
     parser_->of.get().body().clear();
   }
-  return parser_->of.is_done() ? Read::whole : Read::more;
+  return parser_->of.is_done() ? ParseResult::complete : ParseResult::incomplete;
 }
 
 }  // namespace robinhoist::http
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -41,31 +41,31 @@
   bool keep_alive = true;
 };
 
-struct Limits {
-  std::size_t header = 16 * 1024, body = 1024 * 1024;  // bytes
-  bool framed =
+struct MessageLimits {
+  std::size_t max_header_bytes = 16 * 1024, max_body_bytes = 1024 * 1024;  // bytes
+  bool require_length =
       false;  // an answer whose end is only the connection's is none: it can't be told from a part
 };
 
 std::string_view reason(int status);
-bool same_word(std::string_view a, std::string_view b);  // whatever the case
+bool equals_ignoring_case(std::string_view a, std::string_view b);  // whatever the case
 std::string percent_decoded(std::string_view text);
 
 // Appends a message; the length is stated unless the status has no body.
-void put(std::string& out, const Request& request, std::string_view host);
-void put(std::string& out, const Response& response, bool head_only);
+void serialize(std::string& out, const Request& request, std::string_view host);
+void serialize(std::string& out, const Response& response, bool head_only);
 // Chunked: a head first, then each piece, then the end.
-void put_head(std::string& out, const Response& response);
-void put_chunk(std::string& out, std::string_view piece);
-void put_last_chunk(std::string& out);
+void serialize_head(std::string& out, const Response& response);
+void serialize_chunk(std::string& out, std::string_view piece);
+void serialize_last_chunk(std::string& out);
 
 // Copies what belongs to the message itself and not to the hop (RFC 9110, 7.6.1).
 void copy_end_to_end(const Headers& from, Headers& to);
 
-enum class Read { more, whole, bad };
+enum class ParseResult { incomplete, complete, invalid };
 
 // What is wrong with what a peer sent, and the status that tells it so.
-struct Fault {
+struct ParseError {
   int status = 0;
   std::string why{};
 };
@@ -73,53 +73,53 @@
 // Reads one request after another from a buffer whose front it consumes.
 class RequestReader {
  public:
-  explicit RequestReader(Limits limits);
+  explicit RequestReader(MessageLimits limits);
   ~RequestReader();
   // After `whole`, take() gives the request and the next read() begins another.
-  Read read(std::string& in);
+  ParseResult read(std::string& in);
   Request take();
-  const Fault& fault() const { return fault_; }
+  const ParseError& error() const { return error_; }
   bool begun() const;     // some of a message has come
   bool wants_continue();  // true once, when the head asks to be told to go on
  private:
   struct Parser;
-  Limits limits_;
+  MessageLimits limits_;
   std::unique_ptr<Parser> parser_;
-  Fault fault_{};
+  ParseError error_{};
 };
 
 class ResponseReader {
  public:
-  explicit ResponseReader(Limits limits);
+  explicit ResponseReader(MessageLimits limits);
   ~ResponseReader();
   // Before each answer; the answer to a HEAD has no body.
   void expect(bool head_only);
   // `ended`: the peer has closed, which ends an answer without a length.
-  Read read(std::string& in, bool ended = false);
+  ParseResult read(std::string& in, bool ended = false);
   Response take();
-  const Fault& fault() const { return fault_; }
+  const ParseError& error() const { return error_; }
   bool begun() const { return begun_; }  // some of the answer has come
 
  private:
   struct Parser;
-  Limits limits_;
+  MessageLimits limits_;
   std::unique_ptr<Parser> parser_;
-  Fault fault_{};
+  ParseError error_{};
   bool begun_ = false, head_only_ = false;
 };
 
 // Reads chunks of an endless answer (a watch) as they come: bytes of body, not messages.
 class StreamReader {
  public:
-  explicit StreamReader(Limits limits);
+  explicit StreamReader(MessageLimits limits);
   ~StreamReader();
-  Read read(std::string& in);  // `whole` at the end
-  int status() const;          // 0 before the head
+  ParseResult read(std::string& in);  // `whole` at the end
+  int status() const;                 // 0 before the head
   std::string& body() { return body_; }
 
  private:
   struct Parser;
-  Limits limits_;
+  MessageLimits limits_;
   std::unique_ptr<Parser> parser_;
   std::string body_{};
 };
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -26,8 +26,8 @@
 
   void start() {
     since_ = server_->loop_.now();
-    const Duration first = server_->settings_.first_within;
-    wait(first > Duration{} ? first : server_->settings_.idle_for);
+    const Duration first = server_->settings_.first_request_timeout;
+    wait(first > Duration{} ? first : server_->settings_.idle_timeout);
   }
 
   // What closing it would cost, the least first.
@@ -60,14 +60,14 @@
     if (server_ && server_->leaving())
       close_if_idle();
   }
-  void on_closed(net::Stream&, net::Closed) override { leave(); }
+  void on_closed(net::Stream&, net::CloseReason) override { leave(); }
 
   void answer(Response response) {
     if (!server_)
       return;
     response.keep_alive = response.keep_alive && keep_alive_ && !server_->leaving();
     std::string out;  // not kept: answers may be large, and clients many
-    put(out, response, head_only_);
+    serialize(out, response, head_only_);
     const bool keep = response.keep_alive;
     response = {};
     stream_->write(out);
@@ -78,7 +78,7 @@
     if (!server_)
       return;
     out_.clear();
-    put_head(out_, head);
+    serialize_head(out_, head);
     stream_->write(out_);
   }
 
@@ -86,7 +86,7 @@
     if (!server_)
       return false;
     out_.clear();
-    put_chunk(out_, bytes);
+    serialize_chunk(out_, bytes);
     stream_->write(out_);
     return stream_->unwritten() <= server_->settings_.stream_backlog;
   }
@@ -95,8 +95,8 @@
     if (!server_)
       return;
     out_.clear();
-    put_chunk(out_, bytes);
-    put_last_chunk(out_);
+    serialize_chunk(out_, bytes);
+    serialize_last_chunk(out_);
     stream_->write(out_);
     after(keep_alive_ && !server_->leaving());
   }
@@ -137,8 +137,8 @@
   void gone() {
     auto exchange = open_;
     open_ = nullptr;
-    if (exchange && exchange->on_gone)
-      exchange->on_gone();
+    if (exchange && exchange->on_disconnect)
+      exchange->on_disconnect();
   }
 
   void after(bool keep) {
@@ -149,11 +149,11 @@
       // A client that does not read its last answer, or does not end its side, is not waited for
       // without end.
       since_ = server_->loop_.now();
-      wait(stream_->unwritten() > 0 ? server_->settings_.head_within : lingers);
+      wait(stream_->unwritten() > 0 ? server_->settings_.request_timeout : lingers);
       return;
     }
     since_ = server_->loop_.now();
-    wait(server_->settings_.idle_for);
+    wait(server_->settings_.idle_timeout);
     if (in_handler_)
       return;
     stream_->read(true);
@@ -164,7 +164,7 @@
   void refuse(int status, const std::string& why) {
     keep_alive_ = false;
     head_only_ = false;
-    Response response = text_answer(status, why + "\n");
+    Response response = text_response(status, why + "\n");
     response.keep_alive = false;
     answer(std::move(response));
   }
@@ -176,15 +176,15 @@
       if (stream_->unwritten() > server_->settings_.stream_backlog)
         return stream_->read(false);
       const bool had_begun = reader_.begun();
-      Read read = reader_.read(stream_->in());
-      if (read == Read::bad)
-        return refuse(reader_.fault().status, reader_.fault().why);
+      ParseResult read = reader_.read(stream_->in());
+      if (read == ParseResult::invalid)
+        return refuse(reader_.error().status, reader_.error().why);
       if (reader_.wants_continue())
         stream_->write("HTTP/1.1 100 Continue\r\n\r\n");
-      if (read == Read::more) {
+      if (read == ParseResult::incomplete) {
         if (reader_.begun() && !had_begun &&
-            !(first_ && server_->settings_.first_within > Duration{}))
-          wait(server_->settings_.head_within);
+            !(first_ && server_->settings_.first_request_timeout > Duration{}))
+          wait(server_->settings_.request_timeout);
         return stream_->read(true);
       }
       Request request = reader_.take();
@@ -198,7 +198,7 @@
       server_->handler_(ExchangePtr(open_));
       in_handler_ = false;
     }
-    if (server_ && open_ && stream_->in().size() > server_->settings_.limits.header) {
+    if (server_ && open_ && stream_->in().size() > server_->settings_.limits.max_header_bytes) {
       stream_->read(false);
       watch_gone();
     }
@@ -244,7 +244,7 @@
     return;
   if (auto client = client_.lock()) {
     answered_ = true;
-    client->answer(text_answer(500, "the request got lost inside\n"));
+    client->answer(text_response(500, "the request got lost inside\n"));
   }
 }
 
@@ -256,7 +256,7 @@
     client->answer(std::move(response));
 }
 
-void Exchange::hang_up() {
+void Exchange::abort_connection() {
   if (answered_ && !streaming_)
     return;
   answered_ = true;
@@ -302,7 +302,7 @@
 }
 
 void Server::accepted(int fd) {
-  if (draining_ || (clients_.size() >= settings_.most_clients && !room())) {
+  if (draining_ || (clients_.size() >= settings_.max_clients && !room())) {
     ++refused_;
     ::close(fd);
     return;
@@ -313,10 +313,9 @@
 }
 
 bool Server::room() {
-  if (!settings_.make_room)
+  if (!settings_.evict_idle)
     return false;
-  for (int tries = 0; tries < tries_for_room && clients_.size() >= settings_.most_clients;
-       ++tries) {
+  for (int tries = 0; tries < tries_for_room && clients_.size() >= settings_.max_clients; ++tries) {
     std::shared_ptr<Client> first;
     std::optional<std::pair<Client::Spare, TimePoint>> least;
     for (auto& client : clients_)
@@ -326,7 +325,7 @@
       return false;
     first->make_way();
   }
-  return clients_.size() < settings_.most_clients;
+  return clients_.size() < settings_.max_clients;
 }
 
 void Server::retire() {
@@ -355,7 +354,7 @@
     client->leave(true);
 }
 
-Response text_answer(int status, std::string_view text) {
+Response text_response(int status, std::string_view text) {
   Response response;
   response.status = status;
   response.headers.add("Content-Type", "text/plain; charset=utf-8");
@@ -363,7 +362,7 @@
   return response;
 }
 
-Response json_answer(int status, std::string body) {
+Response json_response(int status, std::string body) {
   Response response;
   response.status = status;
   response.headers.add("Content-Type", "application/json");
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -15,13 +15,14 @@
 
 struct ServerSettings {
   std::string listen{"127.0.0.1:0"};
-  Limits limits{};
-  std::size_t most_clients = 10000;
-  Duration head_within = std::chrono::seconds(10);  // for a request to have come whole, once begun
-  Duration idle_for = std::chrono::seconds(60);     // between two requests
-  Duration
-      first_within{};  // for the first to have come whole since the connection; 0: as any other
-  bool make_room =
+  MessageLimits limits{};
+  std::size_t max_clients = 10000;
+  Duration request_timeout =
+      std::chrono::seconds(10);                      // for a request to have come whole, once begun
+  Duration idle_timeout = std::chrono::seconds(60);  // between two requests
+  Duration first_request_timeout{};  // for the first to have come whole since the connection; 0: as
+                                     // any other
+  bool evict_idle =
       false;  // at the most, the client that has been idle for longest makes room for another
   std::size_t stream_backlog = 256 * 1024;  // bytes unread by a client of a stream before it is cut
 };
@@ -38,7 +39,7 @@
   ~Exchange();
   void answer(Response response);
   // Closes the connection without an answer, as one that broke.
-  void hang_up();
+  void abort_connection();
   // A stream of pieces in place of one answer; ends with end() or when the client goes or reads too
   // slowly.
   void begin_stream(Response head);
@@ -51,8 +52,8 @@
   Request request;
   TimePoint at;  // when it had come whole
   std::function<void()>
-      on_gone{};       // the client has left before the answer, or the stream has ended
-  bool first = false;  // the first on its connection
+      on_disconnect{};  // the client has left before the answer, or the stream has ended
+  bool first = false;   // the first on its connection
 
  private:
   friend class Client;
@@ -78,7 +79,7 @@
   // Takes none for a while, or again.
   void pause(bool on) { listener_->pause(on); }
   // From here on takes no more clients than this.
-  void most(std::size_t clients) { settings_.most_clients = clients; }
+  void most(std::size_t clients) { settings_.max_clients = clients; }
   // Closes clients without an open request until so many are left, as far as there are such.
   void close_idle(std::size_t left);
   // Breaks every connection at once.
@@ -99,7 +100,7 @@
 };
 
 // Plain answers that every part gives alike.
-Response text_answer(int status, std::string_view text);
-Response json_answer(int status, std::string body);
+Response text_response(int status, std::string_view text);
+Response json_response(int status, std::string body);
 
 }  // namespace robinhoist::http
--- a/src/http/stream_caller.cpp
+++ b/src/http/stream_client.cpp
@@ -1,35 +1,36 @@
-#include "http/stream_caller.h"
+#include "http/stream_client.h"
 
 #include <utility>
 
 namespace robinhoist::http {
 
-StreamCaller::StreamCaller(net::Loop& loop, Poco::Net::SocketAddress peer, Limits limits)
+StreamClient::StreamClient(net::Loop& loop, Poco::Net::SocketAddress peer, MessageLimits limits)
     : loop_(loop), peer_(std::move(peer)), host_(peer_.toString()), limits_(limits) {}
 
-StreamCaller::~StreamCaller() {
+StreamClient::~StreamClient() {
   stop();
 }
 
-void StreamCaller::start(const Request& request, const Silence& silence, Piece piece, Ended ended) {
+void StreamClient::start(const Request& request, const SilenceLimits& silence, OnData piece,
+                         Ended ended) {
   stop();
   reader_ = std::make_unique<StreamReader>(limits_);
   piece_ = std::move(piece);
   ended_ = std::move(ended);
   silent_most_ = silence.most;
   out_.clear();
-  put(out_, request, host_);
+  serialize(out_, request, host_);
   watch_silence(silence.first);
   stream_ = net::Stream::connect(loop_, peer_, *this);
 }
 
-void StreamCaller::stop() {
+void StreamClient::stop() {
   loop_.cancel(timer_);
   if (auto stream = std::exchange(stream_, nullptr))
     stream->drop();
 }
 
-void StreamCaller::watch_silence(Duration most) {
+void StreamClient::watch_silence(Duration most) {
   loop_.cancel(timer_);
   timer_ = loop_.in(most, [this] {
     timer_ = net::Loop::no_timer;
@@ -37,14 +38,14 @@
   });
 }
 
-void StreamCaller::on_open(net::Stream& stream) {
+void StreamClient::on_open(net::Stream& stream) {
   stream.write(out_);
 }
 
-void StreamCaller::on_bytes(net::Stream& stream) {
+void StreamClient::on_bytes(net::Stream& stream) {
   auto keep = stream_;
-  const Read read = reader_->read(stream.in());
-  if (read == Read::bad)
+  const ParseResult read = reader_->read(stream.in());
+  if (read == ParseResult::invalid)
     return end();
   if (reader_->status() == 200) {
     const bool alive = piece_(reader_->body());
@@ -54,17 +55,17 @@
       watch_silence(silent_most_);
   }
   // What is neither taken nor ever ends is no stream of events.
-  if (reader_->body().size() > limits_.body)
+  if (reader_->body().size() > limits_.max_body_bytes)
     return end();
-  if (read == Read::whole)
+  if (read == ParseResult::complete)
     end();
 }
 
-void StreamCaller::on_closed(net::Stream&, net::Closed) {
+void StreamClient::on_closed(net::Stream&, net::CloseReason) {
   end();
 }
 
-void StreamCaller::end() {
+void StreamClient::end() {
   const int status = reader_->status();
   const std::string body = std::move(reader_->body());
   stop();
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -142,7 +142,7 @@
   to.canary_quota = canary_quota_settings(info);
   to.analysis = analysis_settings(object, info);
   const Json& bounds = inner(object, "bounds");
-  to.connect_within = span(number_or(bounds, "connect_timeout_ms", 0));
+  to.connect_timeout = span(number_or(bounds, "connect_timeout_ms", 0));
   to.keep_idle = span(number_or(bounds, "keepalive_ms", 0));
   if (present(object, "failure_domains"))
     for (const Json& zone : array(object, "failure_domains").GetArray()) {
--- a/src/module_settings/module_settings.h
+++ b/src/module_settings/module_settings.h
@@ -20,7 +20,7 @@
   AnalysisSettings analysis{};
   RequestSettings requests{};
   std::vector<std::string> request_classes{}, tenants{}, zones{};  // by index
-  Duration connect_within{},
+  Duration connect_timeout{},
       keep_idle{};  // for a connection to come up; an idle one is closed by its endpoint
 
   int request_class(std::string_view name) const { return index(request_classes, name); }
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -37,28 +37,29 @@
   return std::chrono::time_point_cast<Duration>(std::chrono::system_clock::now());
 }
 
-Watched::Watched(Loop& loop, int fd, std::function<void()> readable)
+FdWatcher::FdWatcher(Loop& loop, int fd, std::function<void()> readable)
     : loop_(loop), socket_(new Poco::Net::StreamSocketImpl(fd)), readable_(std::move(readable)) {
   listen(true);
 }
 
-Watched::~Watched() {
+FdWatcher::~FdWatcher() {
   listen(false);
   socket_.close();
 }
 
-void Watched::listen(bool on) {
+void FdWatcher::listen(bool on) {
   if (on == on_)
     return;
   on_ = on;
-  Poco::Observer<Watched, Poco::Net::ReadableNotification> observer(*this, &Watched::on_readable);
+  Poco::Observer<FdWatcher, Poco::Net::ReadableNotification> observer(*this,
+                                                                      &FdWatcher::on_readable);
   if (on)
     loop_.addEventHandler(socket_, observer);
   else
     loop_.removeEventHandler(socket_, observer);
 }
 
-void Watched::on_readable(Poco::Net::ReadableNotification* notice) {
+void FdWatcher::on_readable(Poco::Net::ReadableNotification* notice) {
   notice->release();
   readable_();
 }
@@ -70,8 +71,8 @@
   if (timer_fd_ < 0 || event_fd_ < 0)
     throw std::runtime_error("no file descriptor left for the event loop");
   setTimeout(Poco::Timespan(3600, 0));
-  timer_ = std::make_unique<Watched>(*this, timer_fd_, [this] { on_timer(); });
-  event_ = std::make_unique<Watched>(*this, event_fd_, [this] { on_posted(); });
+  timer_ = std::make_unique<FdWatcher>(*this, timer_fd_, [this] { on_timer(); });
+  event_ = std::make_unique<FdWatcher>(*this, event_fd_, [this] { on_posted(); });
 }
 
 Loop::~Loop() = default;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -30,12 +30,12 @@
 class Loop;
 
 // Something with a file descriptor that the loop reads; the callback runs whenever it is readable.
-class Watched {
+class FdWatcher {
  public:
-  Watched(Loop& loop, int fd, std::function<void()> readable);
-  ~Watched();
-  Watched(const Watched&) = delete;
-  Watched& operator=(const Watched&) = delete;
+  FdWatcher(Loop& loop, int fd, std::function<void()> readable);
+  ~FdWatcher();
+  FdWatcher(const FdWatcher&) = delete;
+  FdWatcher& operator=(const FdWatcher&) = delete;
   // Off: the descriptor stays open, but nothing is heard of it.
   void listen(bool on);
 
@@ -91,7 +91,7 @@
   std::vector<Task> posted_{};
   std::vector<std::int32_t> lateness_{};
   std::size_t lateness_at_ = 0;
-  std::unique_ptr<Watched> timer_, event_;
+  std::unique_ptr<FdWatcher> timer_, event_;
 };
 
 // Timers that end with whoever set them: guards against a task that runs on an object that is gone.
--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -18,7 +18,7 @@
   fd_ = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
   if (fd_ < 0)
     throw std::runtime_error("no file descriptor left for signals");
-  watched_ = std::make_unique<Watched>(loop, fd_, [this] {
+  watched_ = std::make_unique<FdWatcher>(loop, fd_, [this] {
     signalfd_siginfo info{};
     if (::read(fd_, &info, sizeof info) == sizeof info)
       came_(static_cast<int>(info.ssi_signo));
--- a/src/net/signals.h
+++ b/src/net/signals.h
@@ -15,7 +15,7 @@
  private:
   int fd_;
   std::function<void(int)> came_;
-  std::unique_ptr<Watched> watched_{};
+  std::unique_ptr<FdWatcher> watched_{};
 };
 
 }  // namespace robinhoist::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -49,7 +49,7 @@
     // Told later like any other refusal, so that callers need no second path.
     loop.in(Duration(0), [stream] {
       if (stream->owner_)
-        stream->close(Closed::refused);
+        stream->close(CloseReason::refused);
     });
     return stream;
   }
@@ -139,7 +139,7 @@
   state_ = State::closed;
 }
 
-void Stream::close(Closed how) {
+void Stream::close(CloseReason how) {
   if (state_ == State::closed && !owner_)
     return;
   auto self = shared_from_this();
@@ -174,7 +174,7 @@
 void Stream::end_sending() {
   ::shutdown(socket_.impl()->sockfd(), SHUT_WR);
   if (peer_done_)
-    close(Closed::by_us);
+    close(CloseReason::local);
 }
 
 void Stream::write(std::string_view bytes) {
@@ -246,9 +246,9 @@
     if (in_.empty() && in_.capacity() > kept_at_most)
       std::string().swap(in_);
   } else if (got == 0) {
-    close(finishing_ ? Closed::by_us : Closed::by_peer);
+    close(finishing_ ? CloseReason::local : CloseReason::by_peer);
   } else if (!would_block()) {
-    close(Closed::reset);
+    close(CloseReason::reset);
   }
 }
 
@@ -260,7 +260,7 @@
     socklen_t length = sizeof error;
     ::getsockopt(socket_.impl()->sockfd(), SOL_SOCKET, SO_ERROR, &error, &length);
     if (error != 0)
-      return close(Closed::refused);
+      return close(CloseReason::refused);
     state_ = State::open;
     want_read(wanted_);
     if (owner_)
@@ -269,7 +269,7 @@
       return;
   }
   if (!flush())
-    return close(Closed::reset);
+    return close(CloseReason::reset);
   if (unwritten() > 0)
     return;
   want_write(false);
@@ -283,11 +283,11 @@
   notice->release();
   auto self = shared_from_this();
   if (state_ == State::connecting)
-    return close(Closed::refused);
+    return close(CloseReason::refused);
   // What came before the error is still to be read; reading meets the error after it.
   if (reading_)
     return;
-  close(Closed::reset);
+  close(CloseReason::reset);
 }
 
 Listener::Listener(Loop& loop, const std::string& address, std::function<void(int)> accepted)
@@ -311,7 +311,7 @@
   socklen_t length = sizeof bound;
   ::getsockname(fd_, reinterpret_cast<sockaddr*>(&bound), &length);
   port_ = Poco::Net::SocketAddress(reinterpret_cast<sockaddr*>(&bound), length).port();
-  watched_ = std::make_unique<Watched>(loop_, fd_, [this] { on_readable(); });
+  watched_ = std::make_unique<FdWatcher>(loop_, fd_, [this] { on_readable(); });
 }
 
 Listener::~Listener() {
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -12,7 +12,7 @@
 
 namespace robinhoist::net {
 
-enum class Closed { by_peer, reset, refused, by_us };
+enum class CloseReason { by_peer, reset, refused, local };
 
 class Stream : public std::enable_shared_from_this<Stream> {
  public:
@@ -22,7 +22,7 @@
     virtual void on_open(Stream&) {}
     virtual void on_bytes(Stream&) = 0;  // stream.in() has grown
     virtual void on_written(Stream&) {}  // all that was to be written is with the kernel
-    virtual void on_closed(Stream&, Closed how) = 0;
+    virtual void on_closed(Stream&, CloseReason how) = 0;
   };
 
   static std::shared_ptr<Stream> connect(Loop& loop, const Poco::Net::SocketAddress& to,
@@ -61,7 +61,7 @@
   void want_write(bool on);
   void watch_anew();
   bool flush();
-  void close(Closed how);
+  void close(CloseReason how);
   void leave_loop();
   void begin();
   void end_sending();
@@ -100,7 +100,7 @@
   int fd_ = -1, port_ = 0;
   bool paused_ = false;
   std::function<void(int)> accepted_;
-  std::unique_ptr<Watched> watched_{};
+  std::unique_ptr<FdWatcher> watched_{};
   Loop::Timer again_ = Loop::no_timer;
   long starved_ = 0;
 };
--- a/src/platform/process.cpp
+++ b/src/platform/process.cpp
@@ -21,7 +21,7 @@
 // Endpoints' answers are larger than the protocol says (400 KB were seen), so they are bounded by
 // the memory: this many at once, each with its copies on the way through.
 constexpr double answers_held = 96;
-constexpr Duration first_within = 2s, request_within = 2s, idle_for = 5s;
+constexpr Duration first_request_timeout = 2s, request_within = 2s, idle_timeout = 5s;
 constexpr Duration restart_window =
     600ms;  // new connections may still come for so long after SIGTERM
 constexpr Duration figures_every = 5s;
@@ -35,20 +35,22 @@
   const auto sockets = static_cast<std::size_t>(config.limits.sockets - own_sockets);
   const std::size_t clients = sockets * 45 / 100;
   to.server.listen = config.listen;
-  to.server.limits = {.header = most_head, .body = most_body};
-  to.server.most_clients = clients;
-  to.server.make_room = true;
-  to.server.head_within = request_within;
-  to.server.first_within = first_within;
-  to.server.idle_for = idle_for;
+  to.server.limits = {.max_header_bytes = most_head, .max_body_bytes = most_body};
+  to.server.max_clients = clients;
+  to.server.evict_idle = true;
+  to.server.request_timeout = request_within;
+  to.server.first_request_timeout = first_request_timeout;
+  to.server.idle_timeout = idle_timeout;
   const std::size_t answer = std::max<std::size_t>(
       most_body, static_cast<std::size_t>(config.limits.memory_mb * 1024 * 1024 / answers_held));
   to.server.stream_backlog = answer;
-  to.endpoint.most_connections = sockets - clients;
-  to.endpoint.budget = std::make_shared<http::Budget>(sockets - clients);
-  to.endpoint.connect_within = config.module_settings.connect_within;
-  to.endpoint.keep_for = config.module_settings.keep_idle * 4 / 5;  // before the endpoint closes it
-  to.endpoint.limits = {.header = most_head, .body = answer, .framed = true};
+  to.endpoint.max_connections = sockets - clients;
+  to.endpoint.budget = std::make_shared<http::ConnectionBudget>(sockets - clients);
+  to.endpoint.connect_timeout = config.module_settings.connect_timeout;
+  to.endpoint.idle_timeout =
+      config.module_settings.keep_idle * 4 / 5;  // before the endpoint closes it
+  to.endpoint.limits = {
+      .max_header_bytes = most_head, .max_body_bytes = answer, .require_length = true};
   return to;
 }
 
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -21,7 +21,7 @@
 std::optional<std::string_view> only(const http::Headers& headers, std::string_view name) {
   std::optional<std::string_view> found;
   for (auto& [key, value] : headers.all())
-    if (http::same_word(key, name)) {
+    if (http::equals_ignoring_case(key, name)) {
       if (found)
         return {};
       found = value;
@@ -71,9 +71,9 @@
   if (request.path() != "/up")
     return {};
   if (request.method != "GET")
-    return http::text_answer(405, "ask by GET\n");
-  return routes ? http::text_answer(200, "routes\n")
-                : http::text_answer(503, "knows no nodes yet\n");
+    return http::text_response(405, "ask by GET\n");
+  return routes ? http::text_response(200, "routes\n")
+                : http::text_response(503, "knows no nodes yet\n");
 }
 
 proxy::ParsedRequest PlatformProtocol::read(http::Exchange& exchange, int request_id) const {
@@ -136,7 +136,7 @@
   onward.headers.set(time_header, std::to_string(std::max<long>(1, within.count())) + "u");
 }
 
-proxy::AttemptResult PlatformProtocol::classify(http::Ended how,
+proxy::AttemptResult PlatformProtocol::classify(http::CallResult how,
                                                 const http::Response& response) const {
   const bool turned_away = (response.status == 503 || response.status == 504) &&
                            response.headers.get(not_run_header) == "1";
@@ -154,7 +154,7 @@
 }
 
 http::Response PlatformProtocol::rejected_before_routing(const proxy::Rejection& rejection) const {
-  http::Response response = http::text_answer(rejection.status, rejection.why + "\n");
+  http::Response response = http::text_response(rejection.status, rejection.why + "\n");
   response.keep_alive = false;
   return response;
 }
@@ -164,7 +164,7 @@
   http::Headers headers;
   http::copy_end_to_end(from.headers, headers);
   for (auto& [name, value] : headers.all())
-    if (!http::same_word(name, load_header))
+    if (!http::equals_ignoring_case(name, load_header))
       passed.headers.add(name, value);
   passed.body = std::move(from.body);
   return passed;
@@ -172,7 +172,7 @@
 
 http::Response PlatformProtocol::rejected(Duration pause, const std::string& why) const {
   http::Response response =
-      http::text_answer(503, "declined, it is safe to try again: " + why + "\n");
+      http::text_response(503, "declined, it is safe to try again: " + why + "\n");
   if (pause > Duration{}) {
     char text[32];
     std::snprintf(text, sizeof text, "%.3f", to_seconds(pause));
@@ -182,7 +182,8 @@
 }
 
 http::Response PlatformProtocol::failed(bool late, const std::string& why) const {
-  return http::text_answer(late ? 504 : 502, "voided, it may have been carried out: " + why + "\n");
+  return http::text_response(late ? 504 : 502,
+                             "voided, it may have been carried out: " + why + "\n");
 }
 
 }  // namespace robinhoist::platform
--- a/src/platform/protocol.h
+++ b/src/platform/protocol.h
@@ -16,7 +16,8 @@
                                                bool routes) const override;
   proxy::ParsedRequest read(http::Exchange& exchange, int request_id) const override;
   void prepare_attempt(http::Request& onward, std::size_t number, Duration within) const override;
-  proxy::AttemptResult classify(http::Ended how, const http::Response& response) const override;
+  proxy::AttemptResult classify(http::CallResult how,
+                                const http::Response& response) const override;
   http::Response rejected_before_routing(const proxy::Rejection& rejection) const override;
   http::Response succeeded(http::Response&& from, const std::string& endpoint,
                            int build) const override;
--- a/src/platform/sources.cpp
+++ b/src/platform/sources.cpp
@@ -22,15 +22,15 @@
 // Two words of one state differ by the way they took.
 constexpr Duration same_state = 100ms;
 
-http::Limits api_limits() {
-  return {.header = 8 * 1024, .body = longest_object, .framed = true};
+http::MessageLimits api_limits() {
+  return {.max_header_bytes = 8 * 1024, .max_body_bytes = longest_object, .require_length = true};
 }
 
-http::CallerSettings for_votes() {
-  http::CallerSettings settings;
-  settings.most_connections = votes_at_once;
-  settings.connect_within = 1s;
-  settings.keep_for = 0s;  // votes are rare, and the platform closes what stands idle
+http::ConnectionPoolSettings for_votes() {
+  http::ConnectionPoolSettings settings;
+  settings.max_connections = votes_at_once;
+  settings.connect_timeout = 1s;
+  settings.idle_timeout = 0s;  // votes are rare, and the platform closes what stands idle
   settings.limits = api_limits();
   return settings;
 }
@@ -105,7 +105,7 @@
   http::Request request;
   request.target = target_();
   stream_ =
-      std::make_unique<http::StreamCaller>(loop_, Poco::Net::SocketAddress(address_), api_limits());
+      std::make_unique<http::StreamClient>(loop_, Poco::Net::SocketAddress(address_), api_limits());
   framer_ = json::Framer(longest_object);
   stream_->start(
       request, settings_.silence, [this](std::string& body) { return take(body); },
@@ -198,7 +198,8 @@
       vote_within_(vote_within),
       known_(known),
       known_from_(loop.now() - known.since),
-      caller_(std::make_unique<http::Caller>(loop, Poco::Net::SocketAddress(address), for_votes())),
+      caller_(std::make_unique<http::ConnectionPool>(loop, Poco::Net::SocketAddress(address),
+                                                     for_votes())),
       watch_(loop, address, watching(salt), log) {}
 
 void ReleaseApi::start(Heard heard) {
@@ -249,10 +250,10 @@
                      .close()
                      .text();
   caller_->call(request, vote_within_,
-                [this, answered](http::Ended how, http::Response&& response) {
-                  if (how == http::Ended::unreached || how == http::Ended::withheld)
+                [this, answered](http::CallResult how, http::Response&& response) {
+                  if (how == http::CallResult::connect_failed || how == http::CallResult::not_sent)
                     return answered(Outcome::connect_failure);
-                  if (how != http::Ended::answered)
+                  if (how != http::CallResult::answered)
                     return answered(Outcome::timeout);
                   if (response.status == 409)
                     return answered(Outcome::obsolete);
@@ -279,7 +280,8 @@
       std::remove_if(leaving_.begin(), leaving_.end(), [](auto& c) { return c->busy() == 0; }),
       leaving_.end());
   leaving_.push_back(std::move(caller_));
-  caller_ = std::make_unique<http::Caller>(loop_, Poco::Net::SocketAddress(address), for_votes());
+  caller_ =
+      std::make_unique<http::ConnectionPool>(loop_, Poco::Net::SocketAddress(address), for_votes());
 }
 
 }  // namespace robinhoist::platform
--- a/src/platform/sources.h
+++ b/src/platform/sources.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "http/caller.h"
-#include "http/stream_caller.h"
+#include "http/connection_pool.h"
+#include "http/stream_client.h"
 #include "json/framing.h"
 #include "log/log.h"
 #include "platform/config.h"
@@ -24,7 +24,7 @@
  public:
   struct Settings {
     std::string what{};  // for the log
-    http::StreamCaller::Silence silence{};
+    http::StreamClient::SilenceLimits silence{};
     Duration pause_most{};
     unsigned salt = 1;
   };
@@ -47,7 +47,7 @@
   std::string address_;
   Settings settings_;
   const log::Log& log_;
-  std::unique_ptr<http::StreamCaller> stream_{};
+  std::unique_ptr<http::StreamClient> stream_{};
   retry::Backoff backoff_;
   Target target_{};
   Event event_{};
@@ -96,8 +96,9 @@
   Duration vote_within_;
   ReleaseUpdate known_;
   TimePoint known_from_;  // when it came to stand so
-  std::unique_ptr<http::Caller> caller_;
-  std::vector<std::unique_ptr<http::Caller>> leaving_{};  // with votes out to an address given up
+  std::unique_ptr<http::ConnectionPool> caller_;
+  std::vector<std::unique_ptr<http::ConnectionPool>>
+      leaving_{};  // with votes out to an address given up
   Watch watch_;
   Heard heard_{};
   Flagged flagged_{};
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -106,7 +106,7 @@
   onward.headers.set("Robinhoist-Submission", std::to_string(number));
 }
 
-AttemptResult HttpProtocol::classify(http::Ended how, const http::Response& response) const {
+AttemptResult HttpProtocol::classify(http::CallResult how, const http::Response& response) const {
   const Outcome answered =
       response.status < 500 ? Outcome::ok
       : response.status == 503 && response.headers.has(settings_.headers.not_run)
@@ -116,7 +116,7 @@
 }
 
 http::Response HttpProtocol::rejected_before_routing(const Rejection& rejection) const {
-  return worded(http::text_answer(rejection.status, rejection.why + "\n"), "not-taken", "");
+  return worded(http::text_response(rejection.status, rejection.why + "\n"), "not-taken", "");
 }
 
 http::Response HttpProtocol::succeeded(http::Response&& from, const std::string& endpoint,
@@ -131,7 +131,7 @@
 }
 
 http::Response HttpProtocol::rejected(Duration pause, const std::string& why) const {
-  http::Response response = http::text_answer(503, "declined: it is safe to try again\n");
+  http::Response response = http::text_response(503, "declined: it is safe to try again\n");
   if (pause > Duration{}) {
     response.headers.add("Retry-After",
                          std::to_string(static_cast<long>(std::ceil(to_seconds(pause)))));
@@ -143,7 +143,7 @@
 
 http::Response HttpProtocol::failed(bool late, const std::string& why) const {
   return worded(
-      http::text_answer(late ? 504 : 502, "voided: it may or may not have been carried out\n"),
+      http::text_response(late ? 504 : 502, "voided: it may or may not have been carried out\n"),
       "voided", why);
 }
 
--- a/src/proxy/http_protocol.h
+++ b/src/proxy/http_protocol.h
@@ -15,7 +15,7 @@
   }
   ParsedRequest read(http::Exchange& exchange, int request_id) const override;
   void prepare_attempt(http::Request& onward, std::size_t number, Duration within) const override;
-  AttemptResult classify(http::Ended how, const http::Response& response) const override;
+  AttemptResult classify(http::CallResult how, const http::Response& response) const override;
   http::Response rejected_before_routing(const Rejection& rejection) const override;
   http::Response succeeded(http::Response&& from, const std::string& endpoint,
                            int build) const override;
--- a/src/proxy/process.cpp
+++ b/src/proxy/process.cpp
@@ -28,33 +28,33 @@
   if (!settings.admin.empty()) {
     http::ServerSettings server;
     server.listen = settings.admin;
-    server.most_clients = 100;
+    server.max_clients = 100;
     admin = std::make_unique<http::Server>(loop, server, [&](const http::ExchangePtr& exchange) {
       const http::Request& request = exchange->request;
       if (request.method == "GET" && request.path() == "/health")
-        return exchange->answer(http::text_answer(200, "routes\n"));
+        return exchange->answer(http::text_response(200, "routes\n"));
       if (request.method == "GET" && request.path() == "/status")
-        return exchange->answer(http::json_answer(200, router.status()));
+        return exchange->answer(http::json_response(200, router.status()));
       if (request.method == "GET" && request.path() == "/txns")
-        return exchange->answer(http::text_answer(200, router.traces()));
+        return exchange->answer(http::text_response(200, router.traces()));
       constexpr std::string_view one = "/txns/";
       if (request.method == "GET" && request.path().substr(0, one.size()) == one) {
         const std::string id = http::percent_decoded(request.path().substr(one.size()));
         const std::string trace = router.trace(id);
-        return exchange->answer(trace.empty() ? http::text_answer(404, "no trace of " + id + "\n")
-                                              : http::json_answer(200, trace));
+        return exchange->answer(trace.empty() ? http::text_response(404, "no trace of " + id + "\n")
+                                              : http::json_response(200, trace));
       }
       if (request.method == "POST" && request.path() == "/wrong") {
         try {
           const std::string endpoint = json::text(json::object_of(request.body), "node");
           if (router.found_wrong(endpoint))
-            return exchange->answer(http::json_answer(200, "{}"));
-          return exchange->answer(http::text_answer(404, "no node " + endpoint + "\n"));
+            return exchange->answer(http::json_response(200, "{}"));
+          return exchange->answer(http::text_response(404, "no node " + endpoint + "\n"));
         } catch (const json::BadInput& bad) {
-          return exchange->answer(http::text_answer(422, std::string(bad.what()) + "\n"));
+          return exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
         }
       }
-      exchange->answer(http::text_answer(404, "no such thing here\n"));
+      exchange->answer(http::text_response(404, "no such thing here\n"));
     });
   }
   // Told to stop: no new requests, the open ones get their answers. A second word does not wait for
--- a/src/proxy/protocol.h
+++ b/src/proxy/protocol.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "http/server.h"
 #include "policy/endpoint.h"
 #include "policy/release.h"
@@ -37,20 +37,20 @@
 };
 
 // `answered`: what an answer that came whole amounts to, which alone differs by protocol.
-inline Outcome outcome_of(http::Ended how, Outcome answered) {
+inline Outcome outcome_of(http::CallResult how, Outcome answered) {
   switch (how) {
-    case http::Ended::answered:
+    case http::CallResult::answered:
       return answered;
-    case http::Ended::unreached:
+    case http::CallResult::connect_failed:
       return Outcome::connect_failure;
-    case http::Ended::withheld:
+    case http::CallResult::not_sent:
       return Outcome::obsolete;
-    case http::Ended::garbled:
+    case http::CallResult::malformed:
       return Outcome::error;
-    case http::Ended::timed_out:
+    case http::CallResult::timed_out:
       return Outcome::timeout;
-    case http::Ended::broken:
-    case http::Ended::cancelled:
+    case http::CallResult::connection_lost:
+    case http::CallResult::cancelled:
       break;
   }
   return Outcome::reset;
@@ -66,7 +66,7 @@
   virtual ParsedRequest read(http::Exchange& exchange, int request_id) const = 0;
   virtual void prepare_attempt(http::Request& onward, std::size_t number,
                                Duration within) const = 0;
-  virtual AttemptResult classify(http::Ended how, const http::Response& response) const = 0;
+  virtual AttemptResult classify(http::CallResult how, const http::Response& response) const = 0;
 
   virtual http::Response rejected_before_routing(const Rejection& rejection) const = 0;
   virtual http::Response succeeded(http::Response&& from, const std::string& endpoint,
--- a/src/proxy/router.cpp
+++ b/src/proxy/router.cpp
@@ -166,7 +166,7 @@
            {"open", log::text(unanswered_)}});
     }
   }
-  exchange->on_gone = [this, id = info.request_id] { left(id); };
+  exchange->on_disconnect = [this, id = info.request_id] { left(id); };
   requests_.emplace(info.request_id, std::move(in_flight));
   ++unanswered_;
   ++counters_.taken;
@@ -222,7 +222,7 @@
     upstream_of_.erase(upstreams_[index].id);
   Upstream& upstream = upstreams_[index];
   upstream = Upstream{.id = id, .name = entry.name};
-  upstream.caller = std::make_unique<http::Caller>(loop_, address, settings_.endpoint);
+  upstream.caller = std::make_unique<http::ConnectionPool>(loop_, address, settings_.endpoint);
   upstream_of_[id] = static_cast<int>(index);
   return static_cast<int>(index);
 }
@@ -408,7 +408,7 @@
     within = std::min(within, decision.span);
   if (in_flight.trace)
     trace_attempt(in_flight, decision, within);
-  auto done = [this, request_id = decision.request_id, index](http::Ended how,
+  auto done = [this, request_id = decision.request_id, index](http::CallResult how,
                                                               http::Response&& response) {
     ended(request_id, index, protocol_.classify(how, response), std::move(response));
   };
@@ -508,7 +508,7 @@
   }
   auto exchange = std::move(in_flight.exchange);
   in_flight.exchange.reset();
-  exchange->on_gone = nullptr;
+  exchange->on_disconnect = nullptr;
   exchange->answer(std::move(response));
 }
 
--- a/src/proxy/router.h
+++ b/src/proxy/router.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "endpoint_cache/endpoint_cache.h"
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "http/server.h"
 #include "log/log.h"
 #include "module_settings/module_settings.h"
@@ -33,7 +33,7 @@
   std::string name{}, saved{};  // saved: the file of the list as last heard; empty: none
   unsigned salt = 1;
   http::ServerSettings server{};
-  http::CallerSettings endpoint{};
+  http::ConnectionPoolSettings endpoint{};
   tracing::Settings trace{};
 };
 
@@ -77,13 +77,13 @@
     std::string id, name;
     int build = 0;
     EndpointPhase phase = EndpointPhase::removed;
-    std::unique_ptr<http::Caller> caller{};
+    std::unique_ptr<http::ConnectionPool> caller{};
     int out = 0;  // attempts that have not come back
     TimePoint gone_at = long_ago;
   };
   struct InFlightAttempt {
     int endpoint, build;  // build: of the endpoint when it was chosen
-    http::Caller::Id call;
+    http::ConnectionPool::Id call;
     bool ended;
   };
   struct InFlightRequest {
--- a/src/proxy/settings.cpp
+++ b/src/proxy/settings.cpp
@@ -48,17 +48,17 @@
       std::string("info"));
   to.zone = form.text("zone", "");
   to.reserve = form.span("reserve", 0ms, 10s, 5ms);
-  to.server.most_clients = static_cast<std::size_t>(form.whole("most-clients", 1, 1000000, 10000));
-  to.server.limits.header =
+  to.server.max_clients = static_cast<std::size_t>(form.whole("most-clients", 1, 1000000, 10000));
+  to.server.limits.max_header_bytes =
       static_cast<std::size_t>(form.whole("most-header-bytes", 256, 1 << 20, 16384));
-  to.server.limits.body =
+  to.server.limits.max_body_bytes =
       static_cast<std::size_t>(form.whole("most-body-bytes", 0, 1 << 30, 1 << 20));
-  to.server.head_within = form.span("request-within", 10ms, 10min, 10s);
-  to.server.idle_for = form.span("idle-for", 10ms, 1h, 60s);
-  to.endpoint.most_connections =
+  to.server.request_timeout = form.span("request-within", 10ms, 10min, 10s);
+  to.server.idle_timeout = form.span("idle-for", 10ms, 1h, 60s);
+  to.endpoint.max_connections =
       static_cast<std::size_t>(form.whole("connections-per-node", 1, 100000, 256));
-  to.endpoint.connect_within = form.span("connect-within", 1ms, 1min, 250ms);
-  to.endpoint.keep_for = form.span("keep-connections", 0ms, 1h, 30s);
+  to.endpoint.connect_timeout = form.span("connect-within", 1ms, 1min, 250ms);
+  to.endpoint.idle_timeout = form.span("keep-connections", 0ms, 1h, 30s);
   to.endpoint.limits = to.server.limits;
   if (auto trace = form.maybe("trace")) {
     to.trace.share = trace->number("share", 0, 1, 0.0);
@@ -114,8 +114,8 @@
   for (auto& tenant : all.tenants)
     to.tenants.push_back(tenant.name);
   to.zones = all.zones;
-  to.connect_within = settings.endpoint.connect_within;
-  to.keep_idle = settings.endpoint.keep_for;
+  to.connect_timeout = settings.endpoint.connect_timeout;
+  to.keep_idle = settings.endpoint.idle_timeout;
   return to;
 }
 
--- a/src/proxy/settings.h
+++ b/src/proxy/settings.h
@@ -3,7 +3,7 @@
 #include <string>
 
 #include "deployment/deployment.h"
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "http/server.h"
 #include "module_settings/module_settings.h"
 #include "time/time_types.h"
@@ -23,7 +23,7 @@
   unsigned salt = 1;
   Duration reserve{};  // of the client's time, kept back for the answer's way to it
   http::ServerSettings server{};
-  http::CallerSettings endpoint{};
+  http::ConnectionPoolSettings endpoint{};
   HeaderNames headers{};
   tracing::Settings trace{};
   deployment::Deployment deployment{};
--- a/src/proxy/sources.cpp
+++ b/src/proxy/sources.cpp
@@ -15,11 +15,11 @@
 constexpr Duration silent_most = 15s, beat_first = 1s, beat_least = 50ms, beat_most = 30s,
                    beat_within = 1s;
 
-http::CallerSettings few_connections() {
-  http::CallerSettings settings;
-  settings.most_connections = 4;
-  settings.connect_within = 1s;
-  settings.limits.body = 16u << 20;
+http::ConnectionPoolSettings few_connections() {
+  http::ConnectionPoolSettings settings;
+  settings.max_connections = 4;
+  settings.connect_timeout = 1s;
+  settings.limits.max_body_bytes = 16u << 20;
   return settings;
 }
 
@@ -54,9 +54,9 @@
   http::Request request;
   request.target = target_();
   call_ = caller_.call(
-      request, poll_wait + poll_slack, [this](http::Ended how, http::Response&& response) {
+      request, poll_wait + poll_slack, [this](http::CallResult how, http::Response&& response) {
         const bool fine =
-            how == http::Ended::answered && response.status == 200 && answer_(response);
+            how == http::CallResult::answered && response.status == 200 && answer_(response);
         if (fine != !failing_) {
           failing_ = !fine;
           if (failing_)
@@ -210,8 +210,8 @@
         .put("version", static_cast<long>(acknowledged_->version))
         .close();
   caller_.call(post("/v1/umpires/" + settings_.proxy + "/heartbeat", body.close().text()),
-               beat_within, [this](http::Ended how, http::Response&& response) {
-                 if (how != http::Ended::answered)
+               beat_within, [this](http::CallResult how, http::Response&& response) {
+                 if (how != http::CallResult::answered)
                    return;
                  if (response.status == 409 && !superseded_)
                    log_.error("another process has this umpire's name: its votes don't count",
@@ -245,12 +245,12 @@
                                .close()
                                .text();
   caller_.call(post("/v1/releases/" + newest_ + "/votes", body), settings_.vote_within,
-               [answered](http::Ended how, http::Response&& response) {
-                 if (how == http::Ended::unreached)
+               [answered](http::CallResult how, http::Response&& response) {
+                 if (how == http::CallResult::connect_failed)
                    return answered(Outcome::connect_failure);
-                 if (how == http::Ended::timed_out)
+                 if (how == http::CallResult::timed_out)
                    return answered(Outcome::timeout);
-                 if (how != http::Ended::answered)
+                 if (how != http::CallResult::answered)
                    return answered(Outcome::reset);
                  answered(response.status == 200   ? Outcome::ok
                           : response.status == 409 ? Outcome::obsolete
@@ -268,7 +268,7 @@
                                         .put("poorly", unsuccessful)
                                         .close()
                                         .text()),
-               1s, [](http::Ended, http::Response&&) {});
+               1s, [](http::CallResult, http::Response&&) {});
 }
 
 }  // namespace robinhoist::proxy
--- a/src/proxy/sources.h
+++ b/src/proxy/sources.h
@@ -5,8 +5,8 @@
 #include <memory>
 #include <string>
 
-#include "http/caller.h"
-#include "http/stream_caller.h"
+#include "http/connection_pool.h"
+#include "http/stream_client.h"
 #include "log/log.h"
 #include "registry/registry.h"
 #include "releases/follower.h"
@@ -46,17 +46,17 @@
   // `target` is asked for anew before each call.
   void start(std::function<std::string()> target, Answer answer);
   void again();  // at once, dropping the call that waits
-  http::Caller& caller() { return caller_; }
+  http::ConnectionPool& caller() { return caller_; }
 
  private:
   void ask();
   net::Loop& loop_;
-  http::Caller caller_;
+  http::ConnectionPool caller_;
   retry::Backoff backoff_;
   const log::Log& log_;
   std::function<std::string()> target_{};
   Answer answer_{};
-  http::Caller::Id call_ = 0;
+  http::ConnectionPool::Id call_ = 0;
   net::Loop::Timer timer_ = net::Loop::no_timer;
   bool failing_ = false;
 };
@@ -99,8 +99,8 @@
   net::Loop& loop_;
   Settings settings_;
   const log::Log& log_;
-  http::Caller caller_;
-  http::StreamCaller stream_;
+  http::ConnectionPool caller_;
+  http::StreamClient stream_;
   retry::Backoff backoff_;
   releases::Follower follower_{};
   std::string session_{}, newest_{};  // of this process; the name of the release that it goes by
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -15,7 +15,7 @@
     : loop_(loop),
       registry_(series),
       told_(std::move(told)),
-      waiting_(loop, [this](const http::LongPoll::Asked& asked) { answer(asked); }),
+      waiting_(loop, [this](const http::LongPoll::Query& asked) { answer(asked); }),
       server_(std::make_unique<http::Server>(loop, server,
                                              [this](const http::ExchangePtr& e) { handle(e); })) {}
 
@@ -55,11 +55,11 @@
   });
 }
 
-void Service::answer(const http::LongPoll::Asked& asked) {
+void Service::answer(const http::LongPoll::Query& asked) {
   Update news = registry_.since(asked.series, asked.since);
   if (told_)
     told_(asked.proxy, news);
-  asked.exchange->answer(http::json_answer(200, encoded(news)));
+  asked.exchange->answer(http::json_response(200, encoded(news)));
 }
 
 void Service::ask(const http::ExchangePtr& exchange) {
@@ -74,7 +74,7 @@
   const http::Request& request = exchange->request;
   const std::string path(request.path()), endpoints = "/v1/nodes";
   if (request.method == "GET" && path == "/health")
-    return exchange->answer(http::text_answer(200, "well\n"));
+    return exchange->answer(http::text_response(200, "well\n"));
   if (path == endpoints && request.method == "GET")
     return ask(exchange);
   if (path == endpoints && request.method == "PUT") {
@@ -84,15 +84,15 @@
       for (const Endpoint& entry : one.entries)
         put(entry);
     } catch (const json::BadInput& bad) {
-      return exchange->answer(http::text_answer(422, std::string(bad.what()) + "\n"));
+      return exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
     }
-    return exchange->answer(http::json_answer(200, "{}"));
+    return exchange->answer(http::json_response(200, "{}"));
   }
   if (path.rfind(endpoints + "/", 0) == 0 && request.method == "DELETE") {
     remove(http::percent_decoded(path.substr(endpoints.size() + 1)));
-    return exchange->answer(http::json_answer(200, "{}"));
+    return exchange->answer(http::json_response(200, "{}"));
   }
-  exchange->answer(http::text_answer(404, "no such thing here\n"));
+  exchange->answer(http::text_response(404, "no such thing here\n"));
 }
 
 }  // namespace robinhoist::registry
--- a/src/registry/service.h
+++ b/src/registry/service.h
@@ -35,7 +35,7 @@
  private:
   void handle(const http::ExchangePtr& exchange);
   void ask(const http::ExchangePtr& exchange);
-  void answer(const http::LongPoll::Asked& asked);
+  void answer(const http::LongPoll::Query& asked);
   void later(std::function<bool()> change);
   void wake();
 
--- a/src/standin/agent.cpp
+++ b/src/standin/agent.cpp
@@ -2,7 +2,7 @@
 
 #include <csignal>
 
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "log/log.h"
 #include "machine/forms.h"
 #include "net/signals.h"
@@ -26,12 +26,13 @@
         settings_(settings),
         log_(log),
         nodes_(loop, settings.deployment, settings.shared, 1, nullptr) {
-    http::CallerSettings calls;
+    http::ConnectionPoolSettings calls;
     if (!settings.list.empty())
-      list_ = std::make_unique<http::Caller>(loop, Poco::Net::SocketAddress(settings.list), calls);
+      list_ = std::make_unique<http::ConnectionPool>(loop, Poco::Net::SocketAddress(settings.list),
+                                                     calls);
     if (!settings.orders_from.empty())
-      orders_ = std::make_unique<http::Caller>(loop, Poco::Net::SocketAddress(settings.orders_from),
-                                               calls);
+      orders_ = std::make_unique<http::ConnectionPool>(
+          loop, Poco::Net::SocketAddress(settings.orders_from), calls);
   }
 
   void start() {
@@ -104,19 +105,20 @@
   }
 
   // Told again until it is heard.
-  void call(http::Caller& caller, const http::Request& request) {
-    caller.call(request, 2s, [this, &caller, request](http::Ended how, http::Response&& response) {
-      if (how == http::Ended::answered && response.status < 500)
-        return;
-      loop_.in(300ms, [this, &caller, request] { call(caller, request); });
-    });
+  void call(http::ConnectionPool& caller, const http::Request& request) {
+    caller.call(request, 2s,
+                [this, &caller, request](http::CallResult how, http::Response&& response) {
+                  if (how == http::CallResult::answered && response.status < 500)
+                    return;
+                  loop_.in(300ms, [this, &caller, request] { call(caller, request); });
+                });
   }
 
   void ask() {
     http::Request request;
     request.target = "/v1/orders";
-    orders_->call(request, 2s, [this](http::Ended how, http::Response&& response) {
-      if (how == http::Ended::answered && response.status == 200) {
+    orders_->call(request, 2s, [this](http::CallResult how, http::Response&& response) {
+      if (how == http::CallResult::answered && response.status == 200) {
         try {
           auto document = json::object_of(response.body);
           for (const json::Json& order : json::array(document, "orders").GetArray())
@@ -159,7 +161,7 @@
   const Settings& settings_;
   const log::Log& log_;
   Nodes nodes_;
-  std::unique_ptr<http::Caller> list_{}, orders_{};
+  std::unique_ptr<http::ConnectionPool> list_{}, orders_{};
   std::map<int, Machine> machines_{};
   std::map<int, registry::Endpoint> entries_{};
 };
--- a/src/standin/database.cpp
+++ b/src/standin/database.cpp
@@ -161,7 +161,7 @@
     run_sql(db_, "BEGIN IMMEDIATE");
     if (run_bound(db_, "SELECT token FROM rh_fence", {}).value_or(0) > static_cast<double>(token)) {
       run_sql(db_, "ROLLBACK");
-      return http::json_answer(409, "{\"result\":\"fenced\"}");
+      return http::json_response(409, "{\"result\":\"fenced\"}");
     }
     run_bound(db_, "UPDATE rh_fence SET token = :token", {{":token", token}});
     if (!transactional)
@@ -215,17 +215,17 @@
     if (sqlite3_get_autocommit(db_) == 0)
       run_sql(db_, "ROLLBACK");
     // Outside a transaction nothing can be said of what was done before it failed.
-    return http::json_answer(transactional ? 422 : 500,
-                             json::Out().open().put("why", bad.what()).close().text());
+    return http::json_response(transactional ? 422 : 500,
+                               json::Out().open().put("why", bad.what()).close().text());
   }
   note(mark, undo, whole ? "done" : "more", after);
-  return http::json_answer(200, json::Out()
-                                    .open()
-                                    .put("result", whole ? "done" : "more")
-                                    .put("after", static_cast<long>(after))
-                                    .put("last", static_cast<long>(last))
-                                    .close()
-                                    .text());
+  return http::json_response(200, json::Out()
+                                      .open()
+                                      .put("result", whole ? "done" : "more")
+                                      .put("after", static_cast<long>(after))
+                                      .put("last", static_cast<long>(last))
+                                      .close()
+                                      .text());
 }
 
 void Database::run(const http::ExchangePtr& exchange) {
@@ -234,16 +234,16 @@
     --fault_times_;
   switch (fault) {
     case DbFault::hang:
-      exchange->on_gone = [keep = exchange]() mutable { keep.reset(); };
+      exchange->on_disconnect = [keep = exchange]() mutable { keep.reset(); };
       return;
     case DbFault::refuse:
-      return exchange->answer(http::json_answer(422, "{\"why\":\"told to refuse\"}"));
+      return exchange->answer(http::json_response(422, "{\"why\":\"told to refuse\"}"));
     case DbFault::locked:
       return exchange->answer(
-          http::json_answer(422, "{\"why\":\"the lock did not come in time\"}"));
+          http::json_response(422, "{\"why\":\"the lock did not come in time\"}"));
     case DbFault::drop_on_commit:
       run_now(exchange->request.body);
-      return exchange->hang_up();
+      return exchange->abort_connection();
     case DbFault::late: {
       auto response = run_now(exchange->request.body);
       loop_.in(fault_by_, [exchange, response] { exchange->answer(response); });
@@ -259,7 +259,7 @@
   const std::string path(request.path());
   try {
     if (request.method == "GET" && path == "/health")
-      return exchange->answer(http::text_answer(200, "well\n"));
+      return exchange->answer(http::text_response(200, "well\n"));
     if (path == "/v1/steps/run")
       return run(exchange);
     auto document = json::object_of(request.body);
@@ -268,16 +268,16 @@
       const auto whole = run_bound(db_, "SELECT whole FROM rh_marks WHERE mark = :mark", {}, mark);
       const auto after = run_bound(db_, "SELECT after FROM rh_marks WHERE mark = :mark", {}, mark);
       return exchange->answer(
-          http::json_answer(200, json::Out()
-                                     .open()
-                                     .put("applied", whole.value_or(0) != 0)
-                                     .put("after", static_cast<long>(after.value_or(0)))
-                                     .close()
-                                     .text()));
+          http::json_response(200, json::Out()
+                                       .open()
+                                       .put("applied", whole.value_or(0) != 0)
+                                       .put("after", static_cast<long>(after.value_or(0)))
+                                       .close()
+                                       .text()));
     }
     if (path == "/v1/query") {
       const auto value = run_bound(db_, json::text(document, "statement"), {});
-      return exchange->answer(http::json_answer(
+      return exchange->answer(http::json_response(
           200, json::Out().open().put("value", value.value_or(0)).close().text()));
     }
     if (path == "/faults") {
@@ -291,16 +291,16 @@
                                                       {"locked", DbFault::locked}});
       fault(kind, json::whole(document, "times"),
             json::span(json::number_or(document, "by_ms", 0)));
-      return exchange->answer(http::json_answer(200, "{}"));
+      return exchange->answer(http::json_response(200, "{}"));
     }
   } catch (const Refused& bad) {
     return exchange->answer(
-        http::json_answer(422, json::Out().open().put("why", bad.what()).close().text()));
+        http::json_response(422, json::Out().open().put("why", bad.what()).close().text()));
   } catch (const json::BadInput& bad) {
     return exchange->answer(
-        http::json_answer(422, json::Out().open().put("why", bad.what()).close().text()));
+        http::json_response(422, json::Out().open().put("why", bad.what()).close().text()));
   }
-  exchange->answer(http::text_answer(404, "no such thing here\n"));
+  exchange->answer(http::text_response(404, "no such thing here\n"));
 }
 
 int run_database(const std::string& listen, const std::string& file, const std::string& setup) {
--- a/src/standin/nodes.cpp
+++ b/src/standin/nodes.cpp
@@ -52,7 +52,7 @@
       std::make_unique<Node>(spec, static_cast<unsigned>(random_()), started, &marks_, &harm_);
   http::ServerSettings settings;
   settings.listen = spec.listen;
-  settings.most_clients = shared_.most_clients;
+  settings.max_clients = shared_.max_clients;
   node->server = std::make_unique<http::Server>(
       loop_, settings,
       [this, at = node.get()](const http::ExchangePtr& exchange) { handle(*at, exchange); });
@@ -81,7 +81,7 @@
   Node& node = *at->second;
   loop_.cancel(node.timer);
   for (auto& [id, open] : node.open)
-    open.exchange->on_gone = nullptr;
+    open.exchange->on_disconnect = nullptr;
   node.open.clear();
   node.server.reset();
   if (record_)
@@ -115,7 +115,7 @@
   if (!runs(name))
     return;
   http::Server& server = *nodes_[name]->server;
-  server.most(connections > 0 ? connections : shared_.most_clients);
+  server.most(connections > 0 ? connections : shared_.max_clients);
   if (connections > 0)
     server.close_idle(connections);
 }
@@ -145,14 +145,14 @@
     const std::int64_t id = next_id_++;
     note(node, why, request, deployment_.match_request_class(request.method, request.path()), id);
     node.open[id] = {exchange, -1, Duration{}};
-    exchange->on_gone = [at = &node, id] { at->open.erase(id); };
+    exchange->on_disconnect = [at = &node, id] { at->open.erase(id); };
   };
   if (node.silent)
     return swallow("silent");
   auto uniform_sample = [this] { return std::uniform_real_distribution<double>(0, 1)(random_); };
   if (request.path() == "/health") {
     const bool well = node.probes_fail <= 0 || uniform_sample() >= node.probes_fail;
-    return exchange->answer(http::text_answer(well ? 200 : 503, well ? "well\n" : "not well\n"));
+    return exchange->answer(http::text_response(well ? 200 : 503, well ? "well\n" : "not well\n"));
   }
   Way there;
   if (way) {
@@ -164,12 +164,12 @@
   if (there.lost > 0 && uniform_sample() < there.lost) {
     note(node, "cut", request, deployment_.match_request_class(request.method, request.path()),
          next_id_++);
-    return exchange->hang_up();
+    return exchange->abort_connection();
   }
   const Duration by = there.by + (exchange->first ? node.handshake : Duration{});
   const int request_class = deployment_.match_request_class(request.method, request.path());
   if (request_class < 0)
-    return exchange->answer(http::text_answer(404, "no such product\n"));
+    return exchange->answer(http::text_response(404, "no such product\n"));
   machine::Work work;
   work.id = next_id_++;
   work.request_class = request_class;
@@ -185,7 +185,7 @@
     work.key = request.headers.get("Idempotency-Key");
   if (!request.headers.get("X-Poison").empty()) {
     note(node, "poison", request, request_class, work.id);
-    return exchange->answer(http::json_answer(500, "{\"error\":\"poison\"}"));
+    return exchange->answer(http::json_response(500, "{\"error\":\"poison\"}"));
   }
   const bool was_fallen = node.machine.fallen();
   const machine::Entry entry = node.machine.arrive(work, loop_.now());
@@ -202,13 +202,13 @@
   if (entry == machine::Entry::full) {
     ++figures_.refused;
     note(node, "refused", request, request_class, work.id);
-    http::Response full = http::text_answer(503, "no room\n");
+    http::Response full = http::text_response(503, "no room\n");
     full.headers.add("X-Not-Run", "1");
     return exchange->answer(std::move(full));
   }
   note(node, "taken", request, request_class, work.id);
   node.open[work.id] = {exchange, request_class, by};
-  exchange->on_gone = [this, at = &node, id = work.id] {
+  exchange->on_disconnect = [this, at = &node, id = work.id] {
     at->open.erase(id);
     at->machine.called_off(id, shared_.cancelled != Cancelled::nothing,
                            shared_.cancelled == Cancelled::all, loop_.now());
@@ -243,11 +243,11 @@
       continue;  // nobody waits for it any more
     Node::Open open = std::move(at->second);
     node.open.erase(at);
-    open.exchange->on_gone = nullptr;
+    open.exchange->on_disconnect = nullptr;
     http::Response response =
         done->how == machine::Ran::failed
-            ? http::json_answer(500, "{\"error\":\"failed\"}")
-            : http::json_answer(
+            ? http::json_response(500, "{\"error\":\"failed\"}")
+            : http::json_response(
                   200, json::Out()
                            .open()
                            .put("product", deployment_.request_classes[open.request_class].name)
--- a/src/standin/nodes.h
+++ b/src/standin/nodes.h
@@ -28,7 +28,7 @@
   Duration memory{};             // for which the group drops repeats of a key
   std::vector<Duration> work{};  // by request class, where a request does not say
   Cancelled cancelled = Cancelled::nothing;
-  std::size_t most_clients = 10000;  // connections that an endpoint takes
+  std::size_t max_clients = 10000;  // connections that an endpoint takes
 };
 
 class Nodes {
--- a/src/steps/target.cpp
+++ b/src/steps/target.cpp
@@ -7,10 +7,10 @@
 
 using namespace std::chrono_literals;
 
-http::CallerSettings settings() {
-  http::CallerSettings to;
-  to.most_connections = 4;
-  to.connect_within = 2s;
+http::ConnectionPoolSettings settings() {
+  http::ConnectionPoolSettings to;
+  to.max_connections = 4;
+  to.connect_timeout = 2s;
   return to;
 }
 
@@ -27,8 +27,8 @@
   return request;
 }
 
-std::string why_of(http::Ended how, const http::Response& response) {
-  if (how == http::Ended::answered)
+std::string why_of(http::CallResult how, const http::Response& response) {
+  if (how == http::CallResult::answered)
     return "status " + std::to_string(response.status) + ": " + response.body;
   static const char* const words[] = {
       "", "not reached", "connection broke", "garbled answer", "no answer in time", "called off"};
@@ -58,11 +58,11 @@
         .put("after", static_cast<long>(after));
   body.put("lock_ms", static_cast<double>(step.lock_timeout.count()) / 1e3).close();
   caller_.call(post("/v1/steps/run", body.text()), step.timeout,
-               [ran](http::Ended how, http::Response&& response) {
+               [ran](http::CallResult how, http::Response&& response) {
                  const std::string why = why_of(how, response);
-                 if (how == http::Ended::unreached)
+                 if (how == http::CallResult::connect_failed)
                    return ran({.result = Result::not_run, .why = why});
-                 if (how != http::Ended::answered)
+                 if (how != http::CallResult::answered)
                    return ran({.result = Result::unknown, .why = why});
                  if (response.status == 409)
                    return ran({.result = Result::fenced, .why = why});
@@ -90,9 +90,9 @@
                   .close()
                   .text();
   caller_.call(post("/v1/steps/mark", body), step.timeout,
-               [looked](http::Ended how, http::Response&& response) {
+               [looked](http::CallResult how, http::Response&& response) {
                  try {
-                   if (how != http::Ended::answered || response.status != 200)
+                   if (how != http::CallResult::answered || response.status != 200)
                      return looked(Answer::unknown, 0, why_of(how, response));
                    auto document = json::object_of(response.body);
                    looked(json::truth(document, "applied") ? Answer::yes : Answer::no,
@@ -105,20 +105,22 @@
 
 void Target::check(const Step& step, Looked looked) {
   auto body = json::Out().open().put("statement", step.check).close().text();
-  caller_.call(
-      post("/v1/query", body), step.timeout, [looked](http::Ended how, http::Response&& response) {
-        try {
-          if (how != http::Ended::answered || (response.status != 200 && response.status != 422))
-            return looked(Answer::unknown, 0, why_of(how, response));
-          // A check that can't even be asked, for a table is missing, says no.
-          if (response.status == 422)
-            return looked(Answer::no, 0, response.body);
-          auto document = json::object_of(response.body);
-          looked(json::number_or(document, "value", 0) != 0 ? Answer::yes : Answer::no, 0, "");
-        } catch (const json::BadInput& bad) {
-          looked(Answer::unknown, 0, bad.what());
-        }
-      });
+  caller_.call(post("/v1/query", body), step.timeout,
+               [looked](http::CallResult how, http::Response&& response) {
+                 try {
+                   if (how != http::CallResult::answered ||
+                       (response.status != 200 && response.status != 422))
+                     return looked(Answer::unknown, 0, why_of(how, response));
+                   // A check that can't even be asked, for a table is missing, says no.
+                   if (response.status == 422)
+                     return looked(Answer::no, 0, response.body);
+                   auto document = json::object_of(response.body);
+                   looked(json::number_or(document, "value", 0) != 0 ? Answer::yes : Answer::no, 0,
+                          "");
+                 } catch (const json::BadInput& bad) {
+                   looked(Answer::unknown, 0, bad.what());
+                 }
+               });
 }
 
 }  // namespace robinhoist::steps
--- a/src/steps/target.h
+++ b/src/steps/target.h
@@ -10,7 +10,7 @@
 #include <functional>
 #include <string>
 
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "steps/core.h"
 
 namespace robinhoist::steps {
@@ -32,7 +32,7 @@
   void check(const Step& step, Looked looked);
 
  private:
-  http::Caller caller_;
+  http::ConnectionPool caller_;
 };
 
 }  // namespace robinhoist::steps
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -75,10 +75,10 @@
 TEST(Config, descriptors_are_kept_for_nodes_and_platform) {
   const platform::Config config = platform::decoded(config_text());
   const proxy::RouterSettings settings = platform::router_settings(config);
-  EXPECT_GE(settings.server.most_clients, 256u / 3);
-  EXPECT_GT(settings.endpoint.most_connections, settings.server.most_clients);
-  EXPECT_LT(settings.server.most_clients + settings.endpoint.most_connections, 240u);
-  EXPECT_LT(settings.endpoint.keep_for, config.module_settings.keep_idle);
+  EXPECT_GE(settings.server.max_clients, 256u / 3);
+  EXPECT_GT(settings.endpoint.max_connections, settings.server.max_clients);
+  EXPECT_LT(settings.server.max_clients + settings.endpoint.max_connections, 240u);
+  EXPECT_LT(settings.endpoint.idle_timeout, config.module_settings.keep_idle);
 }
 
 // A peer that drops idle connections unseen: what stood idle as long as those that broke is not
@@ -86,16 +86,16 @@
 TEST(Caller, learns_how_long_connections_may_stand_idle) {
   net::Loop loop(net::steady_now());
   tests::ScriptNode endpoint(loop, "stale-15");
-  http::CallerSettings settings;
-  settings.budget = std::make_shared<http::Budget>(10);
-  http::Caller caller(
+  http::ConnectionPoolSettings settings;
+  settings.budget = std::make_shared<http::ConnectionBudget>(10);
+  http::ConnectionPool caller(
       loop, Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(endpoint.port())), settings);
   int broken = 0, answered = 0;
   for (int i = 0; i < 40; ++i)
     loop.in(i * 25ms, [&] {
-      caller.call({}, 1s, [&](http::Ended how, http::Response&&) {
-        broken += how == http::Ended::broken;
-        answered += how == http::Ended::answered;
+      caller.call({}, 1s, [&](http::CallResult how, http::Response&&) {
+        broken += how == http::CallResult::connection_lost;
+        answered += how == http::CallResult::answered;
       });
     });
   loop.in(1100ms, [&] { loop.stop(); });
@@ -110,17 +110,17 @@
   net::Loop loop(net::steady_now());
   int fd = -1;
   net::Listener listener(loop, "127.0.0.1:0", [&](int accepted) { fd = accepted; });
-  http::Caller caller(loop,
-                      Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(listener.port())), {});
+  http::ConnectionPool caller(
+      loop, Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(listener.port())), {});
   http::Request request;
   request.method = "POST";
   request.body.assign(32 << 20, 'x');  // more than the kernel takes while nobody reads
-  std::optional<http::Ended> ended;
-  caller.call(request, 1s, [&](http::Ended how, http::Response&&) { ended = how; });
+  std::optional<http::CallResult> ended;
+  caller.call(request, 1s, [&](http::CallResult how, http::Response&&) { ended = how; });
   loop.in(100ms, [&] { ::close(fd); });
   loop.in(200ms, [&] { loop.stop(); });
   loop.run();
-  EXPECT_EQ(ended, http::Ended::unreached);
+  EXPECT_EQ(ended, http::CallResult::connect_failed);
 }
 
 // A server of the platform's that says what the test wants, and remembers what it was asked.
@@ -164,7 +164,7 @@
     e->begin_stream({});
     ++turn;
     if (turn == 1)
-      e->write(listed(8, true) + "\n" + listed(9, false).substr(0, 30)), e->hang_up();
+      e->write(listed(8, true) + "\n" + listed(9, false).substr(0, 30)), e->abort_connection();
     else if (turn == 2)
       e->write(listed(9, false) + "what is this\n" + listed(10, false));
     else
@@ -293,9 +293,9 @@
       if (e->request.target == "/v1/watch")
         return e->begin_stream({});
       if (answer == "break")
-        return e->hang_up();
+        return e->abort_connection();
       if (answer != "silence")
-        e->answer(http::json_answer(std::stoi(answer), answer.substr(4)));
+        e->answer(http::json_response(std::stoi(answer), answer.substr(4)));
     });
     platform::ReleaseApi api(loop, desk.at(), ReleaseUpdate{2, 0, ReleasePhase::canary, 0.1, 1s},
                              100ms, 1, log);
@@ -358,7 +358,7 @@
   loop.in(50ms, [&] {
     watching->write("{\"type\":\"ROLLOUT\",\"object\":" + rollout(2, 1, "ROLLING_BACK") + "}\n");
     // Its age was true when it was written.
-    loop.in(50ms, [&] { vote->answer(http::json_answer(200, rollout(2, 0, "IN_PROGRESS"))); });
+    loop.in(50ms, [&] { vote->answer(http::json_response(200, rollout(2, 0, "IN_PROGRESS"))); });
   });
   loop.in(200ms, [&] { loop.stop(); });
   loop.run();
@@ -371,25 +371,25 @@
 TEST(Caller, words_the_time_left_when_it_writes) {
   net::Loop loop(net::steady_now());
   tests::ScriptNode endpoint(loop, "stuck");
-  http::CallerSettings settings;
-  settings.connect_within = 3s;
-  http::Caller caller(
+  http::ConnectionPoolSettings settings;
+  settings.connect_timeout = 3s;
+  http::ConnectionPool caller(
       loop, Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(endpoint.port())), settings);
   std::optional<Duration> left;
   caller.call(
-      {}, 4s, [](http::Ended, http::Response&&) {},
+      {}, 4s, [](http::CallResult, http::Response&&) {},
       [&](http::Request&, Duration then) {
         left = then;
         loop.stop();
       });
-  std::function<void()> make_room = [&] {
+  std::function<void()> evict_idle = [&] {
     for (int fd; (fd = ::accept(endpoint.stuck[0], nullptr, nullptr)) >= 0;)
       endpoint.stuck.push_back(fd);
-    loop.in(10ms, make_room);
+    loop.in(10ms, evict_idle);
   };
   loop.in(50ms, [&] {
     EXPECT_FALSE(left);
-    make_room();
+    evict_idle();
   });
   loop.in(3500ms, [&] { loop.stop(); });
   loop.run();
@@ -440,7 +440,7 @@
   on.step([&] {
     ASSERT_EQ(on.asked.size(), 1u);
     on.clients["c"].stream->read(false);
-    on.asked[0]->answer(http::text_answer(200, std::string(large, 'x')));
+    on.asked[0]->answer(http::text_response(200, std::string(large, 'x')));
     on.server->drain();
   });
   on.step(
@@ -464,13 +464,13 @@
           "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + std::string(1 << 20, 'x'));
   on.step([&] {
     ASSERT_EQ(on.asked.size(), 1u);
-    on.asked[0]->answer(http::text_answer(200, "done"));
+    on.asked[0]->answer(http::text_response(200, "done"));
   });
   on.step([&] {
     const tests::RawClient& client = on.clients["c"];
     EXPECT_NE(client.got.find("done"), std::string::npos);
     ASSERT_TRUE(client.closed);
-    EXPECT_EQ(client.how, net::Closed::by_peer);
+    EXPECT_EQ(client.how, net::CloseReason::by_peer);
     EXPECT_EQ(on.server->clients(), 0u);
   });
 }
@@ -479,8 +479,8 @@
 // half, which is told so; never one with a request open.
 TEST(Server, room_is_made_where_least_is_owed) {
   http::ServerSettings settings;
-  settings.most_clients = 3;
-  settings.make_room = true;
+  settings.max_clients = 3;
+  settings.evict_idle = true;
   Served on(settings);
   on.send("open", get);
   on.send("half", "GET / HT");
@@ -698,7 +698,7 @@
 TEST(Process, reloads_and_ends_without_losing_a_request) {
   net::Loop loop(net::steady_now());
   Around around(loop, [&](const http::ExchangePtr& e) {
-    loop.in(300ms, [e] { e->answer(http::text_answer(200, "done")); });
+    loop.in(300ms, [e] { e->answer(http::text_response(200, "done")); });
   });
   Desk moved(loop, [&](const http::ExchangePtr& e) { e->begin_stream({}); });
   ::setenv("ROUTER_CONFIG", around.file.c_str(), 1);
@@ -733,7 +733,7 @@
 TEST(Process, takes_clients_again_after_it_ran_out_of_descriptors) {
   net::Loop loop(net::steady_now());
   Around around(loop,
-                [&](const http::ExchangePtr& e) { e->answer(http::text_answer(200, "done")); });
+                [&](const http::ExchangePtr& e) { e->answer(http::text_response(200, "done")); });
   rusage before{}, after{};
   ::getrusage(RUSAGE_CHILDREN, &before);
   tests::Child proxy({"platform", "--config", around.file}, "/dev/null", 30);
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -54,16 +54,16 @@
   http::Server server(loop, http::ServerSettings{}, [&](const http::ExchangePtr& exchange) {
     if (exchange->request.method == "POST") {
       beats.push_back(exchange->request.body);
-      return exchange->answer(http::json_answer(200, "{\"leaseMs\":300}"));
+      return exchange->answer(http::json_response(200, "{\"leaseMs\":300}"));
     }
     watched.push_back(exchange->request.target);
     if (watched.size() == 2)
-      return exchange->answer(http::text_answer(410, "expired\n"));
+      return exchange->answer(http::text_response(410, "expired\n"));
     exchange->begin_stream(http::Response{});
     if (watched.size() == 1) {
       exchange->write(event("ADDED", 3, 0, "0.1") + mark +
                       event("MODIFIED", 4, 1, "0.5").substr(0, 40));
-      loop.in(20ms, [exchange] { exchange->hang_up(); });
+      loop.in(20ms, [exchange] { exchange->abort_connection(); });
     } else {
       exchange->write(event("ADDED", 9, 2, "1") + mark);
       held.push_back(exchange);
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -9,7 +9,7 @@
 
 #include "controller/process.h"
 #include "history.h"
-#include "http/stream_caller.h"
+#include "http/stream_client.h"
 #include "json/fields.h"
 #include "plays.h"
 #include "releases/follower.h"
@@ -246,7 +246,7 @@
   }
 
   struct Watch {
-    std::unique_ptr<http::StreamCaller> caller{};
+    std::unique_ptr<http::StreamClient> caller{};
     std::string got{}, end{};
     int status = -1;  // once ended
   };
@@ -255,9 +255,9 @@
     loop.call([&] {
       auto one = std::make_unique<Watch>();
       Watch* at = one.get();
-      at->caller = std::make_unique<http::StreamCaller>(
+      at->caller = std::make_unique<http::StreamClient>(
           loop, Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(port)),
-          http::Limits{});
+          http::MessageLimits{});
       http::Request request;
       request.target = path;
       if (!token.empty())
--- a/tests/stage.h
+++ b/tests/stage.h
@@ -28,16 +28,16 @@
     ScriptNode& endpoint;
     TimePoint answered{};
     std::shared_ptr<net::Stream> stream;
-    http::RequestReader reader{http::Limits{}};
+    http::RequestReader reader{http::MessageLimits{}};
     Conn(ScriptNode& of, int fd) : endpoint(of), stream(net::Stream::adopt(of.loop, fd, *this)) {}
     ~Conn() override { stream->drop(); }
     void on_bytes(net::Stream&) override {
-      while (stream->open() && reader.read(stream->in()) == http::Read::whole) {
+      while (stream->open() && reader.read(stream->in()) == http::ParseResult::complete) {
         endpoint.last = reader.take();
         act(endpoint.next());
       }
     }
-    void on_closed(net::Stream&, net::Closed) override {}
+    void on_closed(net::Stream&, net::CloseReason) override {}
     void answer(int status, const char* extra = "") {
       stream->write("HTTP/1.1 " + std::to_string(status) + " X\r\n" + extra +
                     "Content-Length: 2\r\n\r\nhi");
@@ -161,12 +161,12 @@
   std::shared_ptr<net::Stream> stream;
   std::string got{};
   bool closed = false;
-  net::Closed how{};
+  net::CloseReason how{};
   void on_bytes(net::Stream& s) override {
     got += s.in();
     s.in().clear();
   }
-  void on_closed(net::Stream&, net::Closed by) override { closed = true, how = by; }
+  void on_closed(net::Stream&, net::CloseReason by) override { closed = true, how = by; }
   ~RawClient() override { stream->drop(); }
 };
 
