--- a/src/http/connection_pool.cpp
+++ b/src/http/connection_pool.cpp
@@ -56,7 +56,7 @@
       ++caller_->unasked_;
       return end(CallResult::malformed);
     }
-    ParseResult read = reader_.read(stream.in());
+    ParseResult read = reader_.read(stream.input());
     if (read == ParseResult::invalid)
       return end(CallResult::malformed);
     if (read == ParseResult::complete)
@@ -66,7 +66,7 @@
   void on_closed(net::Stream& stream, net::CloseReason how) override {
     auto self = shared_from_this();
     if (busy() && how == net::CloseReason::by_peer && reader_.begun() &&
-        reader_.read(stream.in(), true) == ParseResult::complete)
+        reader_.read(stream.input(), true) == ParseResult::complete)
       return finished();
     end(whole() ? (reader_.error().status != 0 && reader_.begun() ? CallResult::malformed
                                                                   : CallResult::connection_lost)
@@ -138,9 +138,9 @@
     Response response = reader_.take();
     note_reuse(false);
     auto self = shared_from_this();
-    caller_->unasked_ += !stream_->in().empty();
+    caller_->unasked_ += !stream_->input().empty();
     // What follows an answer unasked taints the connection.
-    if (!response.keep_alive || !stream_->open() || !stream_->in().empty()) {
+    if (!response.keep_alive || !stream_->open() || !stream_->input().empty()) {
       ConnectionPool* caller = caller_;
       caller_ = nullptr;
       caller->loop_.cancel(timer_);
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -157,7 +157,7 @@
     if (in_handler_)
       return;
     stream_->read(true);
-    if (!stream_->in().empty())
+    if (!stream_->input().empty())
       next();
   }
 
@@ -176,7 +176,7 @@
       if (stream_->unwritten() > server_->settings_.stream_backlog)
         return stream_->read(false);
       const bool had_begun = reader_.begun();
-      ParseResult read = reader_.read(stream_->in());
+      ParseResult read = reader_.read(stream_->input());
       if (read == ParseResult::invalid)
         return refuse(reader_.error().status, reader_.error().why);
       if (reader_.wants_continue())
@@ -198,7 +198,7 @@
       server_->handler_(ExchangePtr(open_));
       in_handler_ = false;
     }
-    if (server_ && open_ && stream_->in().size() > server_->settings_.limits.max_header_bytes) {
+    if (server_ && open_ && stream_->input().size() > server_->settings_.limits.max_header_bytes) {
       stream_->read(false);
       watch_gone();
     }
@@ -223,7 +223,7 @@
       if (!closing_ && reader_.begun())
         return refuse(408, "the request took too long to come");
       // One that does not read its answers is not asking: what it has sent stays unread.
-      if (!closing_ && stream_->unwritten() == 0 && asking() && stream_->in().empty())
+      if (!closing_ && stream_->unwritten() == 0 && asking() && stream_->input().empty())
         return wait(asking_for);
       leave();
     });
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -8,6 +8,7 @@
 #include <set>
 
 #include "http/message.h"
+#include "net/listener.h"
 #include "net/stream.h"
 #include "time/time_types.h"
 
--- a/src/http/stream_client.cpp
+++ b/src/http/stream_client.cpp
@@ -44,7 +44,7 @@
 
 void StreamClient::on_bytes(net::Stream& stream) {
   auto keep = stream_;
-  const ParseResult read = reader_->read(stream.in());
+  const ParseResult read = reader_->read(stream.input());
   if (read == ParseResult::invalid)
     return end();
   if (reader_->status() == 200) {
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -1,7 +1,6 @@
 #include "net/loop.h"
 
 #include <Poco/ErrorHandler.h>
-#include <Poco/Net/StreamSocketImpl.h>
 #include <sys/eventfd.h>
 #include <sys/timerfd.h>
 #include <unistd.h>
@@ -12,57 +11,28 @@
 
 namespace robinhoist::net {
 namespace {
-constexpr std::size_t lateness_kept = 8192;
 
-// What one task throws must not cost the others their turn; it goes where the reactor sends what
-// handlers throw.
-void carry_out(const Loop::Task& task) {
+constexpr std::size_t max_lateness_samples = 8192;
+constexpr long reactor_timeout_s = 3600;  // the reactor's own time-outs are not used
+constexpr long nanoseconds_per_second = 1'000'000'000;
+
+// An exception of one task must not cost the others their turn: it goes to the handler that the
+// reactor gives the exceptions of its own handlers.
+void run_task(const Loop::Task& task) {
   try {
     task();
-  } catch (const std::exception& bad) {
-    Poco::ErrorHandler::handle(bad);
+  } catch (const std::exception& error) {
+    Poco::ErrorHandler::handle(error);
   }
 }
 
-void drain(int fd) {
+// Resets a timerfd or an eventfd that has become readable.
+void reset_counter(int fd) {
   std::uint64_t count = 0;
-  [[maybe_unused]] ssize_t got = ::read(fd, &count, sizeof count);
-}
-}  // namespace
-
-SteadyTime steady_now() {
-  return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
-}
-WallTime wall_now() {
-  return std::chrono::time_point_cast<Duration>(std::chrono::system_clock::now());
-}
-
-FdWatcher::FdWatcher(Loop& loop, int fd, std::function<void()> readable)
-    : loop_(loop), socket_(new Poco::Net::StreamSocketImpl(fd)), readable_(std::move(readable)) {
-  listen(true);
-}
-
-FdWatcher::~FdWatcher() {
-  listen(false);
-  socket_.close();
+  [[maybe_unused]] const ssize_t got = ::read(fd, &count, sizeof count);
 }
 
-void FdWatcher::listen(bool on) {
-  if (on == on_)
-    return;
-  on_ = on;
-  Poco::Observer<FdWatcher, Poco::Net::ReadableNotification> observer(*this,
-                                                                      &FdWatcher::on_readable);
-  if (on)
-    loop_.addEventHandler(socket_, observer);
-  else
-    loop_.removeEventHandler(socket_, observer);
-}
-
-void FdWatcher::on_readable(Poco::Net::ReadableNotification* notice) {
-  notice->release();
-  readable_();
-}
+}  // namespace
 
 Loop::Loop(SteadyTime epoch)
     : epoch_(epoch),
@@ -70,15 +40,15 @@
       event_fd_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
   if (timer_fd_ < 0 || event_fd_ < 0)
     throw std::runtime_error("no file descriptor left for the event loop");
-  setTimeout(Poco::Timespan(3600, 0));
-  timer_ = std::make_unique<FdWatcher>(*this, timer_fd_, [this] { on_timer(); });
-  event_ = std::make_unique<FdWatcher>(*this, event_fd_, [this] { on_posted(); });
+  setTimeout(Poco::Timespan(reactor_timeout_s, 0));
+  timer_watcher_ = std::make_unique<FdWatcher>(*this, timer_fd_, [this] { run_due_timers(); });
+  event_watcher_ = std::make_unique<FdWatcher>(*this, event_fd_, [this] { run_posted_tasks(); });
 }
 
 Loop::~Loop() = default;
 
 Loop::Timer Loop::at(TimePoint when, Task task) {
-  Timer timer{when, next_id_++};
+  const Timer timer{when, next_timer_id_++};
   tasks_.emplace(timer, std::move(task));
   if (tasks_.begin()->first == timer)
     arm();
@@ -86,75 +56,80 @@
 }
 
 void Loop::cancel(Timer& timer) {
-  if (timer.second != 0)
+  if (timer.id != 0)
     tasks_.erase(timer);
   timer = no_timer;
 }
 
-void Loop::pass(Duration time) {
+void Loop::advance(Duration time) {
   epoch_ -= time;
-  armed_ = TimePoint{};
+  armed_for_ = TimePoint{};
   arm();
 }
 
-// An earlier alarm than needed is left as it is: it finds nothing due and sets the next.
+// An alarm that is earlier than needed is left as it is: it finds nothing due and sets the next.
 void Loop::arm() {
   if (tasks_.empty())
     return;
-  TimePoint when = tasks_.begin()->first.first;
-  if (armed_ != TimePoint{} && armed_ <= when)
+  const TimePoint due = tasks_.begin()->first.due;
+  if (armed_for_ != TimePoint{} && armed_for_ <= due)
     return;
-  armed_ = when;
-  auto left = std::max(std::chrono::nanoseconds(1), std::chrono::nanoseconds(when - now()));
-  itimerspec spec{};
-  spec.it_value.tv_sec = left.count() / 1'000'000'000;
-  spec.it_value.tv_nsec = left.count() % 1'000'000'000;
-  timerfd_settime(timer_fd_, 0, &spec, nullptr);
+  armed_for_ = due;
+  const auto wait = std::max(std::chrono::nanoseconds(1), std::chrono::nanoseconds(due - now()));
+  itimerspec alarm{};
+  alarm.it_value.tv_sec = wait.count() / nanoseconds_per_second;
+  alarm.it_value.tv_nsec = wait.count() % nanoseconds_per_second;
+  timerfd_settime(timer_fd_, 0, &alarm, nullptr);
 }
 
-void Loop::on_timer() {
-  drain(timer_fd_);
-  armed_ = TimePoint{};
+void Loop::run_due_timers() {
+  reset_counter(timer_fd_);
+  armed_for_ = TimePoint{};
   const TimePoint until = now();  // what falls due meanwhile waits for sockets to have their turn
-  while (!tasks_.empty() && tasks_.begin()->first.first <= until) {
-    auto due = tasks_.extract(tasks_.begin());
-    const auto late = static_cast<std::int32_t>((now() - due.key().first).count());
-    if (lateness_.size() < lateness_kept)
-      lateness_.push_back(late);
-    else
-      lateness_[lateness_at_++ % lateness_kept] = late;
-    carry_out(due.mapped());
+  while (!tasks_.empty() && tasks_.begin()->first.due <= until) {
+    const auto next = tasks_.extract(tasks_.begin());
+    note_lateness(next.key().due);
+    run_task(next.mapped());
   }
   arm();
 }
 
-std::optional<std::int32_t> Loop::lateness(double part) const {
+void Loop::note_lateness(TimePoint due) {
+  const auto late = static_cast<std::int32_t>((now() - due).count());
+  if (lateness_.size() < max_lateness_samples)
+    lateness_.push_back(late);
+  else
+    lateness_[next_lateness_++ % max_lateness_samples] = late;
+}
+
+std::optional<std::int32_t> Loop::lateness(double quantile) const {
   if (lateness_.empty())
     return {};
-  std::vector<std::int32_t> late = lateness_;
-  auto at = late.begin() + static_cast<long>(part * static_cast<double>(late.size() - 1));
-  std::nth_element(late.begin(), at, late.end());
-  return *at;
+  std::vector<std::int32_t> sorted = lateness_;
+  const auto position =
+      sorted.begin() + static_cast<long>(quantile * static_cast<double>(sorted.size() - 1));
+  std::nth_element(sorted.begin(), position, sorted.end());
+  return *position;
 }
 
 void Loop::post(Task task) {
   {
-    std::lock_guard lock(mutex_);
+    const std::lock_guard lock(posted_mutex_);
     posted_.push_back(std::move(task));
   }
   const std::uint64_t one = 1;
-  [[maybe_unused]] ssize_t put = ::write(event_fd_, &one, sizeof one);
+  [[maybe_unused]] const ssize_t put = ::write(event_fd_, &one, sizeof one);
 }
 
-void Loop::on_posted() {
-  drain(event_fd_);
+void Loop::run_posted_tasks() {
+  reset_counter(event_fd_);
   std::vector<Task> tasks;
   {
-    std::lock_guard lock(mutex_);
+    const std::lock_guard lock(posted_mutex_);
     tasks.swap(posted_);
   }
-  for (Task& task : tasks)
-    carry_out(task);
+  for (const Task& task : tasks)
+    run_task(task);
 }
 
 void Loop::quit() {
@@ -163,8 +138,8 @@
 
 void Loop::call(const Task& task) {
   std::mutex mutex;
-  std::condition_variable done;
-  bool ready = false;
+  std::condition_variable changed;
+  bool done = false;
   std::exception_ptr thrown;
   post([&] {
     try {
@@ -172,25 +147,25 @@
     } catch (...) {
       thrown = std::current_exception();
     }
-    std::lock_guard lock(mutex);
-    ready = true;
-    done.notify_one();
+    const std::lock_guard lock(mutex);
+    done = true;
+    changed.notify_one();
   });
   std::unique_lock lock(mutex);
-  done.wait(lock, [&] { return ready; });
+  changed.wait(lock, [&] { return done; });
   if (thrown)
     std::rethrow_exception(thrown);
 }
 
 Timers::~Timers() {
-  for (auto& [id, timer] : held_)
+  for (auto& [key, timer] : timers_)
     loop_.cancel(timer);
 }
 
 void Timers::at(TimePoint when, Loop::Task task) {
-  const std::uint64_t id = next_++;
-  held_[id] = loop_.at(when, [this, id, task = std::move(task)] {
-    held_.erase(id);
+  const std::uint64_t key = next_key_++;
+  timers_[key] = loop_.at(when, [this, key, task = std::move(task)] {
+    timers_.erase(key);
     task();
   });
 }
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,13 +1,12 @@
-// One thread's event loop: POCO's SocketReactor for sockets, a timerfd for timers (the reactor's
-// own time-outs are whole milliseconds and fire only when nothing else happens), an eventfd for
-// work from other threads. Everything but post() and now() belongs to the loop's thread.
+/// One thread's event loop.
+///
+/// POCO's SocketReactor watches sockets; timers run off a timerfd, because the reactor's own
+/// time-outs are whole milliseconds and fire only when nothing else happens; an eventfd brings work
+/// from other threads. Unless stated otherwise, methods belong to the loop's thread.
 #pragma once
-#include <Poco/Net/SocketNotification.h>
 #include <Poco/Net/SocketReactor.h>
-#include <Poco/Net/StreamSocket.h>
-#include <Poco/Observer.h>
 
-#include <chrono>
+#include <compare>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -17,97 +16,97 @@
 #include <utility>
 #include <vector>
 
+#include "net/clock.h"
+#include "net/fd_watcher.h"
 #include "time/time_types.h"
 
 namespace robinhoist::net {
 
-// Time on this machine's steady clock, the same in every process; `epoch` is taken off by whoever
-// wants durations since a start.
-SteadyTime steady_now();
-// Time since 1970, for what crosses machines.
-WallTime wall_now();
-
-class Loop;
-
-// Something with a file descriptor that the loop reads; the callback runs whenever it is readable.
-class FdWatcher {
- public:
-  FdWatcher(Loop& loop, int fd, std::function<void()> readable);
-  ~FdWatcher();
-  FdWatcher(const FdWatcher&) = delete;
-  FdWatcher& operator=(const FdWatcher&) = delete;
-  // Off: the descriptor stays open, but nothing is heard of it.
-  void listen(bool on);
-
- private:
-  void on_readable(Poco::Net::ReadableNotification* notice);
-  Loop& loop_;
-  Poco::Net::StreamSocket socket_;
-  std::function<void()> readable_;
-  bool on_ = false;
+/// Names a timer that is set, for Loop::cancel(). Timers that are due at the same time run in the
+/// order in which they were set.
+struct TimerHandle {
+  TimePoint due{};
+  std::uint64_t id = 0;  ///< 0: none is set
+  // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads the generated comparison
+  auto operator<=>(const TimerHandle&) const = default;
 };
 
+/// The event loop: sockets, timers and tasks of one thread, in order of time.
 class Loop : public Poco::Net::SocketReactor {
  public:
   using Task = std::function<void()>;
-  using Timer = std::pair<TimePoint, std::uint64_t>;  // when, and which
-  static constexpr Timer no_timer{TimePoint{}, 0};
 
+  using Timer = TimerHandle;
+  /// The timer that is not set; cancelling it does nothing.
+  static constexpr Timer no_timer{};
+
+  /// `epoch` is the steady time that now() counts from; the machine's own zero by default.
+  /// Throws std::runtime_error when no file descriptor is left.
   explicit Loop(SteadyTime epoch = SteadyTime{});
   ~Loop() override;
 
+  /// The present time of this run. From any thread.
   TimePoint now() const { return TimePoint(steady_now() - epoch_); }
   SteadyTime epoch() const { return epoch_; }
+
+  /// Runs a task at a point in time, or as soon as possible after it.
   Timer at(TimePoint when, Task task);
+  /// Runs a task after a wait.
   Timer in(Duration wait, Task task) { return at(now() + wait, std::move(task)); }
+  /// Takes a timer back, if it has not run, and resets the name.
   void cancel(Timer& timer);
-  // As if so much time had passed: what falls due meanwhile runs next. For those who test long
-  // lives.
-  void pass(Duration time);
-  // From any thread: runs on the loop's thread, in order.
+
+  /// Runs a task on the loop's thread, in the order of the calls. From any thread.
   void post(Task task);
-  // From any thread: ends run() soon.
+  /// Ends run() soon. From any thread.
   void quit();
-  // From any thread but the loop's: runs there and waits until it is done; what it throws
-  // comes out here.
+  /// Runs a task on the loop's thread and waits for its end; rethrows what it throws. From any
+  /// thread but the loop's own.
   void call(const Task& task);
 
-  // How late timers ran, for measurements, in microseconds: below what this part of the last few
-  // thousand lie.
-  std::optional<std::int32_t> lateness(double part) const;
+  /// For tests of long lives: as if so much time had passed. What falls due meanwhile runs next.
+  void advance(Duration time);
+  /// For measurements: how late timers ran, in microseconds, as a quantile (0 to 1) of the last few
+  /// thousand. Nothing before the first.
+  std::optional<std::int32_t> lateness(double quantile) const;
+  /// How many timers are set.
   std::size_t timers() const { return tasks_.size(); }
 
  private:
-  void on_timer();
-  void on_posted();
+  void run_due_timers();
+  void run_posted_tasks();
   void arm();
+  void note_lateness(TimePoint due);
 
   SteadyTime epoch_;
-  int timer_fd_, event_fd_;
+  int timer_fd_;
+  int event_fd_;
   std::map<Timer, Task> tasks_{};
-  std::uint64_t next_id_ = 1;
-  TimePoint armed_{};
-  std::mutex mutex_{};
+  std::uint64_t next_timer_id_ = 1;
+  TimePoint armed_for_{};  // what the timerfd is set to; zero: not set
+  std::mutex posted_mutex_{};
   std::vector<Task> posted_{};
   std::vector<std::int32_t> lateness_{};
-  std::size_t lateness_at_ = 0;
-  std::unique_ptr<FdWatcher> timer_, event_;
+  std::size_t next_lateness_ = 0;
+  std::unique_ptr<FdWatcher> timer_watcher_;
+  std::unique_ptr<FdWatcher> event_watcher_;
 };
 
-// Timers that end with whoever set them: guards against a task that runs on an object that is gone.
+/// Timers that end with their owner, so that no task runs on an object that is gone.
 class Timers {
  public:
   explicit Timers(Loop& loop) : loop_(loop) {}
   ~Timers();
   Timers(const Timers&) = delete;
   Timers& operator=(const Timers&) = delete;
+
   void at(TimePoint when, Loop::Task task);
   void in(Duration wait, Loop::Task task) { at(loop_.now() + wait, std::move(task)); }
 
  private:
   Loop& loop_;
-  std::uint64_t next_ = 0;
-  std::map<std::uint64_t, Loop::Timer> held_{};
+  std::uint64_t next_key_ = 0;
+  std::map<std::uint64_t, Loop::Timer> timers_{};
 };
 
 }  // namespace robinhoist::net
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,10 +1,9 @@
-// A non-blocking TCP connection on a Loop, and the listener that takes them. A stream reads while
-// its owner lets it, writes at once as far as the kernel takes it and keeps the rest, and says once
-// that it has closed.
+/// A non-blocking TCP connection on a loop.
 #pragma once
-#include <Poco/Net/ServerSocket.h>
 #include <Poco/Net/SocketAddress.h>
+#include <Poco/Net/StreamSocket.h>
 
+#include <memory>
 #include <string>
 #include <string_view>
 
@@ -12,97 +11,95 @@
 
 namespace robinhoist::net {
 
-enum class CloseReason { by_peer, reset, refused, local };
+/// How a connection ended.
+enum class CloseReason {
+  by_peer,  ///< the peer ended its side
+  reset,    ///< it broke
+  refused,  ///< it never came up
+  local     ///< we ended it, and the peer has followed
+};
 
+/// A TCP connection. It reads while its owner lets it, writes at once as far as the kernel takes it
+/// and keeps the rest, and tells its end once.
 class Stream : public std::enable_shared_from_this<Stream> {
  public:
-  // The owner outlives its part in the stream: it calls drop() before it goes.
+  /// Whoever a stream reports to. The owner outlives its part in the stream: it calls drop() before
+  /// it goes.
   struct Owner {
     virtual ~Owner() = default;
+    /// The connection is up; not for adopted ones.
     virtual void on_open(Stream&) {}
-    virtual void on_bytes(Stream&) = 0;  // stream.in() has grown
-    virtual void on_written(Stream&) {}  // all that was to be written is with the kernel
-    virtual void on_closed(Stream&, CloseReason how) = 0;
+    /// input() has grown.
+    virtual void on_bytes(Stream&) = 0;
+    /// All that was to be written is with the kernel.
+    virtual void on_written(Stream&) {}
+    virtual void on_closed(Stream&, CloseReason reason) = 0;
   };
 
-  static std::shared_ptr<Stream> connect(Loop& loop, const Poco::Net::SocketAddress& to,
+  /// Begins to connect; how it went comes by on_open or on_closed, never from inside this call.
+  static std::shared_ptr<Stream> connect(Loop& loop, const Poco::Net::SocketAddress& address,
                                          Owner& owner);
+  /// Takes over the descriptor of a connection that is up.
   static std::shared_ptr<Stream> adopt(Loop& loop, int fd, Owner& owner);
   ~Stream();
 
-  std::string& in() { return in_; }
+  /// What has been received and not yet consumed; the owner erases what it has used from the front.
+  std::string& input() { return input_; }
   void write(std::string_view bytes);
-  std::size_t unwritten() const { return out_.size() - out_at_; }
-  // Stops and starts reading: back-pressure towards the peer.
-  void read(bool on);
-  // Ends the connection once all is written: tells the peer so, and reads on without a use for it
-  // until the peer ends it too, for what lies unread at a close turns it into a reset that may
-  // destroy what was written. The owner hears of it by on_closed, later and once, and bounds the
-  // time.
+  /// Bytes that the kernel has not taken yet.
+  std::size_t unwritten() const { return output_.size() - written_; }
+  /// Stops and starts reading: back-pressure towards the peer.
+  void read(bool enabled);
+
+  /// Ends the connection gracefully once all is written: sending ends, and what comes is read and
+  /// thrown away until the peer ends too. A close with unread bytes would be a reset, which may
+  /// destroy what was written. The owner hears of it by on_closed, later and once, and bounds the
+  /// time.
   void finish();
-  // Ends it now; the owner hears nothing any more. With `reset` the peer sees a broken connection.
+  /// Ends the connection now, without a further word to the owner. With `reset` the peer sees it
+  /// break.
   void drop(bool reset = false);
+
   bool open() const { return state_ == State::open; }
-  // Whether there is nothing to be read, not even the peer's end.
+  /// Whether there is nothing to be read, not even the peer's end.
   bool quiet() const;
-  // Whether the peer has ended its side, though what it sent before is still unread.
+  /// Whether the peer has ended its side, though what it sent before may be unread.
   bool peer_ended() const;
-  std::uint64_t received() const { return received_; }
-  std::uint64_t sent() const { return sent_; }
   std::string peer() const { return peer_; }
 
  private:
   enum class State { connecting, open, closed };
-  Stream(Loop& loop, Poco::Net::StreamSocket socket, State state, Owner& owner);
-  void on_readable(Poco::Net::ReadableNotification* notice);
-  void on_writable(Poco::Net::WritableNotification* notice);
-  void on_error(Poco::Net::ErrorNotification* notice);
-  void want_read(bool on);
-  void want_write(bool on);
-  void watch_anew();
-  bool flush();
-  void close(CloseReason how);
+
+  Stream(Loop& loop, const Poco::Net::StreamSocket& socket, State state, Owner& owner);
+  void handle_readable(Poco::Net::ReadableNotification* notification);
+  void handle_writable(Poco::Net::WritableNotification* notification);
+  void handle_error(Poco::Net::ErrorNotification* notification);
+  bool handle_connected();
+  void handle_input(std::string_view bytes);
+  void want_read(bool enabled);
+  void want_write(bool enabled);
+  void register_with_loop();
+  void reregister_handlers();
   void leave_loop();
-  void begin();
+  bool flush();
+  void close(CloseReason reason);
   void end_sending();
+  int fd() const;
 
   Loop& loop_;
   Poco::Net::StreamSocket socket_;
   State state_;
-  Owner* owner_;
-  std::string in_{}, out_{}, peer_{};
-  std::size_t out_at_ = 0;
-  std::uint64_t received_ = 0, sent_ = 0;
-  bool reading_ = false, writing_ = false, finishing_ = false, watching_ = false, wanted_ = true,
-       peer_done_ = false;
-};
-
-class Listener {
- public:
-  // Port 0 takes any; port() tells which. Throws std::runtime_error with the address when it can't
-  // be had.
-  Listener(Loop& loop, const std::string& address, std::function<void(int fd)> accepted);
-  ~Listener();
-  Listener(const Listener&) = delete;
-  Listener& operator=(const Listener&) = delete;
-  int port() const { return port_; }
-  // Takes those who wait and then no more: what the kernel has accepted is not left to break.
-  void finish();
-  // While paused, new clients keep their place in the kernel's queue.
-  void pause(bool on);
-  // How often the process had no file descriptor left for a new connection.
-  long starved() const { return starved_; }
-
- private:
-  void on_readable();
-
-  Loop& loop_;
-  int fd_ = -1, port_ = 0;
-  bool paused_ = false;
-  std::function<void(int)> accepted_;
-  std::unique_ptr<FdWatcher> watched_{};
-  Loop::Timer again_ = Loop::no_timer;
-  long starved_ = 0;
+  Owner* owner_;  // null: nobody is to hear of anything any more
+  std::string input_{};
+  std::string output_{};
+  std::size_t written_ = 0;  // of output_
+  std::string peer_{};
+  bool registered_ = false;
+  bool reading_ = false;
+  bool writing_ = false;
+  bool read_enabled_ = true;  // as the owner wants it
+  bool finishing_ = false;
+  bool peer_done_ = false;
 };
 
 }  // namespace robinhoist::net
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -47,7 +47,7 @@
 }
 
 void Service::wake() {
-  if (wake_.second != 0)
+  if (wake_.id != 0)
     return;
   wake_ = loop_.in(gather, [this] {
     wake_ = net::Loop::no_timer;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -227,7 +227,7 @@
   discovery.start([&](const registry::Update& news) { versions.push_back(news.version); });
   loop.in(100ms, [&] {
     EXPECT_TRUE(versions.empty());
-    loop.pass(6s);
+    loop.advance(6s);
     loop.in(800ms, [&] { loop.stop(); });
   });
   loop.run();
@@ -640,7 +640,7 @@
     stage.loop.call([&] {
       stage.clients.clear();
       stage.scripted.clear();
-      stage.loop.pass(61s);
+      stage.loop.advance(61s);
     });
     std::this_thread::sleep_for(20ms);
     stage.loop.call([&] {
--- a/tests/stage.h
+++ b/tests/stage.h
@@ -32,7 +32,7 @@
     Conn(ScriptNode& of, int fd) : endpoint(of), stream(net::Stream::adopt(of.loop, fd, *this)) {}
     ~Conn() override { stream->drop(); }
     void on_bytes(net::Stream&) override {
-      while (stream->open() && reader.read(stream->in()) == http::ParseResult::complete) {
+      while (stream->open() && reader.read(stream->input()) == http::ParseResult::complete) {
         endpoint.last = reader.take();
         act(endpoint.next());
       }
@@ -163,8 +163,8 @@
   bool closed = false;
   net::CloseReason how{};
   void on_bytes(net::Stream& s) override {
-    got += s.in();
-    s.in().clear();
+    got += s.input();
+    s.input().clear();
   }
   void on_closed(net::Stream&, net::CloseReason by) override { closed = true, how = by; }
   ~RawClient() override { stream->drop(); }
