--- a/fuzz/framing_fuzz.cpp
+++ b/fuzz/framing_fuzz.cpp
@@ -4,6 +4,7 @@
 #include <cstdint>
 #include <string>
 
+#include "http/parser.h"
 #include "http/message.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -64,7 +64,7 @@
   // News is told so much later from here on; the clock stands still while silent or failing.
   void told_after(Duration lag) { lag_ = lag; }
   void trouble(Trouble trouble, double half_count);
-  void break_connections() { server_->cut(); }
+  void break_connections() { server_->reset_connections(); }
   int port() const { return server_->port(); }
 
  private:
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -185,10 +185,10 @@
 
 void Clients::note_unasked() {
   for (std::size_t u = 0; u < fronts_.size(); ++u)
-    if (fronts_[u]->unasked() > 0)
+    if (fronts_[u]->unsolicited() > 0)
       record_.line(json::Out()
                        .open()
-                       .put("unasked", fronts_[u]->unasked())
+                       .put("unasked", fronts_[u]->unsolicited())
                        .put("umpire", "umpire-" + std::to_string(u))
                        .close()
                        .text());
--- /dev/null
+++ b/src/http/client_connection.cpp
@@ -0,0 +1,187 @@
+#include "http/client_connection.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "http/serializer.h"
+
+namespace robinhoist::http {
+
+ClientConnection::ClientConnection(ConnectionPool& pool)
+    : pool_(&pool), budget_(pool.settings_.budget), reader_(pool.settings_.limits) {
+  if (budget_)
+    ++budget_->open_;
+}
+
+ClientConnection::~ClientConnection() {
+  shut(false);
+}
+
+void ClientConnection::connect() {
+  stream_ = net::Stream::connect(pool_->loop_, pool_->peer_, *this);
+  connect_timer_ = pool_->loop_.in(pool_->settings_.connect_timeout, [this] {
+    connect_timer_ = net::Loop::no_timer;
+    end(CallResult::connect_failed);
+  });
+}
+
+void ClientConnection::carry(ConnectionPool::Id id, Request request, Duration timeout,
+                             ConnectionPool::Done done, ConnectionPool::BeforeSend before_send) {
+  id_ = id;
+  done_ = std::move(done);
+  request_ = std::move(request);
+  before_send_ = std::move(before_send);
+  deadline_ = pool_->loop_.now() + timeout;
+  pool_->loop_.cancel(timer_);
+  timer_ = pool_->loop_.in(timeout, [this] {
+    timer_ = net::Loop::no_timer;
+    end(written_whole() ? CallResult::timed_out : CallResult::connect_failed);
+  });
+  reader_.expect(request_.method == "HEAD");
+  written_ = false;
+  if (stream_ && stream_->open())
+    send();
+}
+
+void ClientConnection::on_open(net::Stream& /*stream*/) {
+  pool_->loop_.cancel(connect_timer_);
+  send();
+}
+
+void ClientConnection::on_bytes(net::Stream& stream) {
+  const auto self = shared_from_this();
+  if (!busy()) {
+    ++pool_->unsolicited_;
+    end(CallResult::malformed);
+    return;
+  }
+  const ParseResult result = reader_.read(stream.input());
+  if (result == ParseResult::invalid)
+    end(CallResult::malformed);
+  else if (result == ParseResult::complete)
+    finish_call();
+}
+
+void ClientConnection::on_closed(net::Stream& stream, net::CloseReason reason) {
+  const auto self = shared_from_this();
+  if (busy() && reason == net::CloseReason::by_peer && reader_.begun() &&
+      reader_.read(stream.input(), true) == ParseResult::complete) {
+    finish_call();
+    return;
+  }
+  if (!written_whole())
+    end(CallResult::connect_failed);
+  else if (reader_.error().status != 0 && reader_.begun())
+    end(CallResult::malformed);
+  else
+    end(CallResult::connection_lost);
+}
+
+void ClientConnection::end(CallResult result) {
+  if (!pool_)
+    return;
+  const auto self = shared_from_this();
+  ConnectionPool* pool = std::exchange(pool_, nullptr);
+  pool->loop_.cancel(timer_);
+  pool->loop_.cancel(connect_timer_);
+  shut(result == CallResult::cancelled || result == CallResult::timed_out);
+  pool->remove(this);
+  if (result == CallResult::connection_lost)
+    note_reuse(true);
+  report(result, {});
+}
+
+void ClientConnection::abandon() {
+  done_ = nullptr;
+  end(CallResult::cancelled);
+}
+
+bool ClientConnection::usable() const {
+  return pool_ && stream_ && stream_->open() && stream_->quiet();
+}
+
+// All of the request is with the kernel.
+bool ClientConnection::written_whole() const {
+  return written_ && stream_->unwritten() == 0;
+}
+
+Duration ClientConnection::idle_time() const {
+  return pool_->loop_.now() - idle_since_;
+}
+
+void ClientConnection::begin_reuse() {
+  leave_idle_list();
+  reused_after_ = idle_time();
+}
+
+void ClientConnection::leave_idle_list() {
+  if (idle_position_)
+    budget_->idle_.erase(*idle_position_);
+  idle_position_.reset();
+}
+
+void ClientConnection::shut(bool reset) {
+  if (std::exchange(shut_, true))
+    return;
+  if (stream_)
+    stream_->drop(reset);
+  if (!budget_)
+    return;
+  leave_idle_list();
+  --budget_->open_;
+}
+
+void ClientConnection::send() {
+  written_ = true;
+  if (before_send_)
+    before_send_(request_, std::max(Duration(1), deadline_ - pool_->loop_.now()));
+  std::string bytes;
+  serialize(bytes, request_, pool_->host_);
+  request_ = {};  // not kept: endpoints are many, and requests may be large
+  before_send_ = nullptr;
+  stream_->write(bytes);
+}
+
+void ClientConnection::finish_call() {
+  Response response = reader_.take();
+  note_reuse(false);
+  const auto self = shared_from_this();
+  const bool unsolicited_bytes = !stream_->input().empty();
+  if (unsolicited_bytes)
+    ++pool_->unsolicited_;
+  // A connection with bytes behind the response is not used again.
+  if (response.keep_alive && stream_->open() && !unsolicited_bytes) {
+    become_idle();
+  } else {
+    ConnectionPool* pool = std::exchange(pool_, nullptr);
+    pool->loop_.cancel(timer_);
+    shut(false);
+    pool->remove(this);
+  }
+  report(CallResult::answered, std::move(response));
+}
+
+void ClientConnection::become_idle() {
+  pool_->loop_.cancel(timer_);
+  timer_ = pool_->loop_.in(pool_->settings_.idle_timeout, [this] {
+    timer_ = net::Loop::no_timer;
+    end(CallResult::cancelled);
+  });
+  pool_->idle_.push_back(this);
+  idle_since_ = pool_->loop_.now();
+  if (budget_)
+    idle_position_ = budget_->idle_.insert(budget_->idle_.end(), this);
+}
+
+void ClientConnection::note_reuse(bool broke) {
+  if (budget_ && reused_after_)
+    budget_->reuses_.push({*reused_after_, broke});
+  reused_after_.reset();
+}
+
+void ClientConnection::report(CallResult result, Response&& response) {
+  if (const auto done = std::exchange(done_, nullptr))
+    done(result, std::move(response));
+}
+
+}  // namespace robinhoist::http
--- /dev/null
+++ b/src/http/exchange.cpp
@@ -0,0 +1,61 @@
+#include "http/exchange.h"
+
+#include <utility>
+
+#include "http/server_connection.h"
+
+namespace robinhoist::http {
+
+Exchange::Exchange(std::weak_ptr<ServerConnection> connection, Request request, TimePoint at,
+                   bool first)
+    : request(std::move(request)), at(at), first(first), connection_(std::move(connection)) {}
+
+Exchange::~Exchange() {
+  if (!answered_)
+    answer(text_response(500, "the request got lost inside\n"));
+}
+
+void Exchange::answer(Response response) {
+  if (answered_)
+    return;
+  answered_ = true;
+  if (const auto connection = connection_.lock())
+    connection->answer(std::move(response));
+}
+
+void Exchange::abort_connection() {
+  if (answered_ && !streaming_)
+    return;
+  answered_ = true;
+  if (const auto connection = connection_.lock())
+    connection->leave(true);
+}
+
+void Exchange::begin_stream(const Response& head) {
+  if (answered_)
+    return;
+  answered_ = true;
+  streaming_ = true;
+  if (const auto connection = connection_.lock())
+    connection->begin_stream(head);
+}
+
+bool Exchange::write(std::string_view bytes) {
+  const auto connection = connection_.lock();
+  return connection && connection->write_chunk(bytes);
+}
+
+void Exchange::end(std::string_view last_bytes) {
+  if (!streaming_)
+    return;
+  streaming_ = false;
+  if (const auto connection = connection_.lock())
+    connection->end_stream(last_bytes);
+}
+
+std::size_t Exchange::unwritten() const {
+  const auto connection = connection_.lock();
+  return connection ? connection->unwritten() : 0;
+}
+
+}  // namespace robinhoist::http
--- a/src/http/long_poll.cpp
+++ b/src/http/long_poll.cpp
@@ -1,53 +1,59 @@
 #include "http/long_poll.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace robinhoist::http {
 namespace {
-constexpr Duration most_wait = std::chrono::seconds(60);
 
-std::int64_t whole_or(const std::string& text, std::int64_t absent) {
-  if (text.empty() || text.size() > 15 || text.find_first_not_of("0123456789") != std::string::npos)
-    return absent;
-  return std::stoll(text);
+constexpr Duration max_wait = std::chrono::seconds(60);
+constexpr std::size_t max_digits = 15;
+
+std::int64_t number_or_zero(const std::string& text) {
+  const bool is_number = !text.empty() && text.size() <= max_digits &&
+                         text.find_first_not_of("0123456789") == std::string::npos;
+  return is_number ? std::stoll(text) : 0;
 }
+
 }  // namespace
 
 LongPoll::~LongPoll() {
-  for (Waiting& one : waiting_) {
-    loop_.cancel(one.timer);
-    one.query.exchange->on_disconnect = nullptr;
+  for (Waiting& waiting : waiting_) {
+    loop_.cancel(waiting.timer);
+    waiting.query.exchange->on_disconnect = nullptr;
   }
 }
 
 LongPoll::Query LongPoll::read(const ExchangePtr& exchange) {
   const Request& request = exchange->request;
-  const auto wait = std::min<Duration>(
-      most_wait, std::chrono::milliseconds(whole_or(request.query("wait_ms"), 0)));
-  return {exchange, request.query("umpire"), request.query("series"),
-          whole_or(request.query("since"), 0), wait};
+  const std::chrono::milliseconds wait(number_or_zero(request.query("wait_ms")));
+  return {.exchange = exchange,
+          .proxy = request.query("umpire"),
+          .series = request.query("series"),
+          .since = number_or_zero(request.query("since")),
+          .wait = std::min<Duration>(max_wait, wait)};
 }
 
 void LongPoll::wait(Query query) {
   waiting_.push_back({std::move(query)});
-  auto at = std::prev(waiting_.end());
-  at->timer = loop_.in(at->query.wait, [this, at] { answer(at); });
-  at->query.exchange->on_disconnect = [this, at] {
-    loop_.cancel(at->timer);
-    waiting_.erase(at);
+  const auto position = std::prev(waiting_.end());
+  position->timer = loop_.in(position->query.wait, [this, position] { answer(position); });
+  position->query.exchange->on_disconnect = [this, position] {
+    loop_.cancel(position->timer);
+    waiting_.erase(position);
   };
 }
 
-void LongPoll::answer(std::list<Waiting>::iterator at) {
-  loop_.cancel(at->timer);
-  const Query query = std::move(at->query);
+void LongPoll::answer(Position position) {
+  loop_.cancel(position->timer);
+  const Query query = std::move(position->query);
   query.exchange->on_disconnect = nullptr;
-  waiting_.erase(at);
+  waiting_.erase(position);
   answer_(query);
 }
 
-// Those who wait now; one that asks again while others are answered waits for the next time.
-void LongPoll::wake() {
+// One that asks again while others are answered waits for the next time.
+void LongPoll::notify() {
   for (std::size_t left = waiting_.size(); left > 0 && !waiting_.empty(); --left)
     answer(waiting_.begin());
 }
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,36 +1,47 @@
-// HTTP/1.1 messages (RFC 9110, 9112) as plain values, and their framing on plain buffers by
-// Boost.Beast's parser. No sockets here.
+/// HTTP/1.1 messages (RFC 9110, 9112) as plain values. No sockets here: parser.h reads them from a
+/// buffer, serializer.h writes them into one.
 #pragma once
 #include <cstddef>
-#include <memory>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 namespace robinhoist::http {
 
+/// One header field.
+struct Header {
+  std::string name;
+  std::string value;
+};
+
+/// Header fields in the order in which they came. Names are compared whatever their case.
 class Headers {
  public:
-  void add(std::string_view name, std::string_view value) { all_.emplace_back(name, value); }
+  void add(std::string_view name, std::string_view value) {
+    fields_.push_back({std::string(name), std::string(value)});
+  }
+  /// Replaces all fields of that name.
   void set(std::string_view name, std::string_view value);
-  // The first of that name, whatever its case; empty when there is none.
+  /// The first of that name; empty when there is none.
   std::string_view get(std::string_view name) const;
   bool has(std::string_view name) const;
-  void clear() { all_.clear(); }
-  const std::vector<std::pair<std::string, std::string>>& all() const { return all_; }
+  void clear() { fields_.clear(); }
+  const std::vector<Header>& all() const { return fields_; }
 
  private:
-  std::vector<std::pair<std::string, std::string>> all_{};
+  std::vector<Header> fields_{};
 };
 
 struct Request {
-  std::string method{"GET"}, target{"/"}, body{};
+  std::string method{"GET"};
+  std::string target{"/"};
+  std::string body{};
   Headers headers{};
   bool keep_alive = true;
 
+  /// The target without its query.
   std::string_view path() const { return std::string_view(target).substr(0, target.find('?')); }
-  // The value of a query parameter, percent-decoded; empty when there is none.
+  /// The value of a query parameter, percent-decoded; empty when there is none.
   std::string query(std::string_view name) const;
 };
 
@@ -41,87 +52,29 @@
   bool keep_alive = true;
 };
 
+/// What is taken of a message; more is refused.
 struct MessageLimits {
-  std::size_t max_header_bytes = 16 * 1024, max_body_bytes = 1024 * 1024;  // bytes
-  bool require_length =
-      false;  // an answer whose end is only the connection's is none: it can't be told from a part
+  std::size_t max_header_bytes = std::size_t{16} * 1024;
+  std::size_t max_body_bytes = std::size_t{1024} * 1024;
+  /// Refuses a response that ends with its connection only: it can't be told from a part of one.
+  bool require_length = false;
 };
 
+/// The standard reason phrase of a status; empty for an unknown one.
 std::string_view reason(int status);
-bool equals_ignoring_case(std::string_view a, std::string_view b);  // whatever the case
-std::string percent_decoded(std::string_view text);
-
-// Appends a message; the length is stated unless the status has no body.
-void serialize(std::string& out, const Request& request, std::string_view host);
-void serialize(std::string& out, const Response& response, bool head_only);
-// Chunked: a head first, then each piece, then the end.
-void serialize_head(std::string& out, const Response& response);
-void serialize_chunk(std::string& out, std::string_view piece);
-void serialize_last_chunk(std::string& out);
-
-// Copies what belongs to the message itself and not to the hop (RFC 9110, 7.6.1).
-void copy_end_to_end(const Headers& from, Headers& to);
-
-enum class ParseResult { incomplete, complete, invalid };
-
-// What is wrong with what a peer sent, and the status that tells it so.
-struct ParseError {
-  int status = 0;
-  std::string why{};
-};
-
-// Reads one request after another from a buffer whose front it consumes.
-class RequestReader {
- public:
-  explicit RequestReader(MessageLimits limits);
-  ~RequestReader();
-  // After `whole`, take() gives the request and the next read() begins another.
-  ParseResult read(std::string& in);
-  Request take();
-  const ParseError& error() const { return error_; }
-  bool begun() const;     // some of a message has come
-  bool wants_continue();  // true once, when the head asks to be told to go on
- private:
-  struct Parser;
-  MessageLimits limits_;
-  std::unique_ptr<Parser> parser_;
-  ParseError error_{};
-};
 
-class ResponseReader {
- public:
-  explicit ResponseReader(MessageLimits limits);
-  ~ResponseReader();
-  // Before each answer; the answer to a HEAD has no body.
-  void expect(bool head_only);
-  // `ended`: the peer has closed, which ends an answer without a length.
-  ParseResult read(std::string& in, bool ended = false);
-  Response take();
-  const ParseError& error() const { return error_; }
-  bool begun() const { return begun_; }  // some of the answer has come
+/// Compares ASCII words whatever their case.
+bool equals_ignoring_case(std::string_view a, std::string_view b);
 
- private:
-  struct Parser;
-  MessageLimits limits_;
-  std::unique_ptr<Parser> parser_;
-  ParseError error_{};
-  bool begun_ = false, head_only_ = false;
-};
+/// Decodes %XX and + of a query or a path segment; what is no valid escape stays as it is.
+std::string percent_decoded(std::string_view text);
 
-// Reads chunks of an endless answer (a watch) as they come: bytes of body, not messages.
-class StreamReader {
- public:
-  explicit StreamReader(MessageLimits limits);
-  ~StreamReader();
-  ParseResult read(std::string& in);  // `whole` at the end
-  int status() const;                 // 0 before the head
-  std::string& body() { return body_; }
+/// Copies the fields that belong to the message itself and not to the hop (RFC 9110, 7.6.1).
+void copy_end_to_end(const Headers& from, Headers& to);
 
- private:
-  struct Parser;
-  MessageLimits limits_;
-  std::unique_ptr<Parser> parser_;
-  std::string body_{};
-};
+/// A response of plain text.
+Response text_response(int status, std::string_view text);
+/// A response of JSON text.
+Response json_response(int status, std::string body);
 
 }  // namespace robinhoist::http
--- /dev/null
+++ b/src/http/parser.cpp
@@ -0,0 +1,257 @@
+#include "http/parser.h"
+
+#include <boost/asio/buffer.hpp>
+#include <boost/beast/http.hpp>
+#include <limits>
+#include <optional>
+#include <utility>
+
+namespace robinhoist::http {
+namespace beast = boost::beast::http;
+namespace {
+
+using Error = boost::beast::error_code;
+
+std::string_view view(boost::beast::string_view text) {
+  return {text.data(), text.size()};
+}
+
+// Feeds a parser with the front of a buffer, head and body apart. In one go Beast would forget that
+// the body is over the limit, make room for all that was claimed, and read on.
+template <class BeastParser>
+Error feed(BeastParser& parser, std::string& input, std::size_t max_body_bytes) {
+  Error error;
+  std::size_t consumed = 0;
+  do {
+    error = {};
+    if (parser.is_header_done()) {
+      if (parser.content_length().value_or(0) > max_body_bytes) {
+        error = beast::error::body_limit;
+        break;
+      }
+      parser.eager(true);
+    }
+    const std::size_t used =
+        parser.put(boost::asio::buffer(input.data() + consumed, input.size() - consumed), error);
+    consumed += used;
+    if (error || used == 0)
+      break;
+  } while (!parser.is_done() && consumed < input.size());
+  input.erase(0, consumed);
+  return error;
+}
+
+ParseError parse_error_of(const Error& error) {
+  if (error == beast::error::body_limit)
+    return {413, "the body is larger than allowed"};
+  if (error == beast::error::header_limit)
+    return {431, "the head is larger than allowed"};
+  if (error == beast::error::bad_version)
+    return {505, "not HTTP/1.0 or HTTP/1.1"};
+  return {400, error.message()};
+}
+
+template <class Message>
+void copy_headers(const Message& from, Headers& to) {
+  for (const auto& field : from)
+    to.add(view(field.name_string()), view(field.value()));
+}
+
+template <class BeastParser>
+void set_limits(BeastParser& parser, const MessageLimits& limits) {
+  parser.header_limit(static_cast<std::uint32_t>(limits.max_header_bytes));
+  parser.body_limit(limits.max_body_bytes);
+}
+
+// Empty lines before a request are passed over (RFC 9112, 2.2).
+void skip_empty_lines(std::string& input) {
+  std::size_t blank = 0;
+  while (input.compare(blank, 2, "\r\n") == 0)
+    blank += 2;
+  input.erase(0, blank);
+}
+
+// Two readings of where a request ends (RFC 9112, 6.1) could hide another request in it.
+template <class Message>
+bool length_is_ambiguous(const Message& message, bool chunked) {
+  return message.count(beast::field::transfer_encoding) > 0 &&
+         (!chunked || message.count(beast::field::content_length) > 0);
+}
+
+}  // namespace
+
+struct RequestReader::Parser {
+  std::optional<beast::request_parser<beast::string_body>> beast_parser{};
+  bool begun = false;
+  bool continue_sent = false;
+};
+
+RequestReader::RequestReader(MessageLimits limits)
+    : limits_(limits), parser_(std::make_unique<Parser>()) {}
+
+RequestReader::~RequestReader() = default;
+
+bool RequestReader::begun() const {
+  return parser_->begun;
+}
+
+ParseResult RequestReader::read(std::string& input) {
+  if (error_.status != 0)
+    return ParseResult::invalid;
+  auto& parser = parser_->beast_parser;
+  if (!parser) {
+    skip_empty_lines(input);
+    if (input.empty())
+      return ParseResult::incomplete;
+    parser.emplace();
+    set_limits(*parser, limits_);
+    parser_->begun = true;
+    parser_->continue_sent = false;
+  }
+  if (input.empty())
+    return ParseResult::incomplete;
+  Error error = feed(*parser, input, limits_.max_body_bytes);
+  if (error == beast::error::need_more) {
+    // What the parser leaves is one line without its end, of the head or before a chunk. It must
+    // not grow for ever.
+    if (input.size() <= limits_.max_header_bytes)
+      return ParseResult::incomplete;
+    error = beast::error::header_limit;
+  }
+  if (error) {
+    error_ = parse_error_of(error);
+    return ParseResult::invalid;
+  }
+  if (parser->is_header_done() && length_is_ambiguous(parser->get(), parser->chunked())) {
+    error_ = {400, "where the body ends is not clear"};
+    return ParseResult::invalid;
+  }
+  return parser->is_done() ? ParseResult::complete : ParseResult::incomplete;
+}
+
+bool RequestReader::wants_continue() {
+  const auto& parser = parser_->beast_parser;
+  if (!parser || parser_->continue_sent || !parser->is_header_done() || parser->is_done())
+    return false;
+  const auto& message = parser->get();
+  if (message.version() < 11 ||
+      !equals_ignoring_case(view(message[beast::field::expect]), "100-continue"))
+    return false;
+  parser_->continue_sent = true;
+  return true;
+}
+
+Request RequestReader::take() {
+  auto message = parser_->beast_parser->release();
+  parser_->beast_parser.reset();
+  parser_->begun = false;
+  Request request;
+  request.method = view(message.method_string());
+  request.target = view(message.target());
+  request.keep_alive = message.keep_alive();
+  copy_headers(message, request.headers);
+  request.body = std::move(message.body());
+  return request;
+}
+
+struct ResponseReader::Parser {
+  std::optional<beast::response_parser<beast::string_body>> beast_parser{};
+};
+
+ResponseReader::ResponseReader(MessageLimits limits)
+    : limits_(limits), parser_(std::make_unique<Parser>()) {}
+
+ResponseReader::~ResponseReader() = default;
+
+void ResponseReader::expect(bool head_only) {
+  head_only_ = head_only;
+  begun_ = false;
+  error_ = {};
+  auto& parser = parser_->beast_parser;
+  parser.emplace();
+  set_limits(*parser, limits_);
+  if (head_only)
+    parser->skip(true);
+}
+
+ParseResult ResponseReader::read(std::string& input, bool ended) {
+  if (error_.status != 0)
+    return ParseResult::invalid;
+  auto& parser = *parser_->beast_parser;
+  Error error;
+  if (!input.empty()) {
+    begun_ = true;
+    error = feed(parser, input, limits_.max_body_bytes);
+    if (error == beast::error::need_more) {
+      error = {};
+      if (input.size() > limits_.max_header_bytes)
+        error = beast::error::header_limit;
+    }
+  }
+  if (!error && ended && !parser.is_done())
+    parser.put_eof(error);
+  if (error) {
+    error_ = parse_error_of(error);
+    return ParseResult::invalid;
+  }
+  if (limits_.require_length && parser.is_header_done() && parser.need_eof()) {
+    error_ = {400, "an answer without a length"};
+    return ParseResult::invalid;
+  }
+  if (!parser.is_done())
+    return ParseResult::incomplete;
+  const unsigned status = parser.get().result_int();
+  const bool interim = status >= 100 && status < 200 && status != 101;
+  if (!interim)
+    return ParseResult::complete;
+  expect(head_only_);
+  return input.empty() ? ParseResult::incomplete : read(input, ended);
+}
+
+Response ResponseReader::take() {
+  auto message = parser_->beast_parser->release();
+  parser_->beast_parser.reset();
+  Response response;
+  response.status = static_cast<int>(message.result_int());
+  response.keep_alive = message.keep_alive();
+  copy_headers(message, response.headers);
+  response.body = std::move(message.body());
+  return response;
+}
+
+struct StreamReader::Parser {
+  beast::response_parser<beast::string_body> beast_parser{};
+};
+
+StreamReader::StreamReader(MessageLimits limits)
+    : limits_(limits), parser_(std::make_unique<Parser>()) {
+  auto& parser = parser_->beast_parser;
+  parser.header_limit(static_cast<std::uint32_t>(limits.max_header_bytes));
+  // No limit on the whole body; none at all would read as less than any length (Beast 1.74).
+  parser.body_limit(std::numeric_limits<std::uint64_t>::max());
+}
+
+StreamReader::~StreamReader() = default;
+
+int StreamReader::status() const {
+  const auto& parser = parser_->beast_parser;
+  return parser.is_header_done() ? static_cast<int>(parser.get().result_int()) : 0;
+}
+
+ParseResult StreamReader::read(std::string& input) {
+  auto& parser = parser_->beast_parser;
+  if (!input.empty()) {
+    const Error error = feed(parser, input, limits_.max_body_bytes);
+    if (error && error != beast::error::need_more)
+      return ParseResult::invalid;
+  }
+  if (input.size() > limits_.max_header_bytes)
+    return ParseResult::invalid;  // one line without its end
+  if (parser.is_header_done()) {
+    body_ += parser.get().body();
+    parser.get().body().clear();
+  }
+  return parser.is_done() ? ParseResult::complete : ParseResult::incomplete;
+}
+
+}  // namespace robinhoist::http
--- a/src/http/stream_client.cpp
+++ b/src/http/stream_client.cpp
@@ -2,66 +2,70 @@
 
 #include <utility>
 
+#include "http/serializer.h"
+
 namespace robinhoist::http {
 
-StreamClient::StreamClient(net::Loop& loop, Poco::Net::SocketAddress peer, MessageLimits limits)
-    : loop_(loop), peer_(std::move(peer)), host_(peer_.toString()), limits_(limits) {}
+StreamClient::StreamClient(net::Loop& loop, const Poco::Net::SocketAddress& peer,
+                           MessageLimits limits)
+    : loop_(loop), peer_(peer), host_(peer_.toString()), limits_(limits) {}
 
 StreamClient::~StreamClient() {
   stop();
 }
 
-void StreamClient::start(const Request& request, const SilenceLimits& silence, OnData piece,
+void StreamClient::start(const Request& request, const SilenceLimits& limits, OnData on_data,
                          Ended ended) {
   stop();
   reader_ = std::make_unique<StreamReader>(limits_);
-  piece_ = std::move(piece);
+  on_data_ = std::move(on_data);
   ended_ = std::move(ended);
-  silent_most_ = silence.most;
-  out_.clear();
-  serialize(out_, request, host_);
-  watch_silence(silence.first);
+  silence_limit_ = limits.next;
+  request_bytes_.clear();
+  serialize(request_bytes_, request, host_);
+  end_after_silence(limits.first);
   stream_ = net::Stream::connect(loop_, peer_, *this);
 }
 
 void StreamClient::stop() {
-  loop_.cancel(timer_);
-  if (auto stream = std::exchange(stream_, nullptr))
+  loop_.cancel(silence_timer_);
+  if (const auto stream = std::exchange(stream_, nullptr))
     stream->drop();
 }
 
-void StreamClient::watch_silence(Duration most) {
-  loop_.cancel(timer_);
-  timer_ = loop_.in(most, [this] {
-    timer_ = net::Loop::no_timer;
+void StreamClient::end_after_silence(Duration limit) {
+  loop_.cancel(silence_timer_);
+  silence_timer_ = loop_.in(limit, [this] {
+    silence_timer_ = net::Loop::no_timer;
     end();
   });
 }
 
 void StreamClient::on_open(net::Stream& stream) {
-  stream.write(out_);
+  stream.write(request_bytes_);
 }
 
 void StreamClient::on_bytes(net::Stream& stream) {
-  auto keep = stream_;
-  const ParseResult read = reader_->read(stream.input());
-  if (read == ParseResult::invalid)
-    return end();
+  const auto self = stream_;
+  const ParseResult result = reader_->read(stream.input());
+  if (result == ParseResult::invalid) {
+    end();
+    return;
+  }
   if (reader_->status() == 200) {
-    const bool alive = piece_(reader_->body());
-    if (stream_ != keep)
-      return;  // stopped or begun anew by whoever took the piece
+    const bool alive = on_data_(reader_->body());
+    if (stream_ != self)
+      return;  // stopped or started anew from inside
     if (alive)
-      watch_silence(silent_most_);
+      end_after_silence(silence_limit_);
   }
-  // What is neither taken nor ever ends is no stream of events.
-  if (reader_->body().size() > limits_.max_body_bytes)
-    return end();
-  if (read == ParseResult::complete)
+  // What is neither consumed nor ever ends is no stream of events.
+  const bool too_large = reader_->body().size() > limits_.max_body_bytes;
+  if (too_large || result == ParseResult::complete)
     end();
 }
 
-void StreamClient::on_closed(net::Stream&, net::CloseReason) {
+void StreamClient::on_closed(net::Stream& /*stream*/, net::CloseReason /*reason*/) {
   end();
 }
 
@@ -69,7 +73,7 @@
   const int status = reader_->status();
   const std::string body = std::move(reader_->body());
   stop();
-  if (auto ended = std::exchange(ended_, nullptr))
+  if (const auto ended = std::exchange(ended_, nullptr))
     ended(status, body);
 }
 
--- a/src/platform/sources.cpp
+++ b/src/platform/sources.cpp
@@ -150,7 +150,7 @@
 
 Watch::Settings Discovery::watching(unsigned salt) {
   return {.what = "nodes",
-          .silence = {.first = endpoints_first, .most = endpoints_silent},
+          .silence = {.first = endpoints_first, .next = endpoints_silent},
           .pause_most = endpoints_pause,
           .salt = salt};
 }
@@ -187,7 +187,7 @@
 
 Watch::Settings ReleaseApi::watching(unsigned salt) {
   return {.what = "releases",
-          .silence = {.first = releases_silent, .most = releases_silent},
+          .silence = {.first = releases_silent, .next = releases_silent},
           .pause_most = releases_pause,
           .salt = salt};
 }
--- a/src/proxy/router.cpp
+++ b/src/proxy/router.cpp
@@ -53,7 +53,7 @@
   loop_.cancel(drain_look_);
   // Clients with a request open tell of their end: while what that touches is still here.
   if (server_)
-    server_->cut();
+    server_->reset_connections();
 }
 
 void Router::report_client_outcomes() {
@@ -532,7 +532,7 @@
 }
 
 void Router::retire() {
-  server_->retire();
+  server_->begin_shutdown();
   log_.info("retires", {{"open", log::text(unanswered_)}, {"clients", log::text(clients())}});
 }
 
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -51,7 +51,7 @@
     return;
   wake_ = loop_.in(gather, [this] {
     wake_ = net::Loop::no_timer;
-    waiting_.wake();
+    waiting_.notify();
   });
 }
 
--- a/src/standin/nodes.cpp
+++ b/src/standin/nodes.cpp
@@ -115,7 +115,7 @@
   if (!runs(name))
     return;
   http::Server& server = *nodes_[name]->server;
-  server.most(connections > 0 ? connections : shared_.max_clients);
+  server.set_max_clients(connections > 0 ? connections : shared_.max_clients);
   if (connections > 0)
     server.close_idle(connections);
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -254,7 +254,7 @@
   });
   platform::Watch watch(
       loop, desk.at(),
-      {.what = "x", .silence = {.first = 100ms, .most = 100ms}, .pause_most = 50ms, .salt = 1},
+      {.what = "x", .silence = {.first = 100ms, .next = 100ms}, .pause_most = 50ms, .salt = 1},
       log);
   std::vector<int> heard;
   watch.start([] { return "/"; },
@@ -272,8 +272,8 @@
 // What a silent watch misses counts as told 6 s after: by then two tries have had their time.
 TEST(Watch, a_silent_discovery_is_asked_anew_in_time) {
   const platform::Watch::Settings of = platform::Discovery::watching(1);
-  EXPECT_GT(of.silence.most, 2s);  // an empty line is due so often
-  EXPECT_LE(of.silence.most + 2 * (of.silence.first + of.pause_most), 6s);
+  EXPECT_GT(of.silence.next, 2s);  // an empty line is due so often
+  EXPECT_LE(of.silence.next + 2 * (of.silence.first + of.pause_most), 6s);
 }
 
 TEST(ReleaseApi, each_vote_gets_one_answer_that_says_whether_it_may_count) {
