--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -93,7 +93,7 @@
 CanaryQuotaSettings canary_quota_settings(const Json& info) {
   CanaryQuotaSettings settings{};
   settings.window = span(positive(info, "window_ms"));
-  settings.free = not_negative(info, "free");
+  settings.free_requests = not_negative(info, "free");
   settings.by_request_class =
       enumerator<bool>(info, "counts", {{"all", false}, {"each_class", true}});
   settings.one_way = truth(info, "one_way");
--- /dev/null
+++ b/src/policy/ageing_test.cpp
@@ -0,0 +1,73 @@
+#include "policy/ageing_test.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "policy/statistics.h"
+
+namespace robinhoist {
+
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr double min_endpoint_attempts = 3;
+constexpr double min_latency_samples = 3;
+constexpr double slow_ratio = 1.6;  // latency relative to the baseline's
+constexpr int min_bad_endpoints = 2;
+constexpr double suspicious_p_value = 0.01;
+// Endpoints of two stages start at least so far apart.
+constexpr Duration stage_start_gap = 1s;
+
+struct StartedEndpoint {
+  TimePoint started;
+  bool bad;
+};
+
+// The canary's endpoints with enough attempts, in the order in which they started.
+std::vector<StartedEndpoint> endpoints_by_start(const CohortStatistics& canary, int build,
+                                                const std::vector<EndpointState>& endpoints) {
+  std::vector<StartedEndpoint> by_start;
+  for (const auto& [endpoint, totals] : canary.by_endpoint) {
+    if (totals.attempts < min_endpoint_attempts || endpoints[endpoint].build != build)
+      continue;
+    const bool slow = totals.latency_samples >= min_latency_samples &&
+                      totals.mean_log_latency() > std::log(slow_ratio);
+    by_start.push_back({endpoints[endpoint].started, totals.unhealthy() || slow});
+  }
+  std::sort(by_start.begin(), by_start.end(),
+            [](const auto& left, const auto& right) { return left.started < right.started; });
+  return by_start;
+}
+
+// The chance that the bad endpoints are by accident those started first; the least over all places
+// where one stage may end and the next begin.
+double ageing_p_value(const std::vector<StartedEndpoint>& by_start) {
+  const int endpoints = static_cast<int>(by_start.size());
+  const int bad = static_cast<int>(
+      std::count_if(by_start.begin(), by_start.end(), [](const auto& entry) { return entry.bad; }));
+  int early_bad = 0;
+  double p_value = 1;
+  for (int index = 0; index + 1 < endpoints; ++index) {
+    const int early = index + 1;
+    early_bad += by_start[index].bad ? 1 : 0;
+    const Duration gap = by_start[index + 1].started - by_start[index].started;
+    const bool stage_boundary = gap >= stage_start_gap;
+    const bool mostly_bad = early_bad >= min_bad_endpoints && 4 * early_bad >= 3 * early;
+    if (stage_boundary && mostly_bad)
+      p_value = std::min(p_value, hypergeometric_upper_tail(endpoints, early, bad, early_bad));
+  }
+  return p_value;
+}
+
+}  // namespace
+
+TestResult test_ageing(const CohortStatistics& canary, int build,
+                       const std::vector<EndpointState>& endpoints, const TestContext& context) {
+  const double p_value = ageing_p_value(endpoints_by_start(canary, build, endpoints));
+  if (p_value < context.significance)
+    return TestResult::failure(AnalysisReason::ageing, p_value, context.significance);
+  return TestResult::undecided(p_value < suspicious_p_value);
+}
+
+}  // namespace robinhoist
--- a/src/policy/canary_analysis.h
+++ b/src/policy/canary_analysis.h
@@ -1,65 +1,88 @@
-/// Canary analysis: evidence on the release, stage by stage, and the verdict drawn from it.
+/// Canary analysis: collects evidence on a release, stage by stage, and draws a verdict from it.
+///
+/// The evidence are the ended attempts of this proxy and the reports of wrong answers. judge()
+/// runs the tests in a fixed order; the first that fails decides:
+///
+/// 1. fleet slowdown (fleet_slowdown_test.h)
+/// 2. ageing (ageing_test.h)
+/// 3. failures, in all and by request class (failure_test.h)
+/// 4. wrong answers (wrong_answer_test.h)
+/// 5. latency (latency_test.h)
+///
+/// If none fails, a judged stage is promoted where votes move the release, and held for a few
+/// seconds where a clock does and the evidence is thin or suspicious.
 #pragma once
-#include <functional>
-#include <map>
 #include <optional>
-#include <string>
-#include <utility>
+#include <set>
 #include <vector>
 
 #include "policy/cohort_statistics.h"
 #include "policy/endpoint_set.h"
+#include "policy/fleet_slowdown_test.h"
+#include "policy/latency_test.h"
+#include "policy/wrong_answer_test.h"
 #include "util/sliding_window.h"
 
 namespace robinhoist {
 
-// Per-stage evidence on the release as a canary, and the verdict drawn from it.
+/// Evidence on the release now offered, and the verdict drawn from it.
 class CanaryAnalysis {
  public:
   CanaryAnalysis(const AnalysisSettings& settings, int request_classes);
-  void news(const ReleaseUpdate& release, TimePoint now);
-  void noted(int build, const Sample& sample);
-  void succeeded(int build) { answers_[build].first += 1; }
-  void flagged(int build) { answers_[build].second += 1; }
-  bool watched(int build) const;
-  // A build once condemned stays so.
+
+  /// The release has changed or was read again.
+  void release_updated(const ReleaseUpdate& release, TimePoint now);
+  /// An attempt at an endpoint of this build has ended.
+  void attempt_ended(int build, const Sample& sample);
+  /// An answer of this build was passed on to its client.
+  void answer_passed_on(int build) { wrong_answers_.answer_passed_on(build); }
+  /// A client reported an answer of this build as wrong.
+  void answer_found_wrong(int build) { wrong_answers_.answer_found_wrong(build); }
+
+  /// Whether the build is the one being judged: as a canary, or released while this proxy looked
+  /// on and still to be rolled back.
+  bool under_analysis(int build) const;
+  /// The verdict at this time. Verdict::roll_back stands until the next build is offered or, where
+  /// many votes must agree, until the next stage. `canary_requests_per_s` are expected to go to the
+  /// canary; `load` is in requests per second for each endpoint's worth of capacity.
   AnalysisResult judge(const std::vector<EndpointState>& endpoints, double canary_requests_per_s,
                        double load, TimePoint now);
+  /// The release as last updated; nothing before the first update.
   const std::optional<ReleaseUpdate>& release() const { return release_; }
 
  private:
-  struct Arm {
-    std::map<int, Counts> by_endpoint{}, by_tenant{};
-    std::map<long, Counts> by_time{};
-    std::vector<Counts> by_request_class{};
-    Counts all{};
-    std::vector<double> objective_ratios{};
-    double machines(double least) const;  // warm ones that gave so many answers
+  struct Cohorts {
+    CohortStatistics canary;
+    CohortStatistics baseline;
+    CohortStatistics recent_baseline;
+    std::set<int> excluded_tenants;
   };
-  double answers_enough() const;  // of the fleet, to judge it by
+
   bool many_votes() const { return settings_.votes_to_roll_back > 1; }
-  AnalysisResult condemn(const std::string& why);
-  double aged(const std::vector<EndpointState>& endpoints, const Arm& young) const;
-  bool shared_harm(double load, bool compared, TimePoint now) const;
-  TimePoint since(const SlidingWindow<Sample>& of, TimePoint now) const;
-  void tally(Arm& arm, const SlidingWindow<Sample>& samples, TimePoint from,
-             const std::function<bool(const Sample&)>& skip, Arm* beside = nullptr) const;
+  bool judgeable() const;
+  TestContext test_context() const;
+  AnalysisResult roll_back(const TestResult& failed);
+  Cohorts collect_cohorts(TimePoint now) const;
+  void exclude_unhealthy_endpoints(Cohorts& cohorts, bool comparable) const;
+  StageProgress stage_progress(const std::vector<EndpointState>& endpoints, TimePoint now) const;
+  AnalysisResult without_failed_test(const AttemptTotals& canary, const StageProgress& stage,
+                                     bool suspicious, double canary_requests_per_s, TimePoint now);
+  bool must_hold(double attempts, const StageProgress& stage, bool suspicious,
+                 double canary_requests_per_s, TimePoint now);
 
   AnalysisSettings settings_;
   int request_classes_;
+  double significance_;  // p-value under which this proxy's evidence speaks
   std::optional<ReleaseUpdate> release_{};
   bool seen_as_canary_ = false;
-  AnalysisResult condemned_{};
-  TimePoint stage_at_{}, counted_from_{}, held_from_ = long_ago;
-  SlidingWindow<Sample> fresh_, older_;
-  double significance_;         // of chance, at which one proxy's figures speak
-  bool look_at_fleet_ = false;  // a stage has begun
-  std::optional<double>
-      usual_part_{};  // the fleet before the offer: mean log of latency over latency objective,
-  double usual_load_ = 1;  // and attempts for each endpoint's worth of capacity
-  TimePoint slow_from_ = long_ago;
-  std::map<int, std::pair<double, double>>
-      answers_{};  // by build: answers passed on, and found wrong
+  AnalysisResult standing_roll_back_{};
+  TimePoint stage_began_at_{};
+  TimePoint counted_from_{};
+  TimePoint held_since_ = long_ago;
+  SlidingWindow<Sample> canary_samples_;
+  SlidingWindow<Sample> baseline_samples_;
+  FleetSlowdownTest fleet_slowdown_;
+  WrongAnswerTest wrong_answers_;
 };
 
 }  // namespace robinhoist
--- a/src/policy/canary_quota.cpp
+++ b/src/policy/canary_quota.cpp
@@ -5,33 +5,39 @@
 CanaryQuota::CanaryQuota(const CanaryQuotaSettings& settings, int request_classes, Duration tick)
     : settings_(settings), tick_(tick), counts_(settings.by_request_class ? request_classes : 1) {}
 
-void CanaryQuota::news(const ReleaseUpdate& release) {
+void CanaryQuota::release_updated(const ReleaseUpdate& release) {
   if (release.phase == ReleasePhase::rolling_back || release.phase == ReleasePhase::rolled_back)
-    moved_keys_.clear();
+    sticky_keys_.clear();
   release_ = release;
 }
 
-CanaryQuota::Count& CanaryQuota::count(int request_class) {
+CanaryQuota::Counts& CanaryQuota::counts_for(int request_class) {
   return counts_[settings_.by_request_class ? request_class : 0];
 }
 
-// Sends are kept a tick longer than requests taken, so that either way of reading the window's ends
+// Attempts are counted a tick longer than requests, so that either way of reading the window's ends
 // holds.
-void CanaryQuota::trim(Count& count, TimePoint now) const {
-  while (!count.taken.empty() && count.taken.front() <= now - settings_.window + tick_)
-    count.taken.pop_front();
-  while (!count.sent.empty() && count.sent.front() < now - settings_.window - tick_)
-    count.sent.pop_front();
+void CanaryQuota::drop_expired(Counts& counts, TimePoint now) const {
+  const TimePoint window_start = now - settings_.window;
+  while (!counts.requests.empty() && counts.requests.front() <= window_start + tick_)
+    counts.requests.pop_front();
+  while (!counts.canary_attempts.empty() && counts.canary_attempts.front() < window_start - tick_)
+    counts.canary_attempts.pop_front();
 }
 
-void CanaryQuota::taken(int request_class, TimePoint now) {
-  count(request_class).taken.push_back(now);
-  trim(count(request_class), now);
+void CanaryQuota::request_arrived(int request_class, TimePoint now) {
+  Counts& counts = counts_for(request_class);
+  counts.requests.push_back(now);
+  drop_expired(counts, now);
 }
 
-void CanaryQuota::answered(const std::string& key, int build) {
+void CanaryQuota::canary_attempt_sent(int request_class, TimePoint now) {
+  counts_for(request_class).canary_attempts.push_back(now);
+}
+
+void CanaryQuota::request_answered(const std::string& key, int build) {
   if (settings_.one_way && !key.empty() && is_canary(build))
-    moved_keys_[key] = build;
+    sticky_keys_[key] = build;
 }
 
 bool CanaryQuota::is_canary(int build) const {
@@ -39,31 +45,38 @@
                       (build == release_->build && release_->phase != ReleasePhase::released));
 }
 
-// A build that no news has named counts as in the first stage; one on its way back takes nothing.
+// A build that no update has named counts as in the first stage; one that is rolled back gets
+// nothing.
 double CanaryQuota::cap(int build) const {
   if (build > release_->build)
     return settings_.caps.empty() ? 0 : settings_.caps.front();
   return release_->phase == ReleasePhase::canary ? release_->cap : 0;
 }
 
+bool CanaryQuota::answered_by_newer_build(const std::string& key, int build) const {
+  if (!settings_.one_way || key.empty())
+    return false;
+  const auto sticky = sticky_keys_.find(key);
+  return sticky != sticky_keys_.end() && build < sticky->second;
+}
+
 bool CanaryQuota::allows(const RequestInfo& request, int build, Idempotency idempotency,
                          TimePoint now) {
-  if (settings_.one_way && !request.key.empty()) {
-    auto moved = moved_keys_.find(request.key);
-    if (moved != moved_keys_.end() && build < moved->second)
-      return false;
-  }
+  if (answered_by_newer_build(request.key, build))
+    return false;
   if (!is_canary(build))
     return true;
-  double most = cap(build);
-  if (most <= 0)
+  const double max_share = cap(build);
+  if (max_share <= 0)
     return false;
-  int stage = build > release_->build ? 0 : release_->stage;
+  const int stage = build > release_->build ? 0 : release_->stage;
   if (idempotency != Idempotency::idempotent && stage < settings_.safe_only_stages)
     return false;
-  Count& of = count(request.request_class);
-  trim(of, now);
-  return of.sent.size() + 1 <= settings_.free + most * of.taken.size();
+  Counts& counts = counts_for(request.request_class);
+  drop_expired(counts, now);
+  const auto attempts = static_cast<double>(counts.canary_attempts.size() + 1);
+  const auto requests = static_cast<double>(counts.requests.size());
+  return attempts <= settings_.free_requests + max_share * requests;
 }
 
 }  // namespace robinhoist
--- a/src/policy/canary_quota.h
+++ b/src/policy/canary_quota.h
@@ -1,4 +1,5 @@
-/// What may be sent to the canary (rule 5), and the keys that have moved to it.
+/// Canary quota: how much traffic builds newer than the released one may get, and the sticky keys
+/// that the canary has answered.
 #pragma once
 #include <deque>
 #include <optional>
@@ -12,31 +13,43 @@
 
 namespace robinhoist {
 
-// What may be sent to a release as a canary.
+/// Counts requests and canary attempts over a sliding window and holds the release to its cap.
 class CanaryQuota {
  public:
+  /// `tick` is the resolution at which the window's ends may be read.
   CanaryQuota(const CanaryQuotaSettings& settings, int request_classes, Duration tick);
-  void news(const ReleaseUpdate& release);
-  void taken(int request_class, TimePoint now);
-  void sent(int request_class, TimePoint now) { count(request_class).sent.push_back(now); }
-  void answered(const std::string& key, int build);
+
+  void release_updated(const ReleaseUpdate& release);
+  /// A request has arrived, for whatever build.
+  void request_arrived(int request_class, TimePoint now);
+  /// An attempt was sent to the canary.
+  void canary_attempt_sent(int request_class, TimePoint now);
+  /// A request with this key (empty: none) was answered by this build.
+  void request_answered(const std::string& key, int build);
+
+  /// Whether the build is newer than what is released.
   bool is_canary(int build) const;
+  /// The share of requests that the build may get; needs a release update, as is_canary() implies.
   double cap(int build) const;
+  /// Whether an attempt of this request may go to the build now.
   bool allows(const RequestInfo& request, int build, Idempotency idempotency, TimePoint now);
+  /// Whether releases replace endpoints instead of adding them beside the old ones.
   bool in_place() const { return settings_.in_place; }
 
  private:
-  struct Count {
-    std::deque<TimePoint> taken{}, sent{};
+  struct Counts {
+    std::deque<TimePoint> requests{};
+    std::deque<TimePoint> canary_attempts{};
   };
-  Count& count(int request_class);
-  void trim(Count& count, TimePoint now) const;
+  Counts& counts_for(int request_class);
+  void drop_expired(Counts& counts, TimePoint now) const;
+  bool answered_by_newer_build(const std::string& key, int build) const;
 
   CanaryQuotaSettings settings_;
   Duration tick_;
-  std::vector<Count> counts_;
+  std::vector<Counts> counts_;  // by request class, or one for all
   std::optional<ReleaseUpdate> release_{};
-  std::unordered_map<std::string, int> moved_keys_{};
+  std::unordered_map<std::string, int> sticky_keys_{};  // the build that answered, by key
 };
 
 }  // namespace robinhoist
--- a/src/policy/decision.h
+++ b/src/policy/decision.h
@@ -1,7 +1,9 @@
 /// What the decision module asks of its host, one decision at a time. Plain data.
 #pragma once
+#include <optional>
 #include <string>
 
+#include "policy/analysis_report.h"
 #include "policy/release.h"
 #include "time/time_types.h"
 
@@ -31,7 +33,8 @@
   int build = -1;
   int stage = 0;
   Verdict verdict = Verdict::none;
-  std::string text{};
+  std::string text{};                      // Action::log: the line
+  std::optional<AnalysisReport> report{};  // Action::log: the same in typed form
 };
 
 }  // namespace robinhoist
--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -11,17 +11,6 @@
 namespace {
 constexpr Duration judge_every = 50ms, look_every = 100ms;
 constexpr std::size_t firsts_kept = 40;
-// The words of the log for what is wanted of a release.
-std::string mode_text(Verdict verdict, const std::optional<ReleaseUpdate>& release) {
-  const char* words[] = {"watching", "on", "hold", "back"};
-  const char* phases[] = {"trial", "going back", "released", "withdrawn"};
-  std::string text = words[static_cast<int>(verdict)];
-  if (!release)
-    return text;
-  return text + " build " + std::to_string(release->build) + " stage " +
-         std::to_string(release->stage) + " " + phases[static_cast<int>(release->phase)];
-}
-
 }  // namespace
 
 DecisionEngine::DecisionEngine(unsigned salt, const EndpointSettings& endpoints,
@@ -36,7 +25,7 @@
       firsts_(firsts_kept) {}
 
 void DecisionEngine::request_arrived(const RequestInfo& request, TimePoint now) {
-  canary_quota_.taken(request.request_class, now);
+  canary_quota_.request_arrived(request.request_class, now);
   if (!request.is_retry)
     firsts_.push(now);
   requests_.arrived(request);
@@ -64,41 +53,43 @@
   bool counts = tells == Outcome::ok || tells == Outcome::error ||
                 (lost(outcome) && endpoint.dead_run <= 1 && warm && endpoints_.near(one.endpoint));
   if (counts && endpoint.build == one.build) {
-    analysis_.noted(one.build, {now, one.sent, one.endpoint, info.request_class, info.tenant,
-                                outcome == Outcome::error, lost(outcome), warm,
-                                endpoints_.ratio(info.request_class, took, info.cost_hint_ms),
-                                endpoints_.objective_ratio(info.request_class, took)});
-    if (outcome == Outcome::ok && warm && !analysis_.watched(one.build))
+    analysis_.attempt_ended(
+        one.build,
+        {now, one.sent, one.endpoint, info.request_class, info.tenant, outcome == Outcome::error,
+         lost(outcome), warm, endpoints_.ratio(info.request_class, took, info.cost_hint_ms),
+         endpoints_.objective_ratio(info.request_class, took)});
+    if (outcome == Outcome::ok && warm && !analysis_.under_analysis(one.build))
       endpoints_.learn(info.request_class, took, info.cost_hint_ms);
   }
   if (outcome == Outcome::ok) {
-    analysis_.succeeded(one.build);
-    canary_quota_.answered(info.key, one.build);
+    analysis_.answer_passed_on(one.build);
+    canary_quota_.request_answered(info.key, one.build);
   }
   requests_.ended(id, index, outcome, succeeded, now);
 }
 
 void DecisionEngine::release_updated(const ReleaseUpdate& release, TimePoint now) {
-  canary_quota_.news(release);
-  analysis_.news(release, now);
-  vote_scheduler_.news(release);
+  canary_quota_.release_updated(release);
+  analysis_.release_updated(release, now);
+  vote_scheduler_.release_updated(release);
 }
 
 std::optional<Decision> DecisionEngine::next(TimePoint now) {
   if (now >= judged_at_ + judge_every) {
     judged_at_ = now;
     const double pace = rate_of(firsts_, now), load = pace / std::max(0.1, endpoints_.able(now));
-    AnalysisResult found =
+    const AnalysisResult result =
         analysis_.judge(endpoints_.all(), pace * requests_.canary_share(now), load, now);
-    vote_scheduler_.wants(found.verdict, now, random_);
-    std::string mode = mode_text(found.verdict, analysis_.release());
-    if (mode != mode_)
-      log_.push_back(mode + (found.why.empty() ? "" : ": " + found.why));
-    mode_ = mode;
+    vote_scheduler_.set_verdict(result.verdict, now, random_);
+    const AnalysisReport report{result, analysis_.release()};
+    if (!last_report_ || !same_mode(report, *last_report_))
+      reports_to_log_.push_back(report);
+    last_report_ = report;
   }
-  if (!log_.empty()) {
-    Decision decision{.action = Action::log, .text = log_.front()};
-    log_.pop_front();
+  if (!reports_to_log_.empty()) {
+    const AnalysisReport report = reports_to_log_.front();
+    reports_to_log_.pop_front();
+    Decision decision{.action = Action::log, .text = to_string(report), .report = report};
     return decision;
   }
   if (auto decision = endpoints_.next(now, random_))
--- a/src/policy/decision_engine.h
+++ b/src/policy/decision_engine.h
@@ -7,9 +7,9 @@
 #include <deque>
 #include <optional>
 #include <random>
-#include <string>
 #include <vector>
 
+#include "policy/analysis_report.h"
 #include "policy/canary_analysis.h"
 #include "policy/canary_quota.h"
 #include "policy/request_scheduler.h"
@@ -35,8 +35,12 @@
                      const LoadReport& load, TimePoint now);
   void client_disconnected(int request_id) { requests_.left(request_id); }
   void release_updated(const ReleaseUpdate& release, TimePoint now);
-  void vote_answered(Outcome outcome, TimePoint now) { vote_scheduler_.answered(outcome, now); }
-  void answer_found_wrong(int endpoint) { analysis_.flagged(endpoints_.all()[endpoint].build); }
+  void vote_answered(Outcome outcome, TimePoint now) {
+    vote_scheduler_.vote_answered(outcome, now);
+  }
+  void answer_found_wrong(int endpoint) {
+    analysis_.answer_found_wrong(endpoints_.all()[endpoint].build);
+  }
   void probe_ended(int endpoint, const LoadReport& load, TimePoint now) {
     endpoints_.report(endpoint, load, now);
   }
@@ -56,8 +60,8 @@
   RequestScheduler requests_;
   SlidingWindow<TimePoint> firsts_;
   TimePoint judged_at_ = long_ago, wake_at_ = long_ago;
-  std::string mode_{};
-  std::deque<std::string> log_{};
+  std::optional<AnalysisReport> last_report_{};
+  std::deque<AnalysisReport> reports_to_log_{};
 };
 
 }  // namespace robinhoist
--- a/src/policy/request_scheduler.cpp
+++ b/src/policy/request_scheduler.cpp
@@ -276,7 +276,7 @@
        .in_hand = static_cast<int>(endpoints_.all()[endpoint].out.size()) + 1});
   endpoints_.sent(endpoint, now);
   if (canary)
-    canary_quota_.sent(request.info.request_class, now);
+    canary_quota_.canary_attempt_sent(request.info.request_class, now);
   again_.push(request.attempts.size() > 1 && !unreached);
   if (request.attempts.size() == 1)
     rejections_.push(false);
--- a/src/policy/vote_scheduler.cpp
+++ b/src/policy/vote_scheduler.cpp
@@ -8,59 +8,84 @@
 
 using namespace std::chrono_literals;
 
+namespace {
+
+constexpr Duration retry_after_conflict = 500ms;
+constexpr Duration retry_after_failure = 250ms;
+
+}  // namespace
+
 VoteScheduler::VoteScheduler(const AnalysisSettings& settings) : settings_(settings) {}
 
-void VoteScheduler::news(const ReleaseUpdate& release) {
+void VoteScheduler::release_updated(const ReleaseUpdate& release) {
   if (release.build != build_ || release.stage != stage_ || release.phase != phase_)
-    stands_ = Verdict::none;
+    standing_ = Verdict::none;
   build_ = release.build;
   stage_ = release.stage;
   phase_ = release.phase;
 }
 
-// A decided proxy draws once per vote life, in the time of twice the votes needed; a hold ends at
+int VoteScheduler::votes_needed(Verdict verdict) const {
+  switch (verdict) {
+    case Verdict::none:
+      return 0;
+    case Verdict::promote:
+      return settings_.votes_to_promote;
+    case Verdict::hold:
+      return settings_.votes_to_hold;
+    case Verdict::roll_back:
+      return settings_.votes_to_roll_back;
+  }
+  return 0;
+}
+
+// The time is drawn from what twice the votes needed take at the quota; a vote is taken away at
 // once.
-void VoteScheduler::wants(Verdict verdict, TimePoint now, std::minstd_rand& random) {
-  if (verdict == want_)
+void VoteScheduler::set_verdict(Verdict verdict, TimePoint now, std::minstd_rand& random) {
+  if (verdict == wanted_)
     return;
-  want_ = verdict;
-  const int needed[] = {0, settings_.votes_to_promote, settings_.votes_to_hold,
-                        settings_.votes_to_roll_back};
-  const int voters = std::min(settings_.proxies, 2 * needed[static_cast<int>(verdict)]);
-  draw_at_ = now + from_millis(1e3 * uniform_sample(random) * voters /
-                               std::max(1.0, settings_.votes_per_s));
+  wanted_ = verdict;
+  const int voters = std::min(settings_.proxies, 2 * votes_needed(verdict));
+  not_before_ = now + from_millis(1e3 * uniform_sample(random) * voters /
+                                  std::max(1.0, settings_.votes_per_s));
 }
 
-void VoteScheduler::answered(Outcome outcome, TimePoint now) {
-  waiting_ = false;
+void VoteScheduler::vote_answered(Outcome outcome, TimePoint now) {
+  awaiting_answer_ = false;
   if (outcome == Outcome::ok) {
-    stands_ = asked_;
-    stands_until_ = asked_at_ + settings_.vote_lifetime;
+    standing_ = sent_;
+    expires_at_ = sent_at_ + settings_.vote_lifetime;
   } else {
-    retry_at_ = now + (outcome == Outcome::obsolete ? 500ms : 250ms);
+    retry_at_ = now + (outcome == Outcome::obsolete ? retry_after_conflict : retry_after_failure);
   }
 }
 
+bool VoteScheduler::renewal_due(TimePoint now) const {
+  return standing_ == wanted_ && wanted_ != Verdict::none &&
+         now >= expires_at_ - settings_.vote_lifetime / 4;
+}
+
 std::optional<Decision> VoteScheduler::next(TimePoint now, std::minstd_rand& random) {
   // An answer that never came: twice the longest wait is enough.
-  if (waiting_ && now < asked_at_ + 2 * settings_.call_timeout)
+  if (awaiting_answer_ && now < sent_at_ + 2 * settings_.call_timeout)
+    return {};
+  if (now >= expires_at_)
+    standing_ = Verdict::none;
+  if (standing_ == wanted_ && !renewal_due(now))
     return {};
-  if (now >= stands_until_)
-    stands_ = Verdict::none;
-  bool renew = stands_ == want_ && want_ != Verdict::none &&
-               now >= stands_until_ - settings_.vote_lifetime / 4;
-  if ((stands_ == want_ && !renew) || now < draw_at_ || now < retry_at_)
+  if (now < not_before_ || now < retry_at_)
     return {};
-  double chosen =
+  // Where the quota does not suffice for all proxies, each votes with the chance that it allows.
+  const double chance =
       settings_.votes_per_s * to_seconds(settings_.vote_lifetime) / std::max(1, settings_.proxies);
-  if (want_ != Verdict::none && chosen < 1 && uniform_sample(random) >= chosen) {
-    draw_at_ = now + settings_.vote_lifetime;
+  if (wanted_ != Verdict::none && chance < 1 && uniform_sample(random) >= chance) {
+    not_before_ = now + settings_.vote_lifetime;
     return {};
   }
-  waiting_ = true;
-  asked_ = want_;
-  asked_at_ = now;
-  return Decision{.action = Action::vote, .build = build_, .stage = stage_, .verdict = want_};
+  awaiting_answer_ = true;
+  sent_ = wanted_;
+  sent_at_ = now;
+  return Decision{.action = Action::vote, .build = build_, .stage = stage_, .verdict = wanted_};
 }
 
 }  // namespace robinhoist
