--- /dev/null
+++ b/src/simulator_adapter/adapter.h
@@ -0,0 +1,66 @@
+/// Adapter between the operators' simulator and the decision module.
+///
+/// The simulator sends one JSON object a line. A batch opens with a message that carries the time,
+/// goes on with events for proxy instances, and closes with a message that asks for the reply: the
+/// decisions of all instances that had an event in the batch.
+#pragma once
+#include <array>
+#include <memory>
+#include <optional>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "json/fields.h"
+#include "simulator_adapter/instance.h"
+#include "simulator_adapter/messages.h"
+
+namespace robinhoist::simulator_adapter {
+
+/// Reads messages line by line and gathers the reply of a batch.
+class Adapter {
+ public:
+  /// Reads one line. Returns the reply, of one or more lines, when this line closed a batch. Throws
+  /// json::BadInput, which names the message and the field, for a line that cannot be read; the
+  /// adapter is of no use after that.
+  std::optional<std::string> read(const std::string& line);
+
+ private:
+  using EventHandler = void (Adapter::*)(Instance&, const json::Json&);
+
+  void begin_batch(const json::Json& fields);
+  std::string end_batch();
+  /// Handles a message within a batch.
+  void handle(const std::string& message, const json::Json& fields);
+  void handle_event(const std::string& message, Instance& instance, const json::Json& fields);
+  void start_instance(const std::string& name, const json::Json& fields);
+  void stop_instance(const std::string& name);
+  Instance& find_instance(const std::string& name);
+  void mark_for_reply(const std::string& name);
+
+  // Events for one instance.
+  void endpoints_updated(Instance& instance, const json::Json& fields);
+  void request_arrived(Instance& instance, const json::Json& fields);
+  void stream_began(Instance& instance, const json::Json& fields);
+  void attempt_ended(Instance& instance, const json::Json& fields);
+  void client_disconnected(Instance& instance, const json::Json& fields);
+  void timer_expired(Instance& instance, const json::Json& fields);
+  void probe_ended(Instance& instance, const json::Json& fields);
+  void gossip(Instance& instance, const json::Json& fields);
+  void release_updated(Instance& instance, const json::Json& fields);
+  void metrics(Instance& instance, const json::Json& fields);
+  void wrong_answer(Instance& instance, const json::Json& fields);
+
+  struct Slot {
+    std::unique_ptr<Instance> instance{};
+    bool had_event = false;  // in this batch
+  };
+
+  bool batch_open_ = false;
+  TimePoint now_{};
+  std::unordered_map<std::string, Slot> instances_{};  // by name
+  std::vector<std::string> reply_order_{};  // instances by their first event in the batch
+  std::array<EndpointBank, bank_count> banks_{};
+};
+
+}  // namespace robinhoist::simulator_adapter
