--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -12,7 +12,6 @@
 
 #include "controller/process.h"
 #include "http/stream_caller.h"
-#include "json/fields.h"
 #include "proxy/sources.h"
 
 namespace {
--- a/fuzz/api_fuzz.cpp
+++ b/fuzz/api_fuzz.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "releases/follower.h"
 #include "releases/release.h"
 
@@ -29,7 +29,7 @@
     if (auto patched = release::patched(from, body, version, problems);
         patched && patched->build != 2)
       std::abort();
-  } catch (const robinhoist::json::BadInput&) {
+  } catch (const robinhoist::json::DecodeError&) {
     // Refused, as it should be.
   }
   try {
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -78,7 +78,7 @@
   std::map<std::string, long> unasked{};
 };
 
-TimePoint time_of(const json::Json& line, const char* field) {
+TimePoint time_of(const json::Value& line, const char* field) {
   return TimePoint(Duration(static_cast<long>(json::number(line, field))));
 }
 
@@ -107,12 +107,12 @@
 
   void read(const std::string& folder) {
     report.meta = record::read_meta(folder + "/meta.json");
-    int cut =
-        record::read(folder + "/clients.jsonl", [&](const json::Json& line) { read_client(line); });
-    cut +=
-        record::read(folder + "/nodes.jsonl", [&](const json::Json& line) { read_endpoint(line); });
-    cut += record::read(folder + "/told.jsonl", [&](const json::Json& line) { read_told(line); });
-    cut += record::read(folder + "/umpires.jsonl", [&](const json::Json& line) {
+    int cut = record::read(folder + "/clients.jsonl",
+                           [&](const json::Value& line) { read_client(line); });
+    cut += record::read(folder + "/nodes.jsonl",
+                        [&](const json::Value& line) { read_endpoint(line); });
+    cut += record::read(folder + "/told.jsonl", [&](const json::Value& line) { read_told(line); });
+    cut += record::read(folder + "/umpires.jsonl", [&](const json::Value& line) {
       auto& lives = record.lives[json::text(line, "umpire")];
       const std::string what = json::text(line, "e");
       if (what == "start")
@@ -126,7 +126,7 @@
                      [](auto& a, auto& b) { return a.at < b.at; });
   }
 
-  void read_client(const json::Json& line) {
+  void read_client(const json::Value& line) {
     if (line.HasMember("unasked")) {
       record.unasked[json::text(line, "umpire")] +=
           static_cast<long>(json::number(line, "unasked"));
@@ -140,15 +140,15 @@
     one.first = static_cast<long>(json::number(line, "first"));
     one.proxy = json::text(line, "umpire");
     one.request_class =
-        json::whole(line, "product", 0, static_cast<int>(report.meta.request_classes.size()) - 1);
-    one.tenant = json::whole(line, "tenant");
+        json::integer(line, "product", 0, static_cast<int>(report.meta.request_classes.size()) - 1);
+    one.tenant = json::integer(line, "tenant");
     one.end = json::text(line, "end");
-    one.right = json::truth(line, "right");
-    one.poison = json::truth(line, "poison");
+    one.right = json::boolean(line, "right");
+    one.poison = json::boolean(line, "poison");
     record.tries.push_back(std::move(one));
   }
 
-  void read_endpoint(const json::Json& line) {
+  void read_endpoint(const json::Value& line) {
     const std::string what = json::text(line, "e");
     if (what == "ran") {
       if (json::text_or(line, "how", "") == "unready") {
@@ -157,7 +157,7 @@
           rule.first = json::text(line, "node") + " answered at " + at_s(time_of(line, "t")) +
                        " without the tables that its build needs";
       }
-      if (json::truth(line, "effect"))
+      if (json::boolean(line, "effect"))
         record.effects.emplace_back(static_cast<long>(json::number(line, "id")),
                                     time_of(line, "t"));
       return;
@@ -165,7 +165,7 @@
     const std::string endpoint = json::text(line, "node");
     const TimePoint at = time_of(line, "t");
     if (what == "start") {
-      record.starts[endpoint].push_back({at, json::text(line, "zone"), json::whole(line, "cell"),
+      record.starts[endpoint].push_back({at, json::text(line, "zone"), json::integer(line, "cell"),
                                          static_cast<long>(json::number(line, "started"))});
     } else if (what == "stop") {
       report.most_pushed = std::max(report.most_pushed, json::number(line, "most_pushed"));
@@ -176,8 +176,8 @@
       one.at = at;
       one.endpoint = endpoint;
       one.what = what;
-      one.build = json::whole(line, "build");
-      one.request_class = json::whole(line, "product", -1);
+      one.build = json::integer(line, "build");
+      one.request_class = json::integer(line, "product", -1);
       one.id = static_cast<long>(json::number(line, "id"));
       const std::string request_name = json::text(line, "txn");
       one.proxy = request_name.substr(0, request_name.find('.'));
@@ -188,11 +188,11 @@
     }
   }
 
-  void read_told(const json::Json& line) {
+  void read_told(const json::Value& line) {
     const std::string what = json::text(line, "e");
     if (what == "release") {
-      report.releases.push_back({time_of(line, "t"), json::whole(line, "build"),
-                                 json::whole(line, "stage"), json::text(line, "phase"),
+      report.releases.push_back({time_of(line, "t"), json::integer(line, "build"),
+                                 json::integer(line, "stage"), json::text(line, "phase"),
                                  json::text(line, "why")});
       return;
     }
@@ -202,12 +202,12 @@
     }
     Told told{.at = time_of(line, "t"), .news = what == "news"};
     if (told.news) {
-      told.build = json::whole(line, "build");
-      told.stage = json::whole(line, "stage");
+      told.build = json::integer(line, "build");
+      told.stage = json::integer(line, "stage");
       told.phase = json::text(line, "phase");
       told.cap = json::number(line, "cap");
     } else {
-      told.whole = json::truth(line, "whole");
+      told.whole = json::boolean(line, "whole");
       for (auto& endpoint : json::array(line, "nodes").GetArray())
         told.endpoints.push_back({json::text(endpoint, "name"), json::text(endpoint, "phase"),
                                   static_cast<long>(json::number(endpoint, "started"))});
@@ -250,9 +250,9 @@
     for (std::size_t i = 0; i < report.meta.steps.size(); ++i)
       place[report.meta.steps[i]] = i;
     std::set<std::size_t> there;
-    record::read(folder + "/database.jsonl", [&](const json::Json& line) {
+    record::read(folder + "/database.jsonl", [&](const json::Value& line) {
       const std::string mark = json::text(line, "mark"), build = mark.substr(0, mark.find('/'));
-      const bool undo = json::truth(line, "undo"), done = json::text(line, "how") == "done";
+      const bool undo = json::boolean(line, "undo"), done = json::text(line, "how") == "done";
       const std::string at = " at " + at_s(time_of(line, "t"));
       ++rule.checked;
       auto found = place.find(mark);
--- a/src/audit/audit.h
+++ b/src/audit/audit.h
@@ -43,7 +43,7 @@
   bool kept() const;
 };
 
-// Throws json::BadInput when the record can't be read.
+// Throws json::DecodeError when the record can't be read.
 Report check(const std::string& folder);
 // One line for each rule, then the figures.
 std::string shown(Report& report);
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -14,7 +14,7 @@
     try {
       if (!wire.read(line, reply))
         continue;
-    } catch (const robinhoist::benchlink::BadInput& bad) {
+    } catch (const robinhoist::benchlink::DecodeError& bad) {
       std::cerr << "line " << number << ": " << bad.what() << std::endl;
       return 2;
     }
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -6,7 +6,7 @@
 using namespace json;
 
 // An outcome without a known word is read as 'may have run'.
-Outcome outcome_of(const Json& fields) {
+Outcome outcome_of(const Value& fields) {
   static const std::pair<const char*, Outcome> words[] = {
       {"Ok", Outcome::ok},
       {"Failed", Outcome::error},
@@ -23,13 +23,13 @@
   return Outcome::unknown;
 }
 
-LoadReport load_of(const Json& fields) {
+LoadReport load_of(const Value& fields) {
   LoadReport load;
   auto at = fields.FindMember("pressure");
   if (at == fields.MemberEnd() || at->value.IsNull())
     return load;
   if (!at->value.IsObject())
-    mistyped("pressure", "an object");
+    throw_wrong_type("pressure", "an object");
   for (const auto& value : at->value.GetObject()) {
     std::optional<double>* place = module_settings::load_field(load, value.name.GetString());
     const double given = place ? number_or(at->value, value.name.GetString(), -1) : -1;
@@ -61,10 +61,10 @@
   return at == known.end() ? -1 : at->second;
 }
 
-int named_endpoint(const Instance& instance, const Json& fields) {
+int named_endpoint(const Instance& instance, const Value& fields) {
   int endpoint = find(instance.endpoints, text(fields, "box"));
   if (endpoint < 0)
-    throw BadInput("field box names a box that was never listed");
+    throw DecodeError("field box names a box that was never listed");
   return endpoint;
 }
 
@@ -84,27 +84,27 @@
   rapidjson::Document document;
   document.Parse(line.data(), line.size());
   if (document.HasParseError() || !document.IsObject() || document.MemberCount() != 1)
-    throw BadInput("not a message: one JSON object with one key was expected");
+    throw DecodeError("not a message: one JSON object with one key was expected");
   const auto& message = *document.MemberBegin();
   std::string name(message.name.GetString(), message.name.GetStringLength());
   if (!message.value.IsObject())
-    throw BadInput(name + ": its fields are not an object");
+    throw DecodeError(name + ": its fields are not an object");
   try {
     if (name == "tick") {
       if (open_)
-        throw BadInput("a batch is still open");
-      now_ = TimePoint(duration_of(message.value, "time_ms"));
+        throw DecodeError("a batch is still open");
+      now_ = TimePoint(duration(message.value, "time_ms"));
       open_ = true;
       return false;
     }
     if (!open_)
-      throw BadInput("no batch is open");
+      throw DecodeError("no batch is open");
     if (name != "your_turn") {
       event(name, message.value);
       return false;
     }
-  } catch (const BadInput& bad) {
-    throw BadInput(name + ": " + bad.what());
+  } catch (const DecodeError& bad) {
+    throw DecodeError(name + ": " + bad.what());
   }
   out_.Clear();
   for (const std::string& who : touched_) {
@@ -124,7 +124,7 @@
 Instance& Wire::known(const std::string& who, bool touch) {
   auto at = instances_.find(who);
   if (at == instances_.end())
-    throw BadInput("field umpire names an instance without a hello");
+    throw DecodeError("field umpire names an instance without a hello");
   if (touch && !at->second->touched) {
     at->second->touched = true;
     touched_.push_back(who);
@@ -132,24 +132,24 @@
   return *at->second;
 }
 
-void Wire::event(const std::string& name, const Json& fields) {
+void Wire::event(const std::string& name, const Value& fields) {
   if (name == "sheet") {
-    int bank = whole(fields, "bank", 0, 15);
+    int bank = integer(fields, "bank", 0, 15);
     banks_[bank].clear();
     bank_names_[bank].clear();
-    for (const Json& entry : array(fields, "elements").GetArray()) {
+    for (const Value& entry : array(fields, "elements").GetArray()) {
       if (!entry.IsObject())
-        mistyped("elements", "an array of objects");
+        throw_wrong_type("elements", "an array of objects");
       EndpointInfo news{};
-      news.zone = whole(entry, "failure_domain");
-      news.cell = whole(entry, "cell");
-      news.build = whole(entry, "build", 0, 65535);
+      news.zone = integer(entry, "failure_domain");
+      news.cell = integer(entry, "cell");
+      news.build = integer(entry, "build", 0, 65535);
       news.phase = enumerator<EndpointPhase>(entry, "phase",
                                              {{"IN", EndpointPhase::ready},
                                               {"LAME", EndpointPhase::draining},
                                               {"OUT", EndpointPhase::removed}});
       news.size = number(entry, "share");
-      news.started = TimePoint(span(number_or(entry, "ready_at_ms", 0)));
+      news.started = TimePoint(duration_from_ms(number_or(entry, "ready_at_ms", 0)));
       banks_[bank].push_back(news);
       bank_names_[bank].push_back(text(entry, "box"));
       banks_[bank].back().order = digest(bank_names_[bank].back());
@@ -176,9 +176,9 @@
       engine.stream_began(request_id);
   } else if (name == "reply") {
     int request_id = find(instance.requests, text(fields, "call"));
-    int attempt = whole(fields, "seq_no");
+    int attempt = integer(fields, "seq_no");
     Outcome outcome = outcome_of(fields);
-    bool succeeded = truth(fields, "settled");
+    bool succeeded = boolean(fields, "settled");
     LoadReport load = load_of(fields);
     if (request_id >= 0)
       engine.attempt_ended(request_id, attempt, outcome, succeeded, load, now_);
@@ -199,25 +199,26 @@
     promotion(instance, fields);
   } else if (name == "metrics") {
     // The module does not use tallies (docs/design.md says why); they are read for their form only.
-    whole(fields, "ver");
-    whole(fields, "qos", 0, instance.request_classes - 1);
+    integer(fields, "ver");
+    integer(fields, "qos", 0, instance.request_classes - 1);
     for (const char* field : {"samples", "bad"})
-      whole(fields, field);
+      integer(fields, field);
     number_or(fields, "wait_time_ms", 0);
     number(fields, "since_ms");
   } else if (name == "flagged") {
-    duration_of(fields, "since_ms");
+    duration(fields, "since_ms");
     engine.answer_found_wrong(named_endpoint(instance, fields));
   } else {
-    throw BadInput("unknown message");
+    throw DecodeError("unknown message");
   }
 }
 
-void Wire::hello(const std::string& who, const Json& fields) {
-  const Json& salt = member(fields, "salt");
+void Wire::hello(const std::string& who, const Value& fields) {
+  const Value& salt = member(fields, "salt");
   if (!salt.IsUint64())
-    mistyped("salt", "a whole number");
-  const module_settings::ModuleSettings told = module_settings::decode(inner(fields, "params"));
+    throw_wrong_type("salt", "a whole number");
+  const module_settings::ModuleSettings told =
+      module_settings::decode(nested_object(fields, "params"));
   auto instance = std::make_unique<Instance>();
   instance->request_classes = static_cast<int>(told.request_classes.size());
   instance->tenants = static_cast<int>(told.tenants.size());
@@ -229,7 +230,7 @@
   known(who, true);
 }
 
-void Wire::list(Instance& instance, const Json& fields) {
+void Wire::list(Instance& instance, const Value& fields) {
   EndpointUpdateKind kind =
       enumerator<EndpointUpdateKind>(fields, "mode",
                                      {{"INCREMENTAL", EndpointUpdateKind::incremental},
@@ -238,7 +239,7 @@
                                       {"FAILED", EndpointUpdateKind::failed}});
   std::vector<EndpointInfo> entries;
   if (kind != EndpointUpdateKind::failed) {
-    int bank = whole(fields, "bank", 0, 15);
+    int bank = integer(fields, "bank", 0, 15);
     entries = banks_[bank];
     for (std::size_t i = 0; i < entries.size(); ++i)
       entries[i].endpoint =
@@ -247,29 +248,29 @@
   instance.engine->endpoints_updated(kind, entries, now_);
 }
 
-void Wire::demand(Instance& instance, const Json& fields) {
+void Wire::demand(Instance& instance, const Value& fields) {
   RequestInfo request{};
   std::string name = text(fields, "call");
-  request.request_class = whole(fields, "qos", 0, instance.request_classes - 1);
+  request.request_class = integer(fields, "qos", 0, instance.request_classes - 1);
   double tenant = number_or(fields, "org", 0);
   if (tenant < 0 || (tenant > 0 && tenant >= instance.tenants))
-    mistyped("org", "a known tenant");
+    throw_wrong_type("org", "a known tenant");
   request.tenant = static_cast<int>(tenant);
-  request.deadline = TimePoint(duration_of(fields, "not_after_ms"));
+  request.deadline = TimePoint(duration(fields, "not_after_ms"));
   request.cost_hint_ms = number_or(fields, "work_hint_ms", 0);
   auto key = fields.FindMember("subject");
   if (key != fields.MemberEnd() && !key->value.IsNull())
     request.key = text(fields, "subject");
-  request.is_retry = truth(fields, "retry");
+  request.is_retry = boolean(fields, "retry");
   request.request_id = instance.next_request_id++;
   instance.requests[name] = request.request_id;
   instance.request_names[request.request_id] = name;
   instance.engine->request_arrived(request, now_);
 }
 
-void Wire::promotion(Instance& instance, const Json& fields) {
+void Wire::promotion(Instance& instance, const Value& fields) {
   Outcome outcome = outcome_of(fields);
-  if (whole(fields, "reason", 0, 1) == 1)
+  if (integer(fields, "reason", 0, 1) == 1)
     instance.engine->vote_answered(outcome, now_);
   // A vote that failed brings no news, or only part of it.
   if (outcome != Outcome::ok)
@@ -279,11 +280,11 @@
         return;
     }
   ReleaseUpdate release{};
-  release.build = whole(fields, "ver", 0, 65535);
-  release.stage = whole(fields, "step");
-  release.phase = static_cast<ReleasePhase>(whole(fields, "where_at", 0, 3));
+  release.build = integer(fields, "ver", 0, 65535);
+  release.stage = integer(fields, "step");
+  release.phase = static_cast<ReleasePhase>(integer(fields, "where_at", 0, 3));
   release.cap = number(fields, "limit_share");
-  release.since = duration_of(fields, "since_ms");
+  release.since = duration(fields, "since_ms");
   if (outcome == Outcome::ok || outcome == Outcome::obsolete)
     instance.engine->release_updated(release, now_);
 }
--- a/src/benchlink/wire.h
+++ b/src/benchlink/wire.h
@@ -5,16 +5,17 @@
 #include <unordered_map>
 #include <vector>
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "module_settings/module_settings.h"
 #include "policy/decision_engine.h"
 #include "time/time_types.h"
 
 namespace robinhoist::benchlink {
 
-using json::Json;
+using json::Value;
 
-using json::BadInput;
+using json::DecodeError;
 
 // One instance, with the words that stand for its indices.
 struct Instance {
@@ -35,11 +36,11 @@
  private:
   using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-  void event(const std::string& name, const Json& fields);
-  void hello(const std::string& who, const Json& fields);
-  void list(Instance& instance, const Json& fields);
-  void demand(Instance& instance, const Json& fields);
-  void promotion(Instance& instance, const Json& fields);
+  void event(const std::string& name, const Value& fields);
+  void hello(const std::string& who, const Value& fields);
+  void list(Instance& instance, const Value& fields);
+  void demand(Instance& instance, const Value& fields);
+  void promotion(Instance& instance, const Value& fields);
   Instance& known(const std::string& who, bool touch);
   void answer(const std::string& who, Instance& instance);
   void write(const std::string& who, Instance& instance, const Decision& decision);
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -13,7 +13,7 @@
 #include "controller/process.h"
 #include "day/play.h"
 #include "emulator/run.h"
-#include "json/fields.h"
+#include "json/reader.h"
 #include "platform/process.h"
 #include "proxy/process.h"
 #include "standin/agent.h"
@@ -54,7 +54,7 @@
     robinhoist::audit::Report report = robinhoist::audit::check(folder);
     std::cout << robinhoist::audit::shown(report);
     return report.kept() ? 0 : 1;
-  } catch (const robinhoist::json::BadInput& bad) {
+  } catch (const robinhoist::json::DecodeError& bad) {
     std::cerr << bad.what() << "\n";
     return 2;
   }
@@ -207,7 +207,7 @@
       return rh::controller::run_list(rh::controller::read_list(root));
     if (*standin)
       return rh::standin::run(rh::standin::read(root));
-  } catch (const rh::json::BadInput& bad) {
+  } catch (const rh::json::DecodeError& bad) {
     std::cerr << bad.what() << "\n";
     return 2;
   } catch (const rh::settings::Invalid& invalid) {
--- a/src/cli/release.cpp
+++ b/src/cli/release.cpp
@@ -8,13 +8,14 @@
 #include <thread>
 
 #include "cli/ask.h"
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 
 namespace robinhoist::cli {
 namespace {
 
 using namespace std::chrono_literals;
-using json::Json;
+using json::Value;
 
 struct Words {
   std::string controller{"127.0.0.1:8091"}, who{}, why{}, name{}, description{}, key{}, selector{},
@@ -62,35 +63,36 @@
     return 2;
   }
   try {
-    const auto problem = json::object_of(asked.body);
+    const auto problem = json::parse_object(asked.body);
     std::cerr << json::text(problem, "title") << ": " << json::text(problem, "detail") << "\n";
-    if (json::present(problem, "errors"))
+    if (json::has_value(problem, "errors"))
       for (auto& one : json::array(problem, "errors").GetArray())
         std::cerr << "  " << json::text(one, "pointer") << " " << json::text(one, "detail") << "\n";
-  } catch (const json::BadInput&) {
+  } catch (const json::DecodeError&) {
     std::cerr << asked.body << "\n";
   }
   return asked.status == 409 || asked.status == 410 || asked.status == 429 ? 1 : 2;
 }
 
-std::string held(const Json& status) {
-  return json::truth(status, "held") ? ", held" : "";
+std::string held(const Value& status) {
+  return json::boolean(status, "held") ? ", held" : "";
 }
 
 // "canary, stage 1 of 3, cap 0.30".
-std::string stands(const Json& status) {
+std::string stands(const Value& status) {
   const std::string phase = json::text(status, "phase");
   std::string text = phase + held(status);
   if (phase == "trial") {
     char cap[32];
     std::snprintf(cap, sizeof cap, "%.2f", json::number(status, "cap"));
-    text += ", wave " + std::to_string(json::whole(status, "stage")) + ", cap " + cap;
+    text += ", wave " + std::to_string(json::integer(status, "stage")) + ", cap " + cap;
   }
   return text;
 }
 
-void row(const Json& release) {
-  const Json &status = json::inner(release, "status"), &machines = json::inner(status, "machines");
+void row(const Value& release) {
+  const Value &status = json::nested_object(release, "status"),
+              &machines = json::nested_object(status, "machines");
   int on = 0, hold = 0, back = 0;
   for (auto& one : json::array(status, "umpires").GetArray()) {
     const std::string vote = json::text(one, "vote");
@@ -98,11 +100,11 @@
   }
   const std::string votes =
       std::to_string(on) + "/" + std::to_string(hold) + "/" + std::to_string(back);
-  const std::string up = std::to_string(json::whole(machines, "up")) + "/" +
-                         std::to_string(json::whole(machines, "all"));
+  const std::string up = std::to_string(json::integer(machines, "up")) + "/" +
+                         std::to_string(json::integer(machines, "all"));
   std::printf("%-20s %6d  %-30s %9s  %13s  %s\n",
-              json::text(json::inner(release, "metadata"), "name").c_str(),
-              json::whole(json::inner(release, "spec"), "build"), stands(status).c_str(),
+              json::text(json::nested_object(release, "metadata"), "name").c_str(),
+              json::integer(json::nested_object(release, "spec"), "build"), stands(status).c_str(),
               up.c_str(), votes.c_str(), json::text(status, "why").c_str());
 }
 
@@ -118,7 +120,7 @@
     std::cout << asked.body << "\n";
     return 0;
   }
-  const auto release = json::object_of(asked.body);
+  const auto release = json::parse_object(asked.body);
   if (json::text(release, "kind") != "Release") {
     std::cout << "done\n";
     return 0;
@@ -141,14 +143,14 @@
                                   "&continue=" + escaped(on)));
     if (asked.status != 200)
       return refused(words, asked);
-    const auto page = json::object_of(asked.body);
-    on = json::text_or(json::inner(page, "metadata"), "continue", "");
+    const auto page = json::parse_object(asked.body);
+    on = json::text_or(json::nested_object(page, "metadata"), "continue", "");
     if (first && !words.as_json())
       head();
     first = false;
     for (auto& release : json::array(page, "items").GetArray()) {
       if (words.as_json())
-        std::cout << json::Out().put(nullptr, release).text() << "\n";
+        std::cout << json::Writer().put(nullptr, release).text() << "\n";
       else
         row(release);
     }
@@ -162,17 +164,20 @@
     return refused(words, asked);
   if (words.as_json())
     return std::cout << asked.body << "\n", 0;
-  const auto release = json::object_of(asked.body);
-  const Json &metadata = json::inner(release, "metadata"), &status = json::inner(release, "status");
+  const auto release = json::parse_object(asked.body);
+  const Value &metadata = json::nested_object(release, "metadata"),
+              &status = json::nested_object(release, "status");
   std::cout << "Name:         " << json::text(metadata, "name") << "\n"
-            << "Build:        " << json::whole(json::inner(release, "spec"), "build") << "\n"
-            << "Description:  " << json::text(json::inner(release, "spec"), "description") << "\n"
+            << "Build:        " << json::integer(json::nested_object(release, "spec"), "build")
+            << "\n"
+            << "Description:  " << json::text(json::nested_object(release, "spec"), "description")
+            << "\n"
             << "Created:      " << json::text(metadata, "creationTimestamp") << "\n";
-  if (json::present(metadata, "deletionTimestamp"))
+  if (json::has_value(metadata, "deletionTimestamp"))
     std::cout << "Deleted:      " << json::text(metadata, "deletionTimestamp") << "\n";
   std::cout << "Version:      " << json::text(metadata, "resourceVersion") << " (generation "
             << json::number(metadata, "generation") << ")\nLabels:      ";
-  for (auto& label : json::inner(metadata, "labels").GetObject())
+  for (auto& label : json::nested_object(metadata, "labels").GetObject())
     std::cout << " " << label.name.GetString() << "=" << label.value.GetString();
   std::cout << "\nStands:       " << stands(status) << ", since " << json::text(status, "since")
             << "\nWhy:          " << json::text(status, "why") << "\nWaves:\n";
@@ -189,9 +194,9 @@
   for (auto& one : json::array(status, "umpires").GetArray()) {
     std::printf("  %-20s vote %-5s", json::text(one, "name").c_str(),
                 json::text(one, "vote").c_str());
-    if (json::present(one, "acknowledgedCap"))
+    if (json::has_value(one, "acknowledgedCap"))
       std::printf("  goes by cap %.2f of wave %d since %s", json::number(one, "acknowledgedCap"),
-                  json::whole(one, "stage"), json::text(one, "acknowledgedAt").c_str());
+                  json::integer(one, "stage"), json::text(one, "acknowledgedAt").c_str());
     std::printf("\n");
   }
   std::cout << "Conditions:\n";
@@ -219,10 +224,10 @@
     Asked asked;
     const bool well =
         follow(words.controller, request_of("GET", target), asked, [&](const std::string& text) {
-          const auto event = json::object_of(text);
+          const auto event = json::parse_object(text);
           const std::string type = json::text(event, "type");
           if (type == "ERROR") {
-            begun = json::number(json::inner(event, "object"), "code") != 410;
+            begun = json::number(json::nested_object(event, "object"), "code") != 410;
             return false;
           }
           version = static_cast<std::int64_t>(json::number(event, "version"));
@@ -231,18 +236,18 @@
             begun = true;
             return true;
           }
-          const Json& release = json::inner(event, "object");
+          const Value& release = json::nested_object(event, "object");
           if (words.as_json()) {
             std::cout << text << "\n";
           } else {
             row(release);
             if (type == "DELETED")
               std::printf("%-20s deleted\n",
-                          json::text(json::inner(release, "metadata"), "name").c_str());
+                          json::text(json::nested_object(release, "metadata"), "name").c_str());
           }
           std::fflush(stdout);
-          phase =
-              type == "DELETED" ? "withdrawn" : json::text(json::inner(release, "status"), "phase");
+          phase = type == "DELETED" ? "withdrawn"
+                                    : json::text(json::nested_object(release, "status"), "phase");
           over = words.until_done && !name.empty() && (phase == "released" || phase == "withdrawn");
           return !over;
         });
@@ -265,11 +270,11 @@
 }
 
 int create(const Words& words) {
-  json::Out out;
-  out.open().open("metadata");
+  json::Writer out;
+  out.begin_object().begin_object("metadata");
   if (!words.name.empty())
     out.put("name", words.name);
-  out.open("labels");
+  out.begin_object("labels");
   for (const std::string& label : words.labels) {
     const std::size_t equals = label.find('=');
     if (equals == std::string::npos) {
@@ -278,21 +283,25 @@
     }
     out.put(label.substr(0, equals).c_str(), label.substr(equals + 1));
   }
-  out.close().close().open("spec").put("build", words.build);
+  out.end_object().end_object().begin_object("spec").put("build", words.build);
   if (!words.description.empty())
     out.put("description", words.description);
   http::Request request =
       request_of("POST", std::string("/v1/releases") + (words.dry ? "?dryRun=All" : ""),
-                 out.close().close().text());
+                 out.end_object().end_object().text());
   if (!words.key.empty())
     request.headers.add("Idempotency-Key", words.key);
   return show(words, ask(words.controller, request));
 }
 
 int act(const Words& words, const std::string& what) {
-  http::Request request = request_of(
-      "POST", target_of(words) + "/" + what,
-      json::Out().open().put("reason", words.why).put("author", words.who).close().text());
+  http::Request request = request_of("POST", target_of(words) + "/" + what,
+                                     json::Writer()
+                                         .begin_object()
+                                         .put("reason", words.why)
+                                         .put("author", words.who)
+                                         .end_object()
+                                         .text());
   if (!words.version.empty())
     request.headers.add("If-Match", "\"" + words.version + "\"");
   return show(words, ask(words.controller, request));
--- a/src/cli/steps.cpp
+++ b/src/cli/steps.cpp
@@ -6,7 +6,8 @@
 #include <sstream>
 
 #include "cli/ask.h"
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "settings/form.h"
 #include "steps/plan.h"
 
@@ -52,14 +53,14 @@
 }
 
 // "at row 120 (60%, 4 s left) ".
-std::string progress_of(const json::Json& step) {
+std::string progress_of(const json::Value& step) {
   const long after = static_cast<long>(json::number(step, "after"));
   if (after <= 0)
     return "";
   std::string text = "at row " + std::to_string(after);
-  if (json::present(step, "part")) {
+  if (json::has_value(step, "part")) {
     text += " (" + std::to_string(static_cast<int>(100 * json::number(step, "part"))) + "%";
-    if (json::present(step, "left_ms"))
+    if (json::has_value(step, "left_ms"))
       text += ", " + std::to_string(static_cast<long>(json::number(step, "left_ms") / 1000 + 1)) +
               " s left";
     text += ")";
@@ -69,12 +70,12 @@
 
 // What the checks, asked again, say of each step.
 int show_verified(const std::string& body, bool print) {
-  auto document = json::object_of(body);
+  auto document = json::parse_object(body);
   bool well = true;
   for (auto& step : json::array(document, "steps").GetArray()) {
     const std::string state = json::text(step, "state");
     if (print)
-      std::printf("  build %-5d %-20s %-16s %s\n", json::whole(step, "build"),
+      std::printf("  build %-5d %-20s %-16s %s\n", json::integer(step, "build"),
                   json::text(step, "id").c_str(), state.c_str(), json::text(step, "why").c_str());
     well &= state == "holds" || state == "skipped" || state == "undone";
   }
@@ -82,18 +83,18 @@
 }
 
 int show_status(const std::string& body, bool print) {
-  auto document = json::object_of(body);
+  auto document = json::parse_object(body);
   bool open = false, waits = false;
   if (print)
-    std::cout << (json::truth(document, "holds_lease") ? "holds the lease"
-                                                       : "does not hold the lease")
+    std::cout << (json::boolean(document, "holds_lease") ? "holds the lease"
+                                                         : "does not hold the lease")
               << ", token " << json::number(document, "token") << ", journal "
               << json::text(document, "journal") << "\n";
   for (auto& plan : json::array(document, "plans").GetArray()) {
     if (print)
-      std::cout << "build " << json::whole(plan, "build")
-                << (json::truth(plan, "paused") ? ", paused" : "")
-                << (json::truth(plan, "undoing") ? ", going back" : "") << "\n";
+      std::cout << "build " << json::integer(plan, "build")
+                << (json::boolean(plan, "paused") ? ", paused" : "")
+                << (json::boolean(plan, "undoing") ? ", going back" : "") << "\n";
     for (auto& step : json::array(plan, "steps").GetArray()) {
       const std::string state = json::text(step, "state"), why = json::text(step, "why");
       if (print)
@@ -184,10 +185,14 @@
   for (const std::string name : {"pause", "resume"})
     to(add(name.c_str(), name == "pause" ? "Begin no further step or batch" : "Go on",
            [words, name] {
-             return tell(
-                 words->controller, "/v1/steps/" + name,
-                 json::Out().open().put("who", words->who).put("why", words->why).close().text(),
-                 words->who);
+             return tell(words->controller, "/v1/steps/" + name,
+                         json::Writer()
+                             .begin_object()
+                             .put("who", words->who)
+                             .put("why", words->why)
+                             .end_object()
+                             .text(),
+                         words->who);
            }))
         ->add_option("--reason", words->why);
   for (const std::string name : {"retry", "skip"}) {
@@ -196,13 +201,13 @@
             name == "retry" ? "Try a step again: you know that it is safe" : "Take a step as done",
             [words, name] {
               return tell(words->controller, "/v1/steps/" + name,
-                          json::Out()
-                              .open()
+                          json::Writer()
+                              .begin_object()
                               .put("build", words->build)
                               .put("step", words->step)
                               .put("who", words->who)
                               .put("why", words->why)
-                              .close()
+                              .end_object()
                               .text(),
                           words->who);
             }));
--- a/src/cli/txn.cpp
+++ b/src/cli/txn.cpp
@@ -7,7 +7,8 @@
 #include <memory>
 
 #include "cli/ask.h"
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 
 namespace robinhoist::cli {
 namespace {
@@ -17,7 +18,7 @@
   std::vector<std::string> proxies{"127.0.0.1:8081"};
 };
 
-void show(const json::Json& trace, double from_ms) {
+void show(const json::Value& trace, double from_ms) {
   std::cout << "txn " << json::text(trace, "txn") << ", trace " << json::text(trace, "trace")
             << ": " << json::text(trace, "outcome") << "\n";
   const double began = json::number(trace, "began_ms") - from_ms;
@@ -47,7 +48,7 @@
       std::cerr << proxy << ": no umpire answers\n";
     }
     if (asked.status == 200)
-      found.push_back(json::object_of(asked.body));
+      found.push_back(json::parse_object(asked.body));
   }
   if (found.empty()) {
     if (silent == static_cast<int>(words.proxies.size()))
@@ -61,7 +62,7 @@
   });
   for (auto& trace : found) {
     if (words.output == "json")
-      std::cout << json::Out().put(nullptr, trace).text() << "\n";
+      std::cout << json::Writer().put(nullptr, trace).text() << "\n";
     else
       show(trace, json::number(found.front(), "began_ms"));
   }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -3,7 +3,8 @@
 #include <algorithm>
 
 #include "controller/problem.h"
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "rollout/names.h"
 #include "settings/form.h"
 
@@ -173,17 +174,17 @@
 }
 
 void Controller::orders(const Asked& asked) {
-  json::Out out;
-  out.open().open_list("orders");
+  json::Writer out;
+  out.begin_object().begin_array("orders");
   for (const rollout::Order& order : untaken_)
-    out.open()
+    out.begin_object()
         .put("is", to_string(order.kind))
         .put("machine", order.machine)
         .put("place", order.place)
         .put("build", order.build)
-        .close();
+        .end_object();
   untaken_.clear();
-  asked.exchange->answer(http::json_answer(200, out.close_list().close().text()));
+  asked.exchange->answer(http::json_answer(200, out.end_array().end_object().text()));
 }
 
 void Controller::with_steps(const Asked& asked, const std::function<void()>& does) {
@@ -191,7 +192,7 @@
     return asked.exchange->answer(http::text_answer(404, "this controller runs no steps\n"));
   try {
     does();
-  } catch (const json::BadInput& bad) {
+  } catch (const json::DecodeError& bad) {
     asked.exchange->answer(http::text_answer(422, std::string(bad.what()) + "\n"));
   } catch (const settings::Invalid& bad) {
     asked.exchange->answer(http::text_answer(422, std::string(bad.what()) + "\n"));
@@ -208,8 +209,8 @@
         runner_->take_plan(request.body, "plan", who.empty() ? asked.caller.name : who);
     tell_steps();
     pull();
-    asked.exchange->answer(
-        http::json_answer(200, json::Out().open().put("build", build).close().text()));
+    asked.exchange->answer(http::json_answer(
+        200, json::Writer().begin_object().put("build", build).end_object().text()));
   });
 }
 
@@ -227,7 +228,7 @@
 
 void Controller::steps_say(const Asked& asked) {
   with_steps(asked, [&] {
-    auto document = json::object_of(asked.exchange->request.body);
+    auto document = json::parse_object(asked.exchange->request.body);
     const std::string who = json::text_or(document, "who", asked.caller.name),
                       why = json::text_or(document, "why", "");
     const std::string what(
@@ -236,7 +237,7 @@
     if (what == "pause" || what == "resume") {
       refused = runner_->pause(what == "pause", who, why);
     } else {
-      const int build = json::whole(document, "build");
+      const int build = json::integer(document, "build");
       const std::string step = json::text(document, "step");
       refused = what == "retry" ? runner_->retry(build, step, who, why)
                                 : runner_->skip(build, step, who, why);
@@ -249,14 +250,14 @@
 
 void Controller::machine(const Asked& asked) {
   try {
-    auto document = json::object_of(asked.exchange->request.body);
-    const int machine = json::whole(document, "machine");
+    auto document = json::parse_object(asked.exchange->request.body);
+    const int machine = json::integer(document, "machine");
     const bool up = json::enumerator<bool>(document, "state", {{"up", true}, {"gone", false}});
     if (up)
       core_->machine_up(machine, loop_.now());
     else
       core_->machine_gone(machine, loop_.now());
-  } catch (const json::BadInput& bad) {
+  } catch (const json::DecodeError& bad) {
     return asked.exchange->answer(http::text_answer(422, std::string(bad.what()) + "\n"));
   }
   pull();
--- a/src/controller/problem.h
+++ b/src/controller/problem.h
@@ -4,7 +4,8 @@
 #include <vector>
 
 #include "http/server.h"
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "releases/release.h"
 
 namespace robinhoist::controller {
@@ -13,8 +14,8 @@
 inline http::Response problem(int status, const std::string& title, const std::string& detail,
                               const std::vector<releases::Problem>& problems = {},
                               std::int64_t present = 0) {
-  json::Out out;
-  out.open()
+  json::Writer out;
+  out.begin_object()
       .put("type", "about:blank")
       .put("title", title)
       .put("status", status)
@@ -22,12 +23,12 @@
   if (present > 0)
     out.put("presentVersion", std::to_string(present));
   if (!problems.empty()) {
-    out.open_list("errors");
+    out.begin_array("errors");
     for (const releases::Problem& one : problems)
-      out.open().put("pointer", one.pointer).put("detail", one.detail).close();
-    out.close_list();
+      out.begin_object().put("pointer", one.pointer).put("detail", one.detail).end_object();
+    out.end_array();
   }
-  http::Response response = http::json_answer(status, out.close().text());
+  http::Response response = http::json_answer(status, out.end_object().text());
   response.headers.set("Content-Type", "application/problem+json");
   return response;
 }
--- a/src/controller/releases.cpp
+++ b/src/controller/releases.cpp
@@ -7,7 +7,8 @@
 
 #include "controller/controller.h"
 #include "controller/problem.h"
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "rollout/names.h"
 
 namespace robinhoist::controller {
@@ -63,7 +64,7 @@
                           "Content-Type is '" + std::string(type) + "', not application/json")};
   try {
     return releases::strict(request.body);
-  } catch (const json::BadInput& bad) {
+  } catch (const json::DecodeError& bad) {
     throw Refused{problem(400, "the body makes no sense", bad.what())};
   }
 }
@@ -74,7 +75,7 @@
     act();
   } catch (const Refused& refused) {
     exchange->answer(refused.response);
-  } catch (const json::BadInput& bad) {
+  } catch (const json::DecodeError& bad) {
     exchange->answer(problem(422, "the body makes no sense", bad.what()));
   } catch (const objects::BadSelector& bad) {
     exchange->answer(problem(400, "the selector makes no sense", bad.what()));
@@ -347,11 +348,11 @@
 }
 
 void Controller::list_routes(const Asked& asked) {
-  json::Out out;
-  out.open().open_list("routes");
+  json::Writer out;
+  out.begin_object().begin_array("routes");
   for (const Route& one : routes())
-    out.open().put("method", one.method).put("path", one.path).close();
-  asked.exchange->answer(http::json_answer(200, out.close_list().close().text()));
+    out.begin_object().put("method", one.method).put("path", one.path).end_object();
+  asked.exchange->answer(http::json_answer(200, out.end_array().end_object().text()));
 }
 
 void Controller::list(const Asked& asked) {
@@ -388,14 +389,13 @@
       else
         ++left;
     }
-    json::Out metadata;
-    metadata.open().put("resourceVersion", std::to_string(version)).put("series", series_);
+    json::Writer metadata;
+    metadata.begin_object().put("resourceVersion", std::to_string(version)).put("series", series_);
     if (left > 0)
       metadata.put("continue", std::to_string(version) + "." + items.back()->name)
           .put("remainingItemCount", left);
-    std::string body =
-        "{\"kind\":\"ReleaseList\",\"apiVersion\":\"v1\",\"metadata\":" + metadata.close().text() +
-        ",\"items\":[";
+    std::string body = "{\"kind\":\"ReleaseList\",\"apiVersion\":\"v1\",\"metadata\":" +
+                       metadata.end_object().text() + ",\"items\":[";
     for (std::size_t i = 0; i < items.size(); ++i)
       body += (i > 0 ? "," : "") + items[i]->full;
     asked.exchange->answer(http::json_answer(200, body + "]}"));
@@ -498,7 +498,7 @@
 }
 
 bool Controller::offer(int build, const std::string& who) {
-  const auto body = json::object_of("{\"spec\":{\"build\":" + std::to_string(build) + "}}");
+  const auto body = json::parse_object("{\"spec\":{\"build\":" + std::to_string(build) + "}}");
   const releases::Reply made =
       catalog_.create(body, fresh_id(), core_->newest_offered(), wall_ms());
   if (!made.draft)
@@ -542,7 +542,7 @@
     const std::string reason = json::text(body, "reason");
     const std::string author = json::text_or(body, "author", asked.caller.name);
     if (reason.empty() || author.empty())
-      json::mistyped(reason.empty() ? "reason" : "author", "a word");
+      json::throw_wrong_type(reason.empty() ? "reason" : "author", "a word");
     const releases::Reply may = catalog_.act(asked.name, believed_of(asked.exchange->request));
     if (may.status != 200)
       return reply(asked, may);
@@ -582,14 +582,14 @@
   guarded(asked.exchange, [&] {
     const auto body = body_of(asked.exchange->request);
     const std::string proxy = json::text(body, "umpire"), session = json::text(body, "session");
-    const int stage = json::whole(body, "stage", 0, 1000);
+    const int stage = json::integer(body, "stage", 0, 1000);
     const Verdict verdict = json::enumerator<Verdict>(body, "verdict",
                                                       {{"none", Verdict::none},
                                                        {"on", Verdict::promote},
                                                        {"hold", Verdict::hold},
                                                        {"back", Verdict::roll_back}});
     if (proxy.empty())
-      json::mistyped("umpire", "a name");
+      json::throw_wrong_type("umpire", "a name");
     const releases::Release* release = catalog_.find(asked.name);
     if (!release)
       return reply(asked, catalog_.act(asked.name, {}));
@@ -648,29 +648,29 @@
     const auto body = body_of(asked.exchange->request);
     const std::string session = json::text(body, "session");
     if (!objects::label_value(asked.name) || session.empty())
-      json::mistyped("session", "a word");
+      json::throw_wrong_type("session", "a word");
     const TimePoint now = loop_.now();
     const membership::Heard heard = members_.heard(asked.name, session, now);
     if (heard != membership::Heard::renewed)
       log_.info("umpire", {{"name", asked.name}, {"is", membership::to_string(heard)}});
     if (heard == membership::Heard::superseded)
       throw Refused{problem(409, "superseded", "another process has taken the name " + asked.name)};
-    if (json::present(body, "acknowledged")) {
-      const json::Json& told = json::inner(body, "acknowledged");
-      membership::Acknowledged what{json::whole(told, "build", 0, 65535),
-                                    json::whole(told, "stage", 0, 1000), json::number(told, "cap"),
-                                    static_cast<std::int64_t>(json::number(told, "version")), now};
+    if (json::has_value(body, "acknowledged")) {
+      const json::Value& told = json::nested_object(body, "acknowledged");
+      membership::Acknowledged what{
+          json::integer(told, "build", 0, 65535), json::integer(told, "stage", 0, 1000),
+          json::number(told, "cap"), static_cast<std::int64_t>(json::number(told, "version")), now};
       members_.acknowledges(asked.name, session, what);
     }
     look_at_members();
     pull();
     asked.exchange->answer(
-        http::json_answer(200, json::Out()
-                                   .open()
+        http::json_answer(200, json::Writer()
+                                   .begin_object()
                                    .put("leaseMs", settings_.members.lease.count() / 1000)
                                    .put("known", members_.known())
                                    .put("live", members_.live())
-                                   .close()
+                                   .end_object()
                                    .text()));
   });
 }
@@ -687,30 +687,33 @@
 
 void Controller::proxies(const Asked& asked) {
   const TimePoint now = loop_.now();
-  json::Out out;
-  out.open().put("kind", "UmpireList").put("known", members_.known()).put("live", members_.live());
+  json::Writer out;
+  out.begin_object()
+      .put("kind", "UmpireList")
+      .put("known", members_.known())
+      .put("live", members_.live());
   out.put("countedToGoOn", members_.to_go_on()).put("countedToGoBack", members_.to_go_back());
-  out.put("watches", watches_->count()).put("watchesCut", watches_->cut()).open_list("items");
+  out.put("watches", watches_->count()).put("watchesCut", watches_->cut()).begin_array("items");
   for (auto& [name, member] : members_.all()) {
-    out.open().put("name", name).put("live", member.live).put("restarts", member.restarts);
+    out.begin_object().put("name", name).put("live", member.live).put("restarts", member.restarts);
     out.put_ms("heardMsAgo", now - member.heard).put_ms("hereForMs", now - member.since);
     if (member.acknowledged)
-      out.open("acknowledged")
+      out.begin_object("acknowledged")
           .put("build", member.acknowledged->build)
           .put("stage", member.acknowledged->stage)
           .put("cap", member.acknowledged->cap)
           .put("version", static_cast<long>(member.acknowledged->version))
           .put_ms("msAgo", now - member.acknowledged->at)
-          .close();
-    out.close();
+          .end_object();
+    out.end_object();
   }
-  asked.exchange->answer(http::json_answer(200, out.close_list().close().text()));
+  asked.exchange->answer(http::json_answer(200, out.end_array().end_object().text()));
 }
 
 void Controller::client_outcomes(const Asked& asked) {
   guarded(asked.exchange, [&] {
     const auto body = releases::strict(asked.exchange->request.body);
-    const int requests = json::whole(body, "txns"), unsuccessful = json::whole(body, "poorly");
+    const int requests = json::integer(body, "txns"), unsuccessful = json::integer(body, "poorly");
     if (runner_ && settings_.throttle)
       runner_->client_outcomes(requests, unsuccessful);
     asked.exchange->answer(http::json_answer(200, "{}"));
--- a/src/controller/watches.cpp
+++ b/src/controller/watches.cpp
@@ -1,6 +1,6 @@
 #include "controller/watches.h"
 
-#include "json/fields.h"
+#include "json/writer.h"
 
 namespace robinhoist::controller {
 namespace {
@@ -8,15 +8,15 @@
 constexpr int at_a_time = 50;
 
 std::string error_line(int code, const char* reason, std::int64_t version) {
-  return json::Out()
-             .open()
+  return json::Writer()
+             .begin_object()
              .put("type", "ERROR")
-             .open("object")
+             .begin_object("object")
              .put("code", code)
              .put("reason", reason)
              .put("resourceVersion", std::to_string(version))
-             .close()
-             .close()
+             .end_object()
+             .end_object()
              .text() +
          "\n";
 }
@@ -47,12 +47,12 @@
 }
 
 bool Watches::write(Watcher& watcher, const char* type, const objects::Snapshot& what) {
-  std::string line = json::Out()
-                         .open()
+  std::string line = json::Writer()
+                         .begin_object()
                          .put("type", type)
                          .put("version", static_cast<long>(what.version))
                          .put("ageMs", age_ms(what))
-                         .close()
+                         .end_object()
                          .text();
   line.pop_back();
   line += ",\"object\":" + (watcher.ask.brief ? what.brief : what.full) + "}\n";
@@ -62,12 +62,12 @@
 }
 
 bool Watches::bookmark(Watcher& watcher) {
-  return watcher.exchange->write(json::Out()
-                                     .open()
+  return watcher.exchange->write(json::Writer()
+                                     .begin_object()
                                      .put("type", "BOOKMARK")
                                      .put("version", static_cast<long>(watcher.version))
                                      .put("series", series_)
-                                     .close()
+                                     .end_object()
                                      .text() +
                                  "\n");
 }
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -177,18 +177,18 @@
   http::Request request;
   request.method = "POST";
   request.target = "/wrong";
-  request.body = json::Out().open().put("node", node).close().text();
+  request.body = json::Writer().begin_object().put("node", node).end_object().text();
   admins_[proxy]->call(request, 2s, [](http::Ended, http::Response&&) {});
 }
 
 void Clients::note_unasked() {
   for (std::size_t u = 0; u < fronts_.size(); ++u)
     if (fronts_[u]->unasked() > 0)
-      record_.line(json::Out()
-                       .open()
+      record_.line(json::Writer()
+                       .begin_object()
                        .put("unasked", fronts_[u]->unasked())
                        .put("umpire", "umpire-" + std::to_string(u))
-                       .close()
+                       .end_object()
                        .text());
 }
 
--- a/src/json/framing.h
+++ b/src/json/framer.h
@@ -6,7 +6,7 @@
 
 namespace robinhoist::json {
 
-enum class Framed { more, object, bad };
+enum class FrameStatus { more, object, bad };
 
 class Framer {
  public:
@@ -15,7 +15,7 @@
 
   // Looks on through what has come, from where it stopped. After `object` that is in object();
   // `bad`: what comes between objects is no space.
-  Framed next(std::string_view in) {
+  FrameStatus next(std::string_view in) {
     for (; at_ < in.size(); ++at_) {
       const char c = in[at_];
       if (depth_ == 0) {
@@ -23,11 +23,11 @@
         if (c == ' ' || c == '\t' || c == '\r' || c == '\n')
           continue;
         if (c != '{')
-          return Framed::bad;
+          return FrameStatus::bad;
         begin_ = at_;
         depth_ = 1;
       } else if (at_ - begin_ >= most_) {
-        return Framed::bad;
+        return FrameStatus::bad;
       } else if (escaped_) {
         escaped_ = false;
       } else if (quoted_) {
@@ -39,10 +39,10 @@
         ++depth_;
       } else if ((c == '}' || c == ']') && --depth_ == 0) {
         object_ = in.substr(begin_, ++at_ - begin_);
-        return Framed::object;
+        return FrameStatus::object;
       }
     }
-    return Framed::more;
+    return FrameStatus::more;
   }
   std::string_view object() const { return object_; }
   // How many lines have ended between objects.
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -7,29 +7,29 @@
 
 using namespace json;
 
-double positive(const Json& object, const char* field) {
+double positive(const Value& object, const char* field) {
   double value = number(object, field);
   if (!(value > 0))
-    throw BadInput(std::string("setting ") + field + " must be above 0");
+    throw DecodeError(std::string("setting ") + field + " must be above 0");
   return value;
 }
 
-double not_negative(const Json& object, const char* field) {
+double not_negative(const Value& object, const char* field) {
   double value = number(object, field);
   if (!(value >= 0))
-    throw BadInput(std::string("setting ") + field + " must not be below 0");
+    throw DecodeError(std::string("setting ") + field + " must not be below 0");
   return value;
 }
 
-void request_settings(const Json& params, ModuleSettings& to) {
+void request_settings(const Value& params, ModuleSettings& to) {
   RequestSettings& settings = to.requests;
-  for (const Json& entry : array(params, "classes").GetArray()) {
+  for (const Value& entry : array(params, "classes").GetArray()) {
     if (!entry.IsObject())
-      mistyped("classes", "an array of objects");
+      throw_wrong_type("classes", "an array of objects");
     RequestClass request_class{};
-    request_class.latency_objective = span(positive(entry, "goal_time_ms"));
-    request_class.deadline = span(positive(entry, "deadline_ms"));
-    request_class.dedup_window = span(not_negative(entry, "dedup_window_ms"));
+    request_class.latency_objective = duration_from_ms(positive(entry, "goal_time_ms"));
+    request_class.deadline = duration_from_ms(positive(entry, "deadline_ms"));
+    request_class.dedup_window = duration_from_ms(not_negative(entry, "dedup_window_ms"));
     request_class.idempotency =
         enumerator<Idempotency>(entry, "effect",
                                 {{"free", Idempotency::idempotent},
@@ -40,90 +40,91 @@
         {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
     request_class.priority_weight = not_negative(entry, "worth");
     request_class.late_weight_share = not_negative(entry, "late_share");
-    request_class.stream = truth(entry, "streaming");
+    request_class.stream = boolean(entry, "streaming");
     settings.request_classes.push_back(request_class);
     to.request_classes.push_back(text_or(entry, "name", ""));
   }
   if (settings.request_classes.empty())
-    throw BadInput("setting classes is empty");
-  for (const Json& entry : array(params, "tenants").GetArray()) {
+    throw DecodeError("setting classes is empty");
+  for (const Value& entry : array(params, "tenants").GetArray()) {
     if (!entry.IsObject())
-      mistyped("tenants", "an array of objects");
+      throw_wrong_type("tenants", "an array of objects");
     settings.tenants.push_back(
         {not_negative(entry, "fraction"), not_negative(entry, "allowance_per_s")});
     to.tenants.push_back(text_or(entry, "name", ""));
   }
-  const Json& bounds = inner(params, "bounds");
-  settings.max_attempts = whole(bounds, "max_attempts", 1);
-  settings.proxies = whole(params, "balancers", 1);
-  settings.hedging = truth(bounds, "second_copies");
-  settings.cancelling = truth(bounds, "cancelling");
-  settings.advice = truth(bounds, "retry_after");
-  settings.max_pause = span(not_negative(bounds, "max_retry_after_ms"));
-  settings.slack = span(not_negative(inner(params, "safety"), "answer_slack_ms"));
-  settings.tick = span(positive(params, "tick_ms"));
+  const Value& bounds = nested_object(params, "bounds");
+  settings.max_attempts = integer(bounds, "max_attempts", 1);
+  settings.proxies = integer(params, "balancers", 1);
+  settings.hedging = boolean(bounds, "second_copies");
+  settings.cancelling = boolean(bounds, "cancelling");
+  settings.advice = boolean(bounds, "retry_after");
+  settings.max_pause = duration_from_ms(not_negative(bounds, "max_retry_after_ms"));
+  settings.slack =
+      duration_from_ms(not_negative(nested_object(params, "safety"), "answer_slack_ms"));
+  settings.tick = duration_from_ms(positive(params, "tick_ms"));
   settings.over_quota_weight = not_negative(params, "over_share_worth");
 }
 
-EndpointSettings endpoint_settings(const Json& params) {
-  const Json& safety = inner(params, "safety");
+EndpointSettings endpoint_settings(const Value& params) {
+  const Value& safety = nested_object(params, "safety");
   EndpointSettings settings{};
-  settings.zone = whole(params, "zone");
-  settings.me = whole(params, "me");
-  settings.proxies = whole(params, "balancers", 1);
-  settings.cold_for = duration_of(safety, "cold_ms");
-  settings.fall_window = span(positive(safety, "fall_ms"));
-  settings.ask_within = span(not_negative(safety, "ask_within_ms"));
+  settings.zone = integer(params, "zone");
+  settings.me = integer(params, "me");
+  settings.proxies = integer(params, "balancers", 1);
+  settings.cold_for = duration(safety, "cold_ms");
+  settings.fall_window = duration_from_ms(positive(safety, "fall_ms"));
+  settings.ask_within = duration_from_ms(not_negative(safety, "ask_within_ms"));
   settings.cold_from = positive(safety, "cold_from");
   if (settings.cold_from > 1)
-    throw BadInput("setting cold_from must not be above 1");
+    throw DecodeError("setting cold_from must not be above 1");
   settings.fall_multiple = positive(safety, "fall_multiple");
   settings.must_ask =
       enumerator<bool>(params, "registry_mode", {{"automatic", false}, {"subscribe", true}});
   settings.sized = enumerator<bool>(
       params, "weights", {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
-  settings.probes = truth(inner(params, "bounds"), "probes");
-  settings.reports = enumerator<LoadReportSource>(inner(params, "load_report"), "source",
+  settings.probes = boolean(nested_object(params, "bounds"), "probes");
+  settings.reports = enumerator<LoadReportSource>(nested_object(params, "load_report"), "source",
                                                   {{"piggyback", LoadReportSource::answers},
                                                    {"pull", LoadReportSource::probes},
                                                    {"silent", LoadReportSource::none}});
   return settings;
 }
 
-CanaryQuotaSettings canary_quota_settings(const Json& info) {
+CanaryQuotaSettings canary_quota_settings(const Value& info) {
   CanaryQuotaSettings settings{};
-  settings.window = span(positive(info, "window_ms"));
+  settings.window = duration_from_ms(positive(info, "window_ms"));
   settings.free = not_negative(info, "free");
   settings.by_request_class =
       enumerator<bool>(info, "counts", {{"all", false}, {"each_class", true}});
-  settings.one_way = truth(info, "one_way");
+  settings.one_way = boolean(info, "one_way");
   settings.in_place =
       enumerator<bool>(info, "replace_mode", {{"parallel", false}, {"replace", true}});
-  settings.safe_only_stages = whole(info, "safe_only_stages");
-  for (const Json& cap : array(info, "caps").GetArray()) {
+  settings.safe_only_stages = integer(info, "safe_only_stages");
+  for (const Value& cap : array(info, "caps").GetArray()) {
     if (!cap.IsNumber() || cap.GetDouble() < 0)
-      mistyped("caps", "an array of numbers from 0");
+      throw_wrong_type("caps", "an array of numbers from 0");
     settings.caps.push_back(cap.GetDouble());
   }
   return settings;
 }
 
-AnalysisSettings analysis_settings(const Json& params, const Json& info) {
+AnalysisSettings analysis_settings(const Value& params, const Value& info) {
   AnalysisSettings settings{};
   settings.promotion_mode = enumerator<PromotionMode>(info, "gate_mode",
                                                       {{"first_voice", PromotionMode::first_vote},
                                                        {"by_count", PromotionMode::count},
                                                        {"automatic", PromotionMode::clock}});
-  settings.bake = span(not_negative(info, "bake_ms"));
-  settings.step = span(not_negative(info, "moves_after_ms"));
-  settings.vote_lifetime = span(positive(info, "vote_stands_ms"));
-  settings.call_timeout = span(positive(info, "call_timeout_ms"));
+  settings.bake = duration_from_ms(not_negative(info, "bake_ms"));
+  settings.step = duration_from_ms(not_negative(info, "moves_after_ms"));
+  settings.vote_lifetime = duration_from_ms(positive(info, "vote_stands_ms"));
+  settings.call_timeout = duration_from_ms(positive(info, "call_timeout_ms"));
   settings.votes_per_s = not_negative(info, "calls_per_s");
   settings.wrong_answer_report_share = not_negative(info, "flag_share");
-  settings.proxies = whole(params, "balancers", 1);
-  settings.votes_to_promote = whole(info, "to_advance");
-  settings.votes_to_hold = whole(info, "hold_votes");
-  settings.votes_to_roll_back = whole(info, "votes_to_revert");
+  settings.proxies = integer(params, "balancers", 1);
+  settings.votes_to_promote = integer(info, "to_advance");
+  settings.votes_to_hold = integer(info, "hold_votes");
+  settings.votes_to_roll_back = integer(info, "votes_to_revert");
   return settings;
 }
 
@@ -134,20 +135,20 @@
   return at == among.end() ? -1 : static_cast<int>(at - among.begin());
 }
 
-ModuleSettings decode(const Json& object) {
+ModuleSettings decode(const Value& object) {
   ModuleSettings to;
-  const Json& info = inner(object, "family_info");
+  const Value& info = nested_object(object, "family_info");
   request_settings(object, to);
   to.endpoints = endpoint_settings(object);
   to.canary_quota = canary_quota_settings(info);
   to.analysis = analysis_settings(object, info);
-  const Json& bounds = inner(object, "bounds");
-  to.connect_within = span(number_or(bounds, "connect_timeout_ms", 0));
-  to.keep_idle = span(number_or(bounds, "keepalive_ms", 0));
-  if (present(object, "failure_domains"))
-    for (const Json& zone : array(object, "failure_domains").GetArray()) {
+  const Value& bounds = nested_object(object, "bounds");
+  to.connect_within = duration_from_ms(number_or(bounds, "connect_timeout_ms", 0));
+  to.keep_idle = duration_from_ms(number_or(bounds, "keepalive_ms", 0));
+  if (has_value(object, "failure_domains"))
+    for (const Value& zone : array(object, "failure_domains").GetArray()) {
       if (!zone.IsString())
-        mistyped("failure_domains", "an array of names");
+        throw_wrong_type("failure_domains", "an array of names");
       to.zones.emplace_back(zone.GetString(), zone.GetStringLength());
     }
   return to;
--- a/src/module_settings/module_settings.h
+++ b/src/module_settings/module_settings.h
@@ -6,7 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "policy/endpoint.h"
 #include "policy/release.h"
 #include "policy/request.h"
@@ -30,8 +31,8 @@
   static int index(const std::vector<std::string>& among, std::string_view name);
 };
 
-// Of the object that an instance gets; BadInput names the field and what is wrong with it.
-ModuleSettings decode(const json::Json& object);
+// Of the object that an instance gets; DecodeError names the field and what is wrong with it.
+ModuleSettings decode(const json::Value& object);
 
 // Where a value of a load report belongs, by the words of `load_report`; null: not one of them.
 std::optional<double>* load_field(LoadReport& load, std::string_view name);
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -24,12 +24,12 @@
   ReleaseUpdate news{};
 };
 
-// Throws json::BadInput naming the field and what is wrong with it.
+// Throws json::DecodeError naming the field and what is wrong with it.
 Config decoded(std::string_view text);
 Config of_file(const std::string& file);
 
 // The platform's words, as they come in the file and on sockets alike.
-registry::Update endpoints_of(const json::Json& object);
-ReleaseUpdate release_update_of(const json::Json& object);
+registry::Update endpoints_of(const json::Value& object);
+ReleaseUpdate release_update_of(const json::Value& object);
 
 }  // namespace robinhoist::platform
--- a/src/platform/process.cpp
+++ b/src/platform/process.cpp
@@ -79,7 +79,7 @@
         releases.move(fresh.release_api);
         log.info("configuration read again",
                  {{"discovery", fresh.discovery}, {"release_api", fresh.release_api}});
-      } catch (const json::BadInput& bad) {
+      } catch (const json::DecodeError& bad) {
         log.warn("configuration not read again: all stays as it was", {{"why", bad.what()}});
       }
       return;
--- a/src/platform/process.h
+++ b/src/platform/process.h
@@ -15,7 +15,7 @@
 // by the protocol's sizes.
 proxy::RouterSettings router_settings(const Config& config);
 
-// Runs until told to stop; returns the exit status. Throws json::BadInput where the file is no
+// Runs until told to stop; returns the exit status. Throws json::DecodeError where the file is no
 // good.
 int run(const std::string& config_file);
 
--- a/src/platform/sources.cpp
+++ b/src/platform/sources.cpp
@@ -116,12 +116,12 @@
   const std::size_t lines = framer_.lines();
   std::size_t objects = 0;
   try {
-    json::Framed framed;
-    for (; (framed = framer_.next(body)) == json::Framed::object; ++objects)
-      event_(json::object_of(framer_.object()));
-    if (framed == json::Framed::bad)
-      throw json::BadInput("what comes is no JSON object");
-  } catch (const json::BadInput& bad) {
+    json::FrameStatus framed;
+    for (; (framed = framer_.next(body)) == json::FrameStatus::object; ++objects)
+      event_(json::parse_object(framer_.object()));
+    if (framed == json::FrameStatus::bad)
+      throw json::DecodeError("what comes is no JSON object");
+  } catch (const json::DecodeError& bad) {
     stream_->stop();
     broken(bad.what());
     return false;
@@ -162,7 +162,7 @@
 void Discovery::start(Heard heard) {
   heard_ = std::move(heard);
   watch_.start([this] { return "/discovery/hosts?watch=1&from=" + std::to_string(version_); },
-               [this](const json::Json& object) { told(endpoints_of(object)); });
+               [this](const json::Value& object) { told(endpoints_of(object)); });
 }
 
 // A list older than the one held is not believed, unless nothing else has been told for as long as
@@ -172,8 +172,8 @@
     if (!older_from_)
       older_from_ = loop_.now();
     if (!news.whole || loop_.now() < *older_from_ + told_after)
-      throw json::BadInput("revision " + std::to_string(news.version) +
-                           " is older than the one held, " + std::to_string(version_));
+      throw json::DecodeError("revision " + std::to_string(news.version) +
+                              " is older than the one held, " + std::to_string(version_));
   }
   older_from_.reset();
   version_ = news.version;
@@ -207,15 +207,15 @@
   at_start.since = std::max(Duration{}, loop_.now() - known_from_);
   heard_(at_start);
   watch_.start([] { return "/v1/watch"; },
-               [this](const json::Json& line) {
+               [this](const json::Value& line) {
                  if (line.ObjectEmpty())
                    return;  // a sign of life
                  const std::string type = json::text(line, "type");
-                 const json::Json& object = json::inner(line, "object");
+                 const json::Value& object = json::nested_object(line, "object");
                  if (type == "ROLLOUT")
                    return told(release_update_of(object));
                  if (type == "DISPUTE" && flagged_)
-                   flagged_(json::text(object, "InstanceId"), json::duration_of(object, "AgeMs"));
+                   flagged_(json::text(object, "InstanceId"), json::duration(object, "AgeMs"));
                });
 }
 
@@ -241,12 +241,12 @@
   request.method = "POST";
   request.target = "/v1/verdicts";
   request.headers.add("Content-Type", "application/json");
-  request.body = json::Out()
-                     .open()
+  request.body = json::Writer()
+                     .begin_object()
                      .put("Revision", build)
                      .put("Wave", stage)
                      .put("Decision", word_of(verdict))
-                     .close()
+                     .end_object()
                      .text();
   caller_->call(request, vote_within_,
                 [this, answered](http::Ended how, http::Response&& response) {
@@ -262,8 +262,8 @@
                     return answered(Outcome::error);
                   ReleaseUpdate release{};
                   try {
-                    release = release_update_of(json::object_of(response.body));
-                  } catch (const json::BadInput&) {
+                    release = release_update_of(json::parse_object(response.body));
+                  } catch (const json::DecodeError&) {
                     return answered(Outcome::timeout);  // it can't be read: the vote may count
                   }
                   answered(Outcome::ok);
--- a/src/platform/sources.h
+++ b/src/platform/sources.h
@@ -8,7 +8,7 @@
 
 #include "http/caller.h"
 #include "http/stream_caller.h"
-#include "json/framing.h"
+#include "json/framer.h"
 #include "log/log.h"
 #include "platform/config.h"
 #include "proxy/sources.h"
@@ -29,7 +29,7 @@
     unsigned salt = 1;
   };
   using Target = std::function<std::string()>;
-  using Event = std::function<void(const json::Json& object)>;  // throws json::BadInput
+  using Event = std::function<void(const json::Value& object)>;  // throws json::DecodeError
   Watch(net::Loop& loop, const std::string& address, const Settings& settings, const log::Log& log);
   ~Watch();
   void start(Target target, Event event);
--- a/src/proxy/process.cpp
+++ b/src/proxy/process.cpp
@@ -2,7 +2,7 @@
 
 #include <csignal>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "net/signals.h"
 #include "proxy/http_protocol.h"
 #include "proxy/router.h"
@@ -46,11 +46,11 @@
       }
       if (request.method == "POST" && request.path() == "/wrong") {
         try {
-          const std::string endpoint = json::text(json::object_of(request.body), "node");
+          const std::string endpoint = json::text(json::parse_object(request.body), "node");
           if (router.found_wrong(endpoint))
             return exchange->answer(http::json_answer(200, "{}"));
           return exchange->answer(http::text_answer(404, "no node " + endpoint + "\n"));
-        } catch (const json::BadInput& bad) {
+        } catch (const json::DecodeError& bad) {
           return exchange->answer(http::text_answer(422, std::string(bad.what()) + "\n"));
         }
       }
--- a/src/proxy/router.cpp
+++ b/src/proxy/router.cpp
@@ -6,7 +6,8 @@
 #include <cmath>
 #include <cstdio>
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "rollout/names.h"
 
 namespace robinhoist::proxy {
@@ -75,7 +76,7 @@
       try {
         heard(registry::decoded(*content), true);
         log_.info("saved list read", {{"nodes", log::text(listed_.size())}});
-      } catch (const json::BadInput& bad) {
+      } catch (const json::DecodeError& bad) {
         log_.warn("saved list not used", {{"why", bad.what()}});
       }
     } else if (!why.empty()) {
@@ -588,22 +589,25 @@
 }
 
 std::string Router::trace_json(const tracing::Trace& trace) const {
-  json::Out out;
-  out.open().put("umpire", settings_.name).put("txn", trace.request_name).put("trace", trace.trace);
+  json::Writer out;
+  out.begin_object()
+      .put("umpire", settings_.name)
+      .put("txn", trace.request_name)
+      .put("trace", trace.trace);
   out.put("span", trace.span).put("outcome", trace.outcome.empty() ? "open" : trace.outcome);
   // Wall clock, so that the ways of one trace through several proxies can be put in order.
   out.put("began_ms",
           static_cast<long>(
               (wall_start_ + trace.began.time_since_epoch()).time_since_epoch().count() / 1000));
-  out.put("events_dropped", trace.dropped()).open_list("events");
+  out.put("events_dropped", trace.dropped()).begin_array("events");
   for (const tracing::Event& event : trace.events()) {
-    out.open().put_ms("at_ms", event.at).put("is", event.what);
+    out.begin_object().put_ms("at_ms", event.at).put("is", event.what);
     for (auto& [name, value] : event.figures)
       if (!value.empty())
         out.put(name.c_str(), value);
-    out.close();
+    out.end_object();
   }
-  return out.close_list().close().text();
+  return out.end_array().end_object().text();
 }
 
 std::string Router::trace(const std::string& id) const {
@@ -620,8 +624,8 @@
 
 std::string Router::status() const {
   const Counters& c = counters_;
-  json::Out out;
-  out.open().put("umpire", settings_.name).put("mode", mode_);
+  json::Writer out;
+  out.begin_object().put("umpire", settings_.name).put("mode", mode_);
   out.put("open", unanswered_).put("held", requests_.size()).put("clients", clients());
   for (auto& [name, count] :
        std::initializer_list<std::pair<const char*, long>>{{"taken", c.taken},
@@ -641,17 +645,20 @@
        {std::pair("wake_late_us_p50", 0.5), std::pair("wake_late_us_p99", 0.99)})
     if (auto late = loop_.lateness(part))
       out.put(name, *late);
-  out.open_list("nodes");
+  out.begin_array("nodes");
   for (const Upstream& upstream : upstreams_) {
     if (upstream.phase == EndpointPhase::removed || !upstream.caller)
       continue;
-    out.open().put("name", upstream.name).put("build", upstream.build).put("out", upstream.out);
+    out.begin_object()
+        .put("name", upstream.name)
+        .put("build", upstream.build)
+        .put("out", upstream.out);
     out.put("phase", upstream.phase == EndpointPhase::ready ? "in" : "lame");
     out.put("connections", upstream.caller->open())
         .put("opened", upstream.caller->opened())
-        .close();
+        .end_object();
   }
-  return out.close_list().close().text();
+  return out.end_array().end_object().text();
 }
 
 }  // namespace robinhoist::proxy
--- a/src/proxy/sources.cpp
+++ b/src/proxy/sources.cpp
@@ -4,7 +4,8 @@
 
 #include <algorithm>
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "rollout/names.h"
 
 namespace robinhoist::proxy {
@@ -86,7 +87,7 @@
         registry::Update news;
         try {
           news = registry::decoded(response.body);
-        } catch (const json::BadInput&) {
+        } catch (const json::DecodeError&) {
           return false;
         }
         if (news.series == series_ && news.version < version_)
@@ -200,16 +201,16 @@
 
 void WatchReleaseSource::beat() {
   loop_.cancel(beat_);
-  json::Out body;
-  body.open().put("session", session_);
+  json::Writer body;
+  body.begin_object().put("session", session_);
   if (acknowledged_)
-    body.open("acknowledged")
+    body.begin_object("acknowledged")
         .put("build", acknowledged_->release.build)
         .put("stage", acknowledged_->release.stage)
         .put("cap", acknowledged_->release.cap)
         .put("version", static_cast<long>(acknowledged_->version))
-        .close();
-  caller_.call(post("/v1/umpires/" + settings_.proxy + "/heartbeat", body.close().text()),
+        .end_object();
+  caller_.call(post("/v1/umpires/" + settings_.proxy + "/heartbeat", body.end_object().text()),
                beat_within, [this](http::Ended how, http::Response&& response) {
                  if (how != http::Ended::answered)
                    return;
@@ -221,9 +222,9 @@
                    return;
                  try {
                    beat_every_ =
-                       std::clamp(json::duration_of(json::object_of(response.body), "leaseMs") / 3,
+                       std::clamp(json::duration(json::parse_object(response.body), "leaseMs") / 3,
                                   beat_least, beat_most);
-                 } catch (const json::BadInput&) {
+                 } catch (const json::DecodeError&) {
                    // The next tells it again.
                  }
                });
@@ -236,13 +237,13 @@
     loop_.in(Duration(0), [answered] { answered(Outcome::obsolete); });
     return;
   }
-  const std::string body = json::Out()
-                               .open()
+  const std::string body = json::Writer()
+                               .begin_object()
                                .put("umpire", settings_.proxy)
                                .put("session", session_)
                                .put("stage", stage)
                                .put("verdict", rollout::to_string(verdict))
-                               .close()
+                               .end_object()
                                .text();
   caller_.call(post("/v1/releases/" + newest_ + "/votes", body), settings_.vote_within,
                [answered](http::Ended how, http::Response&& response) {
@@ -261,12 +262,12 @@
 
 void WatchReleaseSource::client_outcomes(long requests, long unsuccessful) {
   // The next word makes up for a lost one.
-  caller_.call(post("/v1/patients", json::Out()
-                                        .open()
+  caller_.call(post("/v1/patients", json::Writer()
+                                        .begin_object()
                                         .put("umpire", settings_.proxy)
                                         .put("txns", requests)
                                         .put("poorly", unsuccessful)
-                                        .close()
+                                        .end_object()
                                         .text()),
                1s, [](http::Ended, http::Response&&) {});
 }
--- a/src/record/lines.cpp
+++ b/src/record/lines.cpp
@@ -8,100 +8,100 @@
   return static_cast<long>(at.time_since_epoch().count());
 }
 
-json::Out& begin(json::Out& out, TimePoint at, const char* what) {
-  return out.open().put("t", micros(at)).put("e", what);
+json::Writer& begin(json::Writer& out, TimePoint at, const char* what) {
+  return out.begin_object().put("t", micros(at)).put("e", what);
 }
 }  // namespace
 
 void node_started(Writer& to, TimePoint at, const NodeStart& endpoint) {
-  json::Out out;
+  json::Writer out;
   begin(out, at, "start").put("zone", endpoint.zone).put("cell", endpoint.cell);
   out.put("started", micros(endpoint.started))
       .put("node", endpoint.endpoint)
       .put("build", endpoint.build);
   out.put("cold", endpoint.cold).put("cores", endpoint.cores).put("speed", endpoint.speed);
-  to.line(out.close().text());
+  to.line(out.end_object().text());
 }
 
 void node_stopped(Writer& to, TimePoint at, std::string_view endpoint, double most_pushed,
                   bool fell) {
-  json::Out out;
+  json::Writer out;
   begin(out, at, "stop").put("node", endpoint).put("most_pushed", most_pushed).put("fell", fell);
-  to.line(out.close().text());
+  to.line(out.end_object().text());
 }
 
 void node_met(Writer& to, TimePoint at, const char* what, const Met& met) {
-  json::Out out;
+  json::Writer out;
   begin(out, at, what)
       .put("node", met.endpoint)
       .put("build", met.build)
       .put("id", static_cast<long>(met.id));
   out.put("product", met.request_class).put("txn", met.request_name).put("submission", met.attempt);
   out.put("try", met.try_id).put("key", met.key).put("work", met.work);
-  to.line(out.close().text());
+  to.line(out.end_object().text());
 }
 
 void node_ran(Writer& to, TimePoint at, std::string_view endpoint, std::int64_t id, const char* how,
               bool effect) {
-  json::Out out;
+  json::Writer out;
   begin(out, at, "ran")
       .put("node", endpoint)
       .put("id", static_cast<long>(id))
       .put("how", how)
       .put("effect", effect);
-  to.line(out.close().text());
+  to.line(out.end_object().text());
 }
 
 void told_list(Writer& to, TimePoint at, std::string_view proxy,
                const std::vector<registry::Endpoint>& entries, bool whole) {
-  json::Out out;
-  begin(out, at, "list").put("umpire", proxy).put("whole", whole).open_list("nodes");
+  json::Writer out;
+  begin(out, at, "list").put("umpire", proxy).put("whole", whole).begin_array("nodes");
   for (const registry::Endpoint& entry : entries)
-    out.open()
+    out.begin_object()
         .put("name", entry.name)
         .put("phase", entry.phase == EndpointPhase::ready      ? "in"
                       : entry.phase == EndpointPhase::draining ? "lame"
                                                                : "out")
         .put("build", entry.build)
         .put("started", micros(entry.started))
-        .close();
-  to.line(out.close_list().close().text());
+        .end_object();
+  to.line(out.end_array().end_object().text());
 }
 
 void told_news(Writer& to, TimePoint at, std::string_view proxy, int build, int stage,
                std::string_view phase, double cap) {
-  json::Out out;
+  json::Writer out;
   begin(out, at, "news").put("umpire", proxy).put("build", build).put("stage", stage);
-  to.line(out.put("phase", phase).put("cap", cap).close().text());
+  to.line(out.put("phase", phase).put("cap", cap).end_object().text());
 }
 
 void voted(Writer& to, TimePoint at, std::string_view proxy, int build, int stage,
            const char* verdict, const char* outcome) {
-  json::Out out;
+  json::Writer out;
   begin(out, at, "vote").put("umpire", proxy).put("build", build).put("stage", stage);
-  to.line(out.put("verdict", verdict).put("outcome", outcome).close().text());
+  to.line(out.put("verdict", verdict).put("outcome", outcome).end_object().text());
 }
 
 void release_moved(Writer& to, TimePoint at, int build, int stage, const char* phase,
                    std::string_view why) {
-  json::Out out;
+  json::Writer out;
   begin(out, at, "release")
       .put("build", build)
       .put("stage", stage)
       .put("phase", phase)
       .put("why", why);
-  to.line(out.close().text());
+  to.line(out.end_object().text());
 }
 
 void proxy_life(Writer& to, TimePoint at, std::string_view proxy, const char* what) {
-  json::Out out;
-  out.open().put("t", micros(at)).put("umpire", proxy).put("e", what);
-  to.line(out.close().text());
+  json::Writer out;
+  out.begin_object().put("t", micros(at)).put("umpire", proxy).put("e", what);
+  to.line(out.end_object().text());
 }
 
 void tried(Writer& to, const Tried& one) {
-  json::Out out;
-  out.open().put("t", micros(one.from)).put("t1", micros(one.to));
+  json::Writer out;
+  out.begin_object().put("t", micros(one.from)).put("t1", micros(one.to));
   out.put("until", micros(one.until)).put("id", static_cast<long>(one.id));
   out.put("first", static_cast<long>(one.first)).put("n", one.number).put("umpire", one.proxy);
   out.put("product", one.request_class)
@@ -109,7 +109,7 @@
       .put("key", one.key)
       .put("poison", one.poison);
   out.put("end", one.end).put("status", one.status).put("why", one.why).put("node", one.endpoint);
-  to.line(out.put("build", one.build).put("right", one.right).close().text());
+  to.line(out.put("build", one.build).put("right", one.right).end_object().text());
 }
 
 }  // namespace robinhoist::record
--- a/src/record/meta.cpp
+++ b/src/record/meta.cpp
@@ -3,7 +3,8 @@
 #include <fstream>
 #include <sstream>
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 
 namespace robinhoist::record {
 namespace {
@@ -16,8 +17,8 @@
 }  // namespace
 
 void write(const std::string& file, const Meta& meta) {
-  json::Out out;
-  out.open()
+  json::Writer out;
+  out.begin_object()
       .put("version", 1)
       .put("seed", meta.seed)
       .put("umpires", meta.proxies)
@@ -35,18 +36,18 @@
       .put("cold_from", meta.cold_from);
   out.put("by_product", meta.by_request_class)
       .put("safe_only_stages", meta.safe_only_stages)
-      .open_list("caps");
+      .begin_array("caps");
   for (double cap : meta.caps)
     out.put(nullptr, cap);
-  out.close_list().open_list("steps");
+  out.end_array().begin_array("steps");
   for (auto& step : meta.steps)
     out.put(nullptr, step);
-  out.close_list().open_list("tenants");
+  out.end_array().begin_array("tenants");
   for (auto& tenant : meta.tenants)
     out.put(nullptr, tenant);
-  out.close_list().open_list("products");
+  out.end_array().begin_array("products");
   for (auto& request_class : meta.request_classes)
-    out.open()
+    out.begin_object()
         .put("name", request_class.name)
         .put_ms("sla_ms", request_class.latency_objective)
         .put_ms("expiry_ms", request_class.deadline)
@@ -54,8 +55,8 @@
         .put("effect", effects[static_cast<int>(request_class.idempotency)].first)
         .put("group", groups[static_cast<int>(request_class.dedup_scope)].first)
         .put("revenue", request_class.priority_weight)
-        .close();
-  out.close_list().close();
+        .end_object();
+  out.end_array().end_object();
   std::ofstream to(file);
   if (!(to << out.text() << "\n"))
     throw std::runtime_error("can't write " + file);
@@ -65,26 +66,26 @@
   std::ifstream in(file);
   std::ostringstream text;
   if (!in || !(text << in.rdbuf()))
-    throw json::BadInput(file + ": can't be read");
+    throw json::DecodeError(file + ": can't be read");
   try {
-    auto document = json::object_of(text.str());
-    if (json::whole(document, "version") != 1)
-      throw json::BadInput("a version that is not known here");
+    auto document = json::parse_object(text.str());
+    if (json::integer(document, "version") != 1)
+      throw json::DecodeError("a version that is not known here");
     Meta meta;
     meta.seed = static_cast<long>(json::number(document, "seed"));
-    meta.proxies = json::whole(document, "umpires");
-    meta.endpoints = json::whole(document, "nodes");
-    meta.length = json::duration_of(document, "length_ms");
-    meta.drain_grace = json::duration_of(document, "drain_grace_ms");
-    meta.window = json::duration_of(document, "window_ms");
-    meta.fall_window = json::duration_of(document, "fall_window_ms");
-    meta.cold_for = json::duration_of(document, "cold_for_ms");
-    meta.answer_slack = json::duration_of(document, "answer_slack_ms");
+    meta.proxies = json::integer(document, "umpires");
+    meta.endpoints = json::integer(document, "nodes");
+    meta.length = json::duration(document, "length_ms");
+    meta.drain_grace = json::duration(document, "drain_grace_ms");
+    meta.window = json::duration(document, "window_ms");
+    meta.fall_window = json::duration(document, "fall_window_ms");
+    meta.cold_for = json::duration(document, "cold_for_ms");
+    meta.answer_slack = json::duration(document, "answer_slack_ms");
     meta.free = json::number(document, "free");
     meta.fall_multiple = json::number(document, "fall_multiple");
     meta.cold_from = json::number(document, "cold_from");
-    meta.by_request_class = json::truth(document, "by_product");
-    meta.safe_only_stages = json::whole(document, "safe_only_stages");
+    meta.by_request_class = json::boolean(document, "by_product");
+    meta.safe_only_stages = json::integer(document, "safe_only_stages");
     for (auto& cap : json::array(document, "caps").GetArray())
       meta.caps.push_back(cap.GetDouble());
     for (auto& step : json::array(document, "steps").GetArray())
@@ -94,9 +95,9 @@
     for (auto& each : json::array(document, "products").GetArray()) {
       Meta::RequestClass request_class;
       request_class.name = json::text(each, "name");
-      request_class.latency_objective = json::duration_of(each, "sla_ms");
-      request_class.deadline = json::duration_of(each, "expiry_ms");
-      request_class.dedup_window = json::duration_of(each, "memory_ms");
+      request_class.latency_objective = json::duration(each, "sla_ms");
+      request_class.deadline = json::duration(each, "expiry_ms");
+      request_class.dedup_window = json::duration(each, "memory_ms");
       request_class.idempotency =
           json::enumerator<Idempotency>(each, "effect", {effects[0], effects[1], effects[2]});
       request_class.dedup_scope =
@@ -105,8 +106,8 @@
       meta.request_classes.push_back(request_class);
     }
     return meta;
-  } catch (const json::BadInput& bad) {
-    throw json::BadInput(file + ": " + bad.what());
+  } catch (const json::DecodeError& bad) {
+    throw json::DecodeError(file + ": " + bad.what());
   }
 }
 
--- a/src/record/meta.h
+++ b/src/record/meta.h
@@ -31,6 +31,6 @@
 };
 
 void write(const std::string& file, const Meta& meta);  // throws std::runtime_error
-Meta read_meta(const std::string& file);                // throws json::BadInput
+Meta read_meta(const std::string& file);                // throws json::DecodeError
 
 }  // namespace robinhoist::record
--- a/src/record/record.cpp
+++ b/src/record/record.cpp
@@ -26,19 +26,19 @@
   std::fflush(file_);
 }
 
-int read(const std::string& file, const std::function<void(const json::Json&)>& line) {
+int read(const std::string& file, const std::function<void(const json::Value&)>& line) {
   std::ifstream in(file);
   if (!in)
-    throw json::BadInput(file + ": can't be read");
+    throw json::DecodeError(file + ": can't be read");
   std::string text;
   for (long number = 1; std::getline(in, text); ++number) {
     const bool last = in.eof();  // no line end: cut short
     try {
-      line(json::object_of(text));
-    } catch (const json::BadInput& bad) {
+      line(json::parse_object(text));
+    } catch (const json::DecodeError& bad) {
       if (last)
         return 1;
-      throw json::BadInput(file + ":" + std::to_string(number) + ": " + bad.what());
+      throw json::DecodeError(file + ":" + std::to_string(number) + ": " + bad.what());
     }
   }
   return 0;
--- a/src/record/record.h
+++ b/src/record/record.h
@@ -6,7 +6,8 @@
 #include <mutex>
 #include <string>
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 
 namespace robinhoist::record {
 
@@ -25,7 +26,7 @@
 };
 
 // Calls with each line; a last line cut short is passed over and told by the return value (how
-// many). Throws json::BadInput with file and line for anything else that makes no sense.
-int read(const std::string& file, const std::function<void(const json::Json&)>& line);
+// many). Throws json::DecodeError with file and line for anything else that makes no sense.
+int read(const std::string& file, const std::function<void(const json::Value&)>& line);
 
 }  // namespace robinhoist::record
--- a/src/registry/registry.cpp
+++ b/src/registry/registry.cpp
@@ -1,6 +1,7 @@
 #include "registry/registry.h"
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 
 namespace robinhoist::registry {
 namespace {
@@ -62,45 +63,48 @@
 }
 
 std::string encoded(const Update& news) {
-  json::Out out;
-  out.open()
+  json::Writer out;
+  out.begin_object()
       .put("series", news.series)
       .put("version", static_cast<long>(news.version))
       .put("whole", news.whole);
-  out.open_list("nodes");
+  out.begin_array("nodes");
   for (const Endpoint& entry : news.entries) {
-    out.open().put("name", entry.name).put("address", entry.address).put("zone", entry.zone);
+    out.begin_object()
+        .put("name", entry.name)
+        .put("address", entry.address)
+        .put("zone", entry.zone);
     out.put("cell", entry.cell).put("build", entry.build).put("size", entry.size);
     out.put("phase", phases[static_cast<int>(entry.phase)])
         .put_ms("started_ms", entry.started.time_since_epoch())
-        .close();
+        .end_object();
   }
-  return out.close_list().close().text();
+  return out.end_array().end_object().text();
 }
 
 Update decoded(const std::string& text) {
-  auto document = json::object_of(text);
+  auto document = json::parse_object(text);
   Update news;
   news.series = json::text(document, "series");
   news.version = static_cast<std::int64_t>(json::number(document, "version"));
-  news.whole = json::truth(document, "whole");
-  for (const json::Json& endpoint : json::array(document, "nodes").GetArray()) {
+  news.whole = json::boolean(document, "whole");
+  for (const json::Value& endpoint : json::array(document, "nodes").GetArray()) {
     if (!endpoint.IsObject())
-      json::mistyped("nodes", "an array of objects");
+      json::throw_wrong_type("nodes", "an array of objects");
     Endpoint entry;
     entry.name = json::text(endpoint, "name");
     entry.address = json::text(endpoint, "address");
     entry.zone = json::text(endpoint, "zone");
-    entry.cell = json::whole(endpoint, "cell");
-    entry.build = json::whole(endpoint, "build", 0, 65535);
+    entry.cell = json::integer(endpoint, "cell");
+    entry.build = json::integer(endpoint, "build", 0, 65535);
     entry.size = json::number(endpoint, "size");
     if (!(entry.size > 0))
-      json::mistyped("size", "above 0");
+      json::throw_wrong_type("size", "above 0");
     entry.phase = json::enumerator<EndpointPhase>(endpoint, "phase",
                                                   {{"in", EndpointPhase::ready},
                                                    {"lame", EndpointPhase::draining},
                                                    {"out", EndpointPhase::removed}});
-    entry.started = WallTime(json::duration_of(endpoint, "started_ms"));
+    entry.started = WallTime(json::duration(endpoint, "started_ms"));
     news.entries.push_back(std::move(entry));
   }
   return news;
--- a/src/registry/registry.h
+++ b/src/registry/registry.h
@@ -57,6 +57,6 @@
 
 // As JSON, for the wire and for the saved file.
 std::string encoded(const Update& news);
-Update decoded(const std::string& text);  // throws json::BadInput
+Update decoded(const std::string& text);  // throws json::DecodeError
 
 }  // namespace robinhoist::registry
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "json/fields.h"
+#include "json/reader.h"
 
 namespace robinhoist::registry {
 namespace {
@@ -83,7 +83,7 @@
                            request.body + "]}");
       for (const Endpoint& entry : one.entries)
         put(entry);
-    } catch (const json::BadInput& bad) {
+    } catch (const json::DecodeError& bad) {
       return exchange->answer(http::text_answer(422, std::string(bad.what()) + "\n"));
     }
     return exchange->answer(http::json_answer(200, "{}"));
--- a/src/releases/catalog.cpp
+++ b/src/releases/catalog.cpp
@@ -42,7 +42,7 @@
                .present_version = release.version};
 }
 
-Reply Catalog::create(const Json& body, const std::string& uid, int newest_build,
+Reply Catalog::create(const json::Value& body, const std::string& uid, int newest_build,
                       std::int64_t now_ms) const {
   Reply reply{.status = 201};
   auto release = created(body, reply.problems);
@@ -89,7 +89,7 @@
   return {objects::Change::added, release};
 }
 
-Reply Catalog::patch(const std::string& name, const Json& body, Believed believed) const {
+Reply Catalog::patch(const std::string& name, const json::Value& body, Believed believed) const {
   const Release* release = find(name);
   if (!release)
     return missing(name);
--- a/src/releases/catalog.h
+++ b/src/releases/catalog.h
@@ -38,9 +38,9 @@
                std::deque<objects::Event> events);
 
   // `newest_build` is the newest that was ever offered: builds only grow.
-  Reply create(const Json& body, const std::string& uid, int newest_build,
+  Reply create(const json::Value& body, const std::string& uid, int newest_build,
                std::int64_t now_ms) const;
-  Reply patch(const std::string& name, const Json& body, Believed believed) const;
+  Reply patch(const std::string& name, const json::Value& body, Believed believed) const;
   Reply remove(const std::string& name, Believed believed, std::int64_t now_ms) const;
   // Whether an action may be taken on it: 404, 409 for another version, else 200.
   Reply act(const std::string& name, Believed believed) const;
--- a/src/releases/follower.cpp
+++ b/src/releases/follower.cpp
@@ -2,12 +2,12 @@
 
 #include <algorithm>
 
-#include "json/fields.h"
+#include "json/reader.h"
 
 namespace robinhoist::releases {
 namespace {
 
-std::optional<ReleasePhase> begun(const json::Json& status) {
+std::optional<ReleasePhase> begun(const json::Value& status) {
   return json::enumerator<std::optional<ReleasePhase>>(status, "phase",
                                                        {{"pending", std::nullopt},
                                                         {"trial", ReleasePhase::canary},
@@ -31,13 +31,13 @@
   body.erase(0, end + 1);
   try {
     return read(line, now);
-  } catch (const json::BadInput&) {
+  } catch (const json::DecodeError&) {
     return Line::senseless;
   }
 }
 
 Follower::Line Follower::read(const std::string& line, TimePoint now) {
-  const auto event = json::object_of(line);
+  const auto event = json::parse_object(line);
   const std::string type = json::text(event, "type");
   if (type == "ERROR")
     return Line::begin_anew;
@@ -56,23 +56,23 @@
   }
   if (!anew_ && version <= version_)
     return Line::taken;  // late, or told twice
-  const json::Json& object = json::inner(event, "object");
-  const std::string name = json::text(json::inner(object, "metadata"), "name");
+  const json::Value& object = json::nested_object(event, "object");
+  const std::string name = json::text(json::nested_object(object, "metadata"), "name");
   auto& into = anew_ ? fresh_ : known_;
   if (type == "DELETED") {
     into.erase(name);
   } else {
-    const json::Json& status = json::inner(object, "status");
+    const json::Value& status = json::nested_object(object, "status");
     const auto phase = begun(status);
     Known known;
     known.begun = phase.has_value();
-    known.release.build = json::whole(json::inner(object, "spec"), "build", 0, 65535);
-    known.release.stage = json::whole(status, "stage", 0, 1000);
+    known.release.build = json::integer(json::nested_object(object, "spec"), "build", 0, 65535);
+    known.release.stage = json::integer(status, "stage", 0, 1000);
     known.release.phase = phase.value_or(ReleasePhase::canary);
     known.release.cap = json::number(status, "cap");
     if (!(known.release.cap >= 0 && known.release.cap <= 1))
-      json::mistyped("cap", "a share from 0 to 1");
-    known.since = now - json::duration_of(event, "ageMs");
+      json::throw_wrong_type("cap", "a share from 0 to 1");
+    known.since = now - json::duration(event, "ageMs");
     known.version = version;
     into[name] = known;
   }
--- a/src/releases/release.cpp
+++ b/src/releases/release.cpp
@@ -3,7 +3,8 @@
 #include <algorithm>
 #include <ctime>
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 
 namespace robinhoist::releases {
 namespace {
@@ -18,7 +19,7 @@
   return out;
 }
 
-int depth_of(const Json& value, int left) {
+int depth_of(const json::Value& value, int left) {
   if (left == 0)
     return 1;
   int most = 0;
@@ -31,7 +32,7 @@
   return most + 1;
 }
 
-std::string name_of(const Json& member) {
+std::string name_of(const json::Value& member) {
   return {member.GetString(), member.GetStringLength()};
 }
 
@@ -42,7 +43,7 @@
     problems_.push_back({std::move(pointer), std::move(detail)});
   }
   // Null when absent; a problem when it is of another type.
-  const Json* object(const Json& of, const char* field, const std::string& at) {
+  const json::Value* object(const json::Value& of, const char* field, const std::string& at) {
     auto found = of.FindMember(field);
     if (found == of.MemberEnd())
       return nullptr;
@@ -51,7 +52,8 @@
     wrong(at + "/" + field, "is not an object");
     return nullptr;
   }
-  void only(const Json& of, const std::string& at, std::initializer_list<const char*> known) {
+  void only(const json::Value& of, const std::string& at,
+            std::initializer_list<const char*> known) {
     std::vector<std::string> seen;
     for (auto& member : of.GetObject()) {
       const std::string name = name_of(member.name);
@@ -62,7 +64,7 @@
       seen.push_back(name);
     }
   }
-  bool text(const Json& value, const std::string& at, std::size_t longest, std::string& to) {
+  bool text(const json::Value& value, const std::string& at, std::size_t longest, std::string& to) {
     if (!value.IsString())
       return wrong(at, "is not a string"), false;
     if (value.GetStringLength() > longest)
@@ -70,7 +72,7 @@
     to.assign(value.GetString(), value.GetStringLength());
     return true;
   }
-  void labels(const Json& value, objects::Fields& to, bool merge) {
+  void labels(const json::Value& value, objects::Fields& to, bool merge) {
     const std::string at = "/metadata/labels";
     if (!value.IsObject())
       return wrong(at, "is not an object");
@@ -97,28 +99,28 @@
   std::vector<Problem>& problems_;
 };
 
-void put_metadata(json::Out& out, const Release& release) {
-  out.open("metadata").put("name", release.name).put("uid", release.uid);
+void put_metadata(json::Writer& out, const Release& release) {
+  out.begin_object("metadata").put("name", release.name).put("uid", release.uid);
   out.put("generation", static_cast<long>(release.generation));
   out.put("resourceVersion", std::to_string(release.version));
   out.put("creationTimestamp", rfc3339(release.created_ms));
   if (release.deleting_ms > 0)
     out.put("deletionTimestamp", rfc3339(release.deleting_ms));
-  out.open("labels");
+  out.begin_object("labels");
   for (auto& [name, value] : release.labels)
     out.put(name.c_str(), value);
-  out.close().open_list("finalizers");
+  out.end_object().begin_array("finalizers");
   for (const std::string& one : release.finalizers)
     out.put(nullptr, one);
-  out.close_list().close();
+  out.end_array().end_object();
 }
 
-void put_state(json::Out& out, const Status& status) {
+void put_state(json::Writer& out, const Status& status) {
   out.put("phase", status.phase).put("stage", status.stage).put("cap", status.cap);
   out.put("since", rfc3339(status.since_ms)).put("held", status.held).put("why", status.why);
 }
 
-std::int64_t ms_of(const json::Json& object, const char* field) {
+std::int64_t ms_of(const json::Value& object, const char* field) {
   return static_cast<std::int64_t>(json::number_or(object, field, 0));
 }
 
@@ -150,18 +152,18 @@
 }
 
 rapidjson::Document strict(std::string_view text) {
-  rapidjson::Document document = json::object_of(text);
+  rapidjson::Document document = json::parse_object(text);
   // Guards against documents that are only deep, and against whoever walks them by recursion.
   if (depth_of(document, deepest + 1) > deepest)
-    throw json::BadInput("nested deeper than " + std::to_string(deepest));
+    throw json::DecodeError("nested deeper than " + std::to_string(deepest));
   return document;
 }
 
-std::optional<Release> created(const Json& body, std::vector<Problem>& problems) {
+std::optional<Release> created(const json::Value& body, std::vector<Problem>& problems) {
   Checks checks(problems);
   Release release;
   checks.only(body, "", {"metadata", "spec", "apiVersion", "kind"});
-  if (const Json* metadata = checks.object(body, "metadata", "")) {
+  if (const json::Value* metadata = checks.object(body, "metadata", "")) {
     checks.only(*metadata, "/metadata", {"name", "labels"});
     if (auto at = metadata->FindMember("name"); at != metadata->MemberEnd()) {
       if (checks.text(at->value, "/metadata/name", 63, release.name) &&
@@ -172,7 +174,7 @@
     if (auto at = metadata->FindMember("labels"); at != metadata->MemberEnd())
       checks.labels(at->value, release.labels, false);
   }
-  const Json* spec = checks.object(body, "spec", "");
+  const json::Value* spec = checks.object(body, "spec", "");
   if (!spec) {
     if (!body.HasMember("spec"))
       checks.wrong("/spec", "is missing");
@@ -195,12 +197,12 @@
   return release;
 }
 
-std::optional<Release> patched(const Release& from, const Json& patch,
+std::optional<Release> patched(const Release& from, const json::Value& patch,
                                std::optional<std::int64_t>& version,
                                std::vector<Problem>& problems) {
   Checks checks(problems);
   Release to = from;
-  const auto fixed = [&](const Json& of, const char* field, const std::string& at,
+  const auto fixed = [&](const json::Value& of, const char* field, const std::string& at,
                          const std::string& is) {
     auto found = of.FindMember(field);
     if (found == of.MemberEnd())
@@ -212,7 +214,7 @@
       checks.wrong(at + "/" + field, "can't be changed");
   };
   checks.only(patch, "", {"metadata", "spec", "apiVersion", "kind"});
-  if (const Json* metadata = checks.object(patch, "metadata", "")) {
+  if (const json::Value* metadata = checks.object(patch, "metadata", "")) {
     checks.only(*metadata, "/metadata", {"name", "uid", "labels", "resourceVersion"});
     fixed(*metadata, "name", "/metadata", from.name);
     fixed(*metadata, "uid", "/metadata", from.uid);
@@ -232,7 +234,7 @@
         checks.labels(at->value, to.labels, true);
     }
   }
-  if (const Json* spec = checks.object(patch, "spec", "")) {
+  if (const json::Value* spec = checks.object(patch, "spec", "")) {
     checks.only(*spec, "/spec", {"build", "description"});
     fixed(*spec, "build", "/spec", std::to_string(from.build));
     if (auto at = spec->FindMember("description"); at != spec->MemberEnd()) {
@@ -249,90 +251,106 @@
 }
 
 std::string encoded_brief(const Release& release) {
-  json::Out out;
-  out.open().put("kind", "Release").put("apiVersion", "v1").open("metadata");
+  json::Writer out;
+  out.begin_object().put("kind", "Release").put("apiVersion", "v1").begin_object("metadata");
   // Without versions: they grow with each change, also with one that this part does not show.
-  out.put("name", release.name).put("uid", release.uid).close();
-  out.open("spec").put("build", release.build).close().open("status");
+  out.put("name", release.name).put("uid", release.uid).end_object();
+  out.begin_object("spec").put("build", release.build).end_object().begin_object("status");
   put_state(out, release.status);
-  return out.close().close().text();
+  return out.end_object().end_object().text();
 }
 
 std::string encoded(const Release& release) {
   const Status& status = release.status;
-  json::Out out;
-  out.open().put("kind", "Release").put("apiVersion", "v1");
+  json::Writer out;
+  out.begin_object().put("kind", "Release").put("apiVersion", "v1");
   put_metadata(out, release);
-  out.open("spec").put("build", release.build).put("description", release.description).close();
-  out.open("status");
+  out.begin_object("spec")
+      .put("build", release.build)
+      .put("description", release.description)
+      .end_object();
+  out.begin_object("status");
   put_state(out, status);
   out.put("observedGeneration", static_cast<long>(status.observed_generation));
-  out.open("machines").put("all", status.machines).put("up", status.machines_up).close();
-  out.open_list("waves");
+  out.begin_object("machines")
+      .put("all", status.machines)
+      .put("up", status.machines_up)
+      .end_object();
+  out.begin_array("waves");
   for (const Stage& stage : status.stages)
-    out.open().put("share", stage.share).put("cap", stage.cap).put("state", stage.state).close();
-  out.close_list().open_list("umpires");
+    out.begin_object()
+        .put("share", stage.share)
+        .put("cap", stage.cap)
+        .put("state", stage.state)
+        .end_object();
+  out.end_array().begin_array("umpires");
   for (const ProxyReport& one : status.proxies) {
-    out.open().put("name", one.proxy).put("vote", one.vote);
+    out.begin_object().put("name", one.proxy).put("vote", one.vote);
     if (one.cap) {
       out.put("acknowledgedCap", *one.cap).put("stage", one.stage);
       out.put("acknowledgedAt", rfc3339(one.at_ms));
     }
-    out.close();
+    out.end_object();
   }
-  out.close_list().open_list("steps");
+  out.end_array().begin_array("steps");
   for (const StepSeen& one : status.steps)
-    out.open().put("id", one.id).put("phase", one.phase).put("state", one.state).close();
-  out.close_list().open_list("conditions");
+    out.begin_object()
+        .put("id", one.id)
+        .put("phase", one.phase)
+        .put("state", one.state)
+        .end_object();
+  out.end_array().begin_array("conditions");
   for (const Condition& one : status.conditions)
-    out.open()
+    out.begin_object()
         .put("type", one.type)
         .put("status", one.status ? "True" : "False")
         .put("reason", one.reason)
         .put("message", one.message)
         .put("lastTransitionTime", rfc3339(one.at_ms))
-        .close();
-  out.close_list().close();
+        .end_object();
+  out.end_array().end_object();
   // For the program itself: times as numbers, which the RFC 3339 texts repeat.
-  out.open("ms").put("created", static_cast<long>(release.created_ms));
+  out.begin_object("ms").put("created", static_cast<long>(release.created_ms));
   out.put("deleting", static_cast<long>(release.deleting_ms));
-  out.put("since", static_cast<long>(status.since_ms)).open_list("conditions");
+  out.put("since", static_cast<long>(status.since_ms)).begin_array("conditions");
   for (const Condition& one : status.conditions)
-    out.open().put("at", static_cast<long>(one.at_ms)).close();
-  out.close_list().close();
-  return out.close().text();
+    out.begin_object().put("at", static_cast<long>(one.at_ms)).end_object();
+  out.end_array().end_object();
+  return out.end_object().text();
 }
 
 Release decoded(const std::string& text) {
-  const auto document = json::object_of(text);
+  const auto document = json::parse_object(text);
   Release release;
-  const Json &metadata = json::inner(document, "metadata"), &spec = json::inner(document, "spec"),
-             &status = json::inner(document, "status"), &ms = json::inner(document, "ms");
+  const json::Value &metadata = json::nested_object(document, "metadata"),
+                    &spec = json::nested_object(document, "spec"),
+                    &status = json::nested_object(document, "status"),
+                    &ms = json::nested_object(document, "ms");
   release.name = json::text(metadata, "name");
   release.uid = json::text(metadata, "uid");
   release.generation = ms_of(metadata, "generation");
   release.version = std::strtoll(json::text(metadata, "resourceVersion").c_str(), nullptr, 10);
-  for (auto& label : json::inner(metadata, "labels").GetObject())
+  for (auto& label : json::nested_object(metadata, "labels").GetObject())
     release.labels[label.name.GetString()] = label.value.GetString();
   for (auto& one : json::array(metadata, "finalizers").GetArray())
     release.finalizers.push_back(one.GetString());
   release.created_ms = ms_of(ms, "created");
   release.deleting_ms = ms_of(ms, "deleting");
-  release.build = json::whole(spec, "build");
+  release.build = json::integer(spec, "build");
   release.description = json::text(spec, "description");
   Status& to = release.status;
   to.phase = json::text(status, "phase");
-  to.stage = json::whole(status, "stage");
+  to.stage = json::integer(status, "stage");
   to.cap = json::number(status, "cap");
   to.since_ms = ms_of(ms, "since");
-  to.held = json::truth(status, "held");
+  to.held = json::boolean(status, "held");
   to.why = json::text(status, "why");
   to.observed_generation = ms_of(status, "observedGeneration");
-  const Json& turned = json::array(ms, "conditions");
+  const json::Value& turned = json::array(ms, "conditions");
   for (auto& one : json::array(status, "conditions").GetArray()) {
     const rapidjson::SizeType at = static_cast<rapidjson::SizeType>(to.conditions.size());
     if (at >= turned.Size())
-      throw json::BadInput("field ms.conditions is too short");
+      throw json::DecodeError("field ms.conditions is too short");
     to.conditions.push_back({json::text(one, "type"), json::text(one, "reason"),
                              json::text(one, "message"), json::text(one, "status") == "True",
                              ms_of(turned[at], "at")});
--- a/src/releases/release.h
+++ b/src/releases/release.h
@@ -5,19 +5,16 @@
 // finalizers), a spec that its author writes and a status that only the controller writes.
 // `generation` grows with the spec.
 #pragma once
-#include <rapidjson/document.h>
-
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <vector>
 
+#include "json/reader.h"
 #include "objects/store.h"
 
 namespace robinhoist::releases {
 
-using Json = rapidjson::Value;
-
 // What is wrong with one field of what a client sent: a JSON pointer (RFC 6901) and words.
 struct Problem {
   std::string pointer, detail;
@@ -84,23 +81,23 @@
 
 // What a client wants made: {metadata: {name, labels}, spec: {build, description}}. The name may be
 // left out. Nothing when there are problems.
-std::optional<Release> created(const Json& body, std::vector<Problem>& problems);
+std::optional<Release> created(const json::Value& body, std::vector<Problem>& problems);
 // A merge patch (RFC 7396) on what a client may write; what it may not write must be left out or as
 // it is. `version`: the metadata.resourceVersion that the patch names, if it names one.
-std::optional<Release> patched(const Release& from, const Json& patch,
+std::optional<Release> patched(const Release& from, const json::Value& patch,
                                std::optional<std::int64_t>& version,
                                std::vector<Problem>& problems);
 
 std::string encoded(const Release& release);
 // Without what changes with each proxy's word: votes, acknowledgements, conditions.
 std::string encoded_brief(const Release& release);
-Release decoded(const std::string& text);  // what encoded() gave; throws json::BadInput
+Release decoded(const std::string& text);  // what encoded() gave; throws json::DecodeError
 objects::SnapshotPtr snapshot(const Release& release);
 
 std::string rfc3339(std::int64_t ms);  // "" for 0
 
-// A document read as strictly as the API needs: throws json::BadInput on bad syntax or encoding, on
-// numbers out of range, and on nesting too deep to be meant.
+// A document read as strictly as the API needs: throws json::DecodeError on bad syntax or encoding,
+// on numbers out of range, and on nesting too deep to be meant.
 rapidjson::Document strict(std::string_view text);
 
 }  // namespace robinhoist::releases
--- a/src/rollout/kept.cpp
+++ b/src/rollout/kept.cpp
@@ -1,18 +1,19 @@
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "rollout/names.h"
 #include "rollout/rollout.h"
 
 namespace robinhoist::rollout {
 namespace {
 constexpr int form = 1;
-ReleasePhase phase_of(const json::Json& object, const char* field) {
-  return static_cast<ReleasePhase>(json::whole(object, field, 0, 3));
+ReleasePhase phase_of(const json::Value& object, const char* field) {
+  return static_cast<ReleasePhase>(json::integer(object, field, 0, 3));
 }
 }  // namespace
 
 std::string encoded(const Kept& kept) {
-  json::Out out;
-  out.open()
+  json::Writer out;
+  out.begin_object()
       .put("form", form)
       .put("build", kept.build)
       .put("stage", kept.stage)
@@ -24,43 +25,43 @@
   out.put("begun", kept.begun).put("operator_holds", kept.operator_holds);
   if (kept.queued)
     out.put("queued", *kept.queued);
-  out.open_list("machines");
+  out.begin_array("machines");
   for (auto& [id, machine] : kept.machines)
-    out.open()
+    out.begin_object()
         .put("id", id)
         .put("place", machine.place)
         .put("build", machine.build)
         .put("phase", static_cast<int>(machine.phase))
-        .close();
-  out.close_list().open_list("fates");
+        .end_object();
+  out.end_array().begin_array("fates");
   for (auto& [build, fate] : kept.fates)
-    out.open().put("build", build).put("phase", static_cast<int>(fate)).close();
-  return out.close_list().close().text();
+    out.begin_object().put("build", build).put("phase", static_cast<int>(fate)).end_object();
+  return out.end_array().end_object().text();
 }
 
 Kept decoded_kept(const std::string& text) {
-  auto document = json::object_of(text);
-  if (json::whole(document, "form") != form)
-    throw json::BadInput("kept in a form that is not known here");
+  auto document = json::parse_object(text);
+  if (json::integer(document, "form") != form)
+    throw json::DecodeError("kept in a form that is not known here");
   Kept kept;
-  kept.build = json::whole(document, "build");
-  kept.stage = json::whole(document, "stage");
-  kept.baseline = json::whole(document, "baseline");
-  kept.newest_offered = json::whole(document, "newest_offered");
-  kept.next_machine = json::whole(document, "next_machine");
-  kept.version = json::whole(document, "version");
+  kept.build = json::integer(document, "build");
+  kept.stage = json::integer(document, "stage");
+  kept.baseline = json::integer(document, "baseline");
+  kept.newest_offered = json::integer(document, "newest_offered");
+  kept.next_machine = json::integer(document, "next_machine");
+  kept.version = json::integer(document, "version");
   kept.phase = phase_of(document, "phase");
-  kept.since = json::duration_of(document, "since_ms");
-  kept.begun = json::truth(document, "begun");
-  kept.operator_holds = json::truth(document, "operator_holds");
-  if (json::present(document, "queued"))
-    kept.queued = json::whole(document, "queued");
+  kept.since = json::duration(document, "since_ms");
+  kept.begun = json::boolean(document, "begun");
+  kept.operator_holds = json::boolean(document, "operator_holds");
+  if (json::has_value(document, "queued"))
+    kept.queued = json::integer(document, "queued");
   for (auto& each : json::array(document, "machines").GetArray())
-    kept.machines[json::whole(each, "id")] = {
-        json::whole(each, "place"), json::whole(each, "build"),
-        static_cast<MachinePhase>(json::whole(each, "phase", 0, 3)), TimePoint{}};
+    kept.machines[json::integer(each, "id")] = {
+        json::integer(each, "place"), json::integer(each, "build"),
+        static_cast<MachinePhase>(json::integer(each, "phase", 0, 3)), TimePoint{}};
   for (auto& each : json::array(document, "fates").GetArray())
-    kept.fates[json::whole(each, "build")] = phase_of(each, "phase");
+    kept.fates[json::integer(each, "build")] = phase_of(each, "phase");
   return kept;
 }
 
--- a/src/rollout/rollout.h
+++ b/src/rollout/rollout.h
@@ -80,7 +80,7 @@
   std::map<int, ReleasePhase> fates{};
 };
 std::string encoded(const Kept& kept);       // JSON
-Kept decoded_kept(const std::string& text);  // throws json::BadInput
+Kept decoded_kept(const std::string& text);  // throws json::DecodeError
 
 class Rollout {
  public:
--- a/src/standin/agent.cpp
+++ b/src/standin/agent.cpp
@@ -99,7 +99,12 @@
     http::Request request;
     request.method = "POST";
     request.target = "/v1/machines";
-    request.body = json::Out().open().put("machine", machine).put("state", state).close().text();
+    request.body = json::Writer()
+                       .begin_object()
+                       .put("machine", machine)
+                       .put("state", state)
+                       .end_object()
+                       .text();
     call(*orders_, request);
   }
 
@@ -118,10 +123,10 @@
     orders_->call(request, 2s, [this](http::Ended how, http::Response&& response) {
       if (how == http::Ended::answered && response.status == 200) {
         try {
-          auto document = json::object_of(response.body);
-          for (const json::Json& order : json::array(document, "orders").GetArray())
+          auto document = json::parse_object(response.body);
+          for (const json::Value& order : json::array(document, "orders").GetArray())
             take(order);
-        } catch (const json::BadInput& bad) {
+        } catch (const json::DecodeError& bad) {
           log_.error("an order makes no sense", {{"why", bad.what()}});
         }
       }
@@ -129,13 +134,13 @@
     });
   }
 
-  void take(const json::Json& order) {
+  void take(const json::Value& order) {
     const std::string is = json::text(order, "is");
-    const int machine = json::whole(order, "machine");
+    const int machine = json::integer(order, "machine");
     if (is == "start" && entries_.count(machine) > 0)
       return report(machine, "up");  // told twice
     if (is == "start") {
-      const int place = json::whole(order, "place"), number = json::whole(order, "build");
+      const int place = json::integer(order, "place"), number = json::integer(order, "build");
       loop_.in(settings_.boot, [this, machine, place, number] { boot(machine, place, number); });
       return;
     }
--- a/src/standin/database.cpp
+++ b/src/standin/database.cpp
@@ -5,7 +5,8 @@
 #include <csignal>
 #include <iostream>
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "log/log.h"
 #include "net/signals.h"
 
@@ -127,14 +128,14 @@
   if (ran_.empty() || ran_.back() != what || std::string(how) != "more")
     ran_.push_back(what);
   if (record_)
-    record_->line(json::Out()
-                      .open()
+    record_->line(json::Writer()
+                      .begin_object()
                       .put("t", static_cast<long>(loop_.now().time_since_epoch().count()))
                       .put("mark", mark)
                       .put("undo", undo)
                       .put("how", how)
                       .put("after", static_cast<long>(after))
-                      .close()
+                      .end_object()
                       .text());
 }
 
@@ -147,13 +148,13 @@
 
 // Everything in one transaction: fence, mark, statement. Answers 200, 409 or 422.
 http::Response Database::run_whole(const std::string& body) {
-  auto document = json::object_of(body);
+  auto document = json::parse_object(body);
   const auto token = static_cast<std::int64_t>(json::number(document, "token"));
   const std::string mark = json::text(document, "mark"),
                     statement = json::text(document, "statement");
-  const bool undo = json::truth(document, "undo"),
-             transactional = json::truth(document, "transactional");
-  const bool data = json::present(document, "table");
+  const bool undo = json::boolean(document, "undo"),
+             transactional = json::boolean(document, "transactional");
+  const bool data = json::has_value(document, "table");
   std::int64_t after = static_cast<std::int64_t>(json::number_or(document, "after", 0));
   bool whole = true;
   std::int64_t last = 0;
@@ -168,7 +169,7 @@
       run_sql(db_, "COMMIT");
     if (data) {
       const std::string table = json::text(document, "table"), key = json::text(document, "key");
-      const int batch = json::whole(document, "batch", 1);
+      const int batch = json::integer(document, "batch", 1);
       const auto value = [&](const std::string& query) {
         auto first = run_bound(db_, query, {{":after", after}, {":batch", batch}});
         return first ? std::optional(static_cast<std::int64_t>(*first)) : std::nullopt;
@@ -215,16 +216,17 @@
     if (sqlite3_get_autocommit(db_) == 0)
       run_sql(db_, "ROLLBACK");
     // Outside a transaction nothing can be said of what was done before it failed.
-    return http::json_answer(transactional ? 422 : 500,
-                             json::Out().open().put("why", bad.what()).close().text());
+    return http::json_answer(
+        transactional ? 422 : 500,
+        json::Writer().begin_object().put("why", bad.what()).end_object().text());
   }
   note(mark, undo, whole ? "done" : "more", after);
-  return http::json_answer(200, json::Out()
-                                    .open()
+  return http::json_answer(200, json::Writer()
+                                    .begin_object()
                                     .put("result", whole ? "done" : "more")
                                     .put("after", static_cast<long>(after))
                                     .put("last", static_cast<long>(last))
-                                    .close()
+                                    .end_object()
                                     .text());
 }
 
@@ -262,23 +264,23 @@
       return exchange->answer(http::text_answer(200, "well\n"));
     if (path == "/v1/steps/run")
       return run(exchange);
-    auto document = json::object_of(request.body);
+    auto document = json::parse_object(request.body);
     if (path == "/v1/steps/mark") {
       const std::string mark = json::text(document, "mark");
       const auto whole = run_bound(db_, "SELECT whole FROM rh_marks WHERE mark = :mark", {}, mark);
       const auto after = run_bound(db_, "SELECT after FROM rh_marks WHERE mark = :mark", {}, mark);
       return exchange->answer(
-          http::json_answer(200, json::Out()
-                                     .open()
+          http::json_answer(200, json::Writer()
+                                     .begin_object()
                                      .put("applied", whole.value_or(0) != 0)
                                      .put("after", static_cast<long>(after.value_or(0)))
-                                     .close()
+                                     .end_object()
                                      .text()));
     }
     if (path == "/v1/query") {
       const auto value = run_bound(db_, json::text(document, "statement"), {});
       return exchange->answer(http::json_answer(
-          200, json::Out().open().put("value", value.value_or(0)).close().text()));
+          200, json::Writer().begin_object().put("value", value.value_or(0)).end_object().text()));
     }
     if (path == "/faults") {
       const DbFault kind = json::enumerator<DbFault>(document, "is",
@@ -289,16 +291,16 @@
                                                       {"drop-on-commit", DbFault::drop_on_commit},
                                                       {"late", DbFault::late},
                                                       {"locked", DbFault::locked}});
-      fault(kind, json::whole(document, "times"),
-            json::span(json::number_or(document, "by_ms", 0)));
+      fault(kind, json::integer(document, "times"),
+            json::duration_from_ms(json::number_or(document, "by_ms", 0)));
       return exchange->answer(http::json_answer(200, "{}"));
     }
   } catch (const Refused& bad) {
-    return exchange->answer(
-        http::json_answer(422, json::Out().open().put("why", bad.what()).close().text()));
-  } catch (const json::BadInput& bad) {
-    return exchange->answer(
-        http::json_answer(422, json::Out().open().put("why", bad.what()).close().text()));
+    return exchange->answer(http::json_answer(
+        422, json::Writer().begin_object().put("why", bad.what()).end_object().text()));
+  } catch (const json::DecodeError& bad) {
+    return exchange->answer(http::json_answer(
+        422, json::Writer().begin_object().put("why", bad.what()).end_object().text()));
   }
   exchange->answer(http::text_answer(404, "no such thing here\n"));
 }
--- a/src/standin/nodes.cpp
+++ b/src/standin/nodes.cpp
@@ -248,13 +248,13 @@
         done->how == machine::Ran::failed
             ? http::json_answer(500, "{\"error\":\"failed\"}")
             : http::json_answer(
-                  200, json::Out()
-                           .open()
+                  200, json::Writer()
+                           .begin_object()
                            .put("product", deployment_.request_classes[open.request_class].name)
                            .put("node", node.spec.name)
                            .put("build", node.spec.build.number)
                            .put("right", done->how != machine::Ran::wrong)
-                           .close()
+                           .end_object()
                            .text());
     char load[96];
     std::snprintf(load, sizeof load, "TEXT cpu_utilization=%.2f,named_metrics.held=%d",
--- a/src/steps/runner.cpp
+++ b/src/steps/runner.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "json/fields.h"
+#include "json/writer.h"
 #include "settings/form.h"
 
 namespace robinhoist::steps {
@@ -418,16 +418,16 @@
       target_.check(step, told);
     return;
   }
-  json::Out out;
-  out.open().open_list("steps");
+  json::Writer out;
+  out.begin_object().begin_array("steps");
   for (const Verification::Asked& asked : verification->asked)
-    out.open()
+    out.begin_object()
         .put("build", asked.build)
         .put("id", asked.step.id)
         .put("state", asked.state)
         .put("why", asked.why)
-        .close();
-  verification->done(out.close_list().close().text());
+        .end_object();
+  verification->done(out.end_array().end_object().text());
 }
 
 namespace {
@@ -449,23 +449,23 @@
 }
 
 std::string Runner::status() const {
-  json::Out out;
-  out.open()
+  json::Writer out;
+  out.begin_object()
       .put("holds_lease", token_ > 0)
       .put("token", static_cast<long>(token_))
       .put("journal", broken_.empty() ? "well" : broken_);
-  out.open_list("plans");
+  out.begin_array("plans");
   for (auto& run : runs_) {
     const Core& core = run->core;
-    out.open()
+    out.begin_object()
         .put("build", core.plan().build)
         .put("paused", core.paused())
         .put("busy", core.busy());
-    out.put("undoing", core.undoing()).put_ms("throttle_ms", core.throttle()).open_list("steps");
+    out.put("undoing", core.undoing()).put_ms("throttle_ms", core.throttle()).begin_array("steps");
     for (std::size_t i = 0; i < core.plan().steps.size(); ++i) {
       const Step& step = core.plan().steps[i];
       const Progress& progress = core.progress()[i];
-      out.open()
+      out.begin_object()
           .put("id", step.id)
           .put("phase", to_string(step.phase))
           .put("before_wave", step.before_stage);
@@ -478,11 +478,11 @@
         if (estimate->left)
           out.put_ms("left_ms", *estimate->left);
       }
-      out.put("why", progress.why).close();
+      out.put("why", progress.why).end_object();
     }
-    out.close_list().close();
+    out.end_array().end_object();
   }
-  return out.close_list().close().text();
+  return out.end_array().end_object().text();
 }
 
 }  // namespace robinhoist::steps
--- a/src/steps/target.cpp
+++ b/src/steps/target.cpp
@@ -1,6 +1,7 @@
 #include "steps/target.h"
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 
 namespace robinhoist::steps {
 namespace {
@@ -43,8 +44,8 @@
 void Target::run(const Plan& plan, const Step& step, Direction direction, std::int64_t after,
                  std::int64_t token, Ran ran) {
   const bool apply = direction == Direction::apply;
-  json::Out body;
-  body.open()
+  json::Writer body;
+  body.begin_object()
       .put("token", static_cast<long>(token))
       .put("mark", mark_of(plan, step))
       .put("digest", step.digest);
@@ -56,7 +57,7 @@
         .put("key", step.key)
         .put("batch", step.batch)
         .put("after", static_cast<long>(after));
-  body.put("lock_ms", static_cast<double>(step.lock_timeout.count()) / 1e3).close();
+  body.put("lock_ms", static_cast<double>(step.lock_timeout.count()) / 1e3).end_object();
   caller_.call(post("/v1/steps/run", body.text()), step.timeout,
                [ran](http::Ended how, http::Response&& response) {
                  const std::string why = why_of(how, response);
@@ -71,40 +72,40 @@
                  try {
                    if (response.status != 200)
                      return ran({.result = Result::unknown, .why = why});
-                   auto document = json::object_of(response.body);
+                   auto document = json::parse_object(response.body);
                    const Result result = json::enumerator<Result>(
                        document, "result", {{"done", Result::done}, {"more", Result::more}});
                    ran({result, static_cast<std::int64_t>(json::number_or(document, "after", 0)),
                         static_cast<std::int64_t>(json::number_or(document, "last", 0)), ""});
-                 } catch (const json::BadInput& bad) {
+                 } catch (const json::DecodeError& bad) {
                    ran({.result = Result::unknown, .why = bad.what()});
                  }
                });
 }
 
 void Target::mark(const Plan& plan, const Step& step, std::int64_t token, Looked looked) {
-  auto body = json::Out()
-                  .open()
+  auto body = json::Writer()
+                  .begin_object()
                   .put("token", static_cast<long>(token))
                   .put("mark", mark_of(plan, step))
-                  .close()
+                  .end_object()
                   .text();
   caller_.call(post("/v1/steps/mark", body), step.timeout,
                [looked](http::Ended how, http::Response&& response) {
                  try {
                    if (how != http::Ended::answered || response.status != 200)
                      return looked(Answer::unknown, 0, why_of(how, response));
-                   auto document = json::object_of(response.body);
-                   looked(json::truth(document, "applied") ? Answer::yes : Answer::no,
+                   auto document = json::parse_object(response.body);
+                   looked(json::boolean(document, "applied") ? Answer::yes : Answer::no,
                           static_cast<std::int64_t>(json::number(document, "after")), "");
-                 } catch (const json::BadInput& bad) {
+                 } catch (const json::DecodeError& bad) {
                    looked(Answer::unknown, 0, bad.what());
                  }
                });
 }
 
 void Target::check(const Step& step, Looked looked) {
-  auto body = json::Out().open().put("statement", step.check).close().text();
+  auto body = json::Writer().begin_object().put("statement", step.check).end_object().text();
   caller_.call(
       post("/v1/query", body), step.timeout, [looked](http::Ended how, http::Response&& response) {
         try {
@@ -113,9 +114,9 @@
           // A check that can't even be asked, for a table is missing, says no.
           if (response.status == 422)
             return looked(Answer::no, 0, response.body);
-          auto document = json::object_of(response.body);
+          auto document = json::parse_object(response.body);
           looked(json::number_or(document, "value", 0) != 0 ? Answer::yes : Answer::no, 0, "");
-        } catch (const json::BadInput& bad) {
+        } catch (const json::DecodeError& bad) {
           looked(Answer::unknown, 0, bad.what());
         }
       });
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -56,8 +56,8 @@
 
   // try ID UMPIRE PRODUCT AT END ENDED [FIRST]
   void one_try(const Words& w) {
-    files["clients"] += json::Out()
-                            .open()
+    files["clients"] += json::Writer()
+                            .begin_object()
                             .put("t", us(w[4]))
                             .put("t1", us(w[6]))
                             .put("until", us(w[4]) + 500000)
@@ -69,7 +69,7 @@
                             .put("end", w[5])
                             .put("right", true)
                             .put("poison", false)
-                            .close()
+                            .end_object()
                             .text() +
                         "\n";
   }
@@ -85,8 +85,8 @@
       if (w[i] == "work")
         work = us(w[i + 1]);
     }
-    files["nodes"] += json::Out()
-                          .open()
+    files["nodes"] += json::Writer()
+                          .begin_object()
                           .put("t", us(w[4]))
                           .put("e", w[7])
                           .put("node", w[5])
@@ -97,61 +97,71 @@
                           .put("submission", "0")
                           .put("try", w[1])
                           .put("work", std::to_string(work))
-                          .close()
+                          .end_object()
                           .text() +
                       "\n";
     if (effect)
-      files["nodes"] += json::Out()
-                            .open()
+      files["nodes"] += json::Writer()
+                            .begin_object()
                             .put("t", us(w[4]) + 5000)
                             .put("e", "ran")
                             .put("id", id)
                             .put("effect", true)
-                            .close()
+                            .end_object()
                             .text() +
                         "\n";
   }
 
   void step(const Words& w) {
     if (w[0] == "life") {
-      files["umpires"] +=
-          json::Out().open().put("t", us(w[3])).put("umpire", w[1]).put("e", w[2]).close().text() +
-          "\n";
+      files["umpires"] += json::Writer()
+                              .begin_object()
+                              .put("t", us(w[3]))
+                              .put("umpire", w[1])
+                              .put("e", w[2])
+                              .end_object()
+                              .text() +
+                          "\n";
     } else if (w[0] == "node") {  // node NAME AT ZONE
-      files["nodes"] += json::Out()
-                            .open()
+      files["nodes"] += json::Writer()
+                            .begin_object()
                             .put("t", us(w[2]))
                             .put("e", "start")
                             .put("node", w[1])
                             .put("zone", w[3])
                             .put("cell", 0)
                             .put("started", us(w[2]))
-                            .close()
+                            .end_object()
                             .text() +
                         "\n";
     } else if (w[0] == "fell") {
-      files["nodes"] +=
-          json::Out().open().put("t", us(w[2])).put("e", "fell").put("node", w[1]).close().text() +
-          "\n";
+      files["nodes"] += json::Writer()
+                            .begin_object()
+                            .put("t", us(w[2]))
+                            .put("e", "fell")
+                            .put("node", w[1])
+                            .end_object()
+                            .text() +
+                        "\n";
     } else if (w[0] == "list") {  // list UMPIRE AT whole|changes NODE=PHASE:STARTED ...
-      json::Out out;
-      out.open()
+      json::Writer out;
+      out.begin_object()
           .put("t", us(w[2]))
           .put("e", "list")
           .put("umpire", w[1])
           .put("whole", w[3] == "whole")
-          .open_list("nodes");
+          .begin_array("nodes");
       for (std::size_t i = 4; i < w.size(); ++i) {
         const std::size_t equals = w[i].find('='), colon = w[i].find(':');
-        out.open()
+        out.begin_object()
             .put("name", w[i].substr(0, equals))
             .put("phase", w[i].substr(equals + 1, colon - equals - 1));
-        out.put("started", us(w[i].substr(colon + 1))).close();
+        out.put("started", us(w[i].substr(colon + 1))).end_object();
       }
-      files["told"] += out.close_list().close().text() + "\n";
+      files["told"] += out.end_array().end_object().text() + "\n";
     } else if (w[0] == "news") {  // news UMPIRE AT BUILD STAGE PHASE CAP
-      files["told"] += json::Out()
-                           .open()
+      files["told"] += json::Writer()
+                           .begin_object()
                            .put("t", us(w[2]))
                            .put("e", "news")
                            .put("umpire", w[1])
@@ -159,7 +169,7 @@
                            .put("stage", std::stoi(w[4]))
                            .put("phase", w[5])
                            .put("cap", std::stod(w[6]))
-                           .close()
+                           .end_object()
                            .text() +
                        "\n";
     } else if (w[0] == "try") {
@@ -175,30 +185,31 @@
     } else if (w[0] == "steps") {
       meta.steps.assign(w.begin() + 1, w.end());
     } else if (w[0] == "database") {  // database MARK apply|undo AT
-      files["database"] += json::Out()
-                               .open()
+      files["database"] += json::Writer()
+                               .begin_object()
                                .put("t", us(w[3]))
                                .put("mark", w[1])
                                .put("undo", w[2] == "undo")
                                .put("how", "done")
                                .put("after", 0)
-                               .close()
+                               .end_object()
                                .text() +
                            "\n";
     } else if (w[0] == "unready") {  // unready NODE AT
-      files["nodes"] += json::Out()
-                            .open()
+      files["nodes"] += json::Writer()
+                            .begin_object()
                             .put("t", us(w[2]))
                             .put("e", "ran")
                             .put("node", w[1])
                             .put("how", "unready")
                             .put("effect", false)
-                            .close()
+                            .end_object()
                             .text() +
                         "\n";
     } else if (w[0] == "unasked") {
       files["clients"] +=
-          json::Out().open().put("unasked", 1).put("umpire", w[1]).close().text() + "\n";
+          json::Writer().begin_object().put("unasked", 1).put("umpire", w[1]).end_object().text() +
+          "\n";
     } else if (w[0] == "cut") {
       cut = true;
     } else if (w[0] == "expect") {  // expect RULE kept|broken [WORDS]
--- a/tests/history.h
+++ b/tests/history.h
@@ -9,7 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 
 namespace robinhoist::history {
 
@@ -49,14 +50,15 @@
   }
   std::vector<Seen> seen;
   for (std::size_t at = 0, end; (end = body.find('\n', at)) != std::string::npos; at = end + 1) {
-    const auto line = json::object_of(body.substr(at, end - at));
+    const auto line = json::parse_object(body.substr(at, end - at));
     const std::string type = json::text(line, "type");
     if (type == "BOOKMARK" || type == "ERROR")
       continue;
-    const json::Json& metadata = json::inner(json::inner(line, "object"), "metadata");
+    const json::Value& metadata =
+        json::nested_object(json::nested_object(line, "object"), "metadata");
     seen.push_back({static_cast<std::int64_t>(json::number(line, "version")), type,
                     json::text(metadata, "name"),
-                    json::text_or(json::inner(metadata, "labels"), "mark", "")});
+                    json::text_or(json::nested_object(metadata, "labels"), "mark", "")});
   }
   return seen;
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -67,7 +67,7 @@
     try {
       platform::decoded(with(config_text(), change.first, change.second));
       ADD_FAILURE() << "taken: " << told;
-    } catch (const json::BadInput& bad) {
+    } catch (const json::DecodeError& bad) {
       EXPECT_NE(std::string(bad.what()).find(told), std::string::npos) << bad.what();
     }
 }
@@ -258,8 +258,8 @@
       log);
   std::vector<int> heard;
   watch.start([] { return "/"; },
-              [&](const json::Json& object) {
-                heard.push_back(json::whole(object, "n"));
+              [&](const json::Value& object) {
+                heard.push_back(json::integer(object, "n"));
                 if (heard.size() == 2)
                   loop.stop();
               });
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -10,7 +10,7 @@
 #include "controller/process.h"
 #include "history.h"
 #include "http/stream_caller.h"
-#include "json/fields.h"
+#include "json/reader.h"
 #include "plays.h"
 #include "releases/follower.h"
 #include "rollout/names.h"
@@ -433,15 +433,15 @@
 TEST(Api, is_as_its_description_says) {
   ApiStage stage;
   stage.start();
-  const auto served = json::object_of(stage.ask("GET", "/v1", "", "").body);
+  const auto served = json::parse_object(stage.ask("GET", "/v1", "", "").body);
   std::set<std::string> real, told;
   for (auto& route : json::array(served, "routes").GetArray())
     real.insert(json::text(route, "method") + " " + json::text(route, "path"));
   std::ifstream in(ROOT "/docs/openapi.json");
   std::stringstream text;
   text << in.rdbuf();
-  const auto description = json::object_of(text.str());
-  for (auto& path : json::inner(description, "paths").GetObject())
+  const auto description = json::parse_object(text.str());
+  for (auto& path : json::nested_object(description, "paths").GetObject())
     for (auto& method : path.value.GetObject()) {
       std::string name = method.name.GetString();
       for (char& c : name)
