--- a/src/controller/problem.h
+++ b/src/controller/problem.h
@@ -28,7 +28,7 @@
       out.begin_object().put("pointer", one.pointer).put("detail", one.detail).end_object();
     out.end_array();
   }
-  http::Response response = http::json_answer(status, out.end_object().text());
+  http::Response response = http::json_response(status, out.end_object().text());
   response.headers.set("Content-Type", "application/problem+json");
   return response;
 }
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -143,7 +143,7 @@
   to.canary_quota = canary_quota_settings(info);
   to.analysis = analysis_settings(object, info);
   const Value& bounds = nested_object(object, "bounds");
-  to.connect_within = duration_from_ms(number_or(bounds, "connect_timeout_ms", 0));
+  to.connect_timeout = duration_from_ms(number_or(bounds, "connect_timeout_ms", 0));
   to.keep_idle = duration_from_ms(number_or(bounds, "keepalive_ms", 0));
   if (has_value(object, "failure_domains"))
     for (const Value& zone : array(object, "failure_domains").GetArray()) {
