--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -38,13 +38,13 @@
 struct Served : Running {
   std::filesystem::path journal = std::filesystem::temp_directory_path() /
                                   ("robinhoist-api-bench-" + std::to_string(::getpid()));
-  log::Log log{"bench", "off"};
+  log::Logger log{"bench", "off"};
   std::unique_ptr<controller::Controller> controller{};
   std::atomic<std::int64_t> written{0};
   int port = 0;
   void start() {
     loop.call([&] {
-      auto form = settings::Form::of_text(
+      auto form = settings::SexpReader::from_text(
           std::string(deployment_text) + "(controller (listen 127.0.0.1:" + std::to_string(port) +
               ") (places 40) (build 1) (journal \"" + journal.string() + "\"))",
           "bench");
@@ -177,7 +177,7 @@
 
 void storm(Served& served, int proxies) {
   Running at;
-  log::Log log("bench", "off");
+  log::Logger log("bench", "off");
   std::vector<std::unique_ptr<proxy::WatchReleaseSource>> sources;
   std::atomic<int> heard{0}, build{1};
   at.loop.call([&] {
--- a/bench/steps_bench.cpp
+++ b/bench/steps_bench.cpp
@@ -5,7 +5,7 @@
 #include <filesystem>
 #include <thread>
 
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 #include "standin/database.h"
 #include "steps/runner.h"
 
@@ -75,7 +75,7 @@
   const long rows = state.range(0);
   for (auto _ : state) {
     net::Loop loop(net::steady_now());
-    log::Log log("bench", "off");
+    log::Logger log("bench", "off");
     standin::Database database(loop, http::ServerSettings{}, "", nullptr);
     database.execute(
         "CREATE TABLE t (id INTEGER PRIMARY KEY, n INTEGER); WITH RECURSIVE c(i) AS (SELECT 1 "
--- a/fuzz/settings_fuzz.cpp
+++ b/fuzz/settings_fuzz.cpp
@@ -7,9 +7,9 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   try {
-    robinhoist::proxy::read(robinhoist::settings::Form::of_text(
+    robinhoist::proxy::read(robinhoist::settings::SexpReader::from_text(
         std::string(reinterpret_cast<const char*>(data), size), "fuzz"));
-  } catch (const robinhoist::settings::Invalid&) {
+  } catch (const robinhoist::settings::ValidationError&) {
   }
   return 0;
 }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -21,12 +21,12 @@
 
 namespace {
 
-using robinhoist::settings::Form;
+using robinhoist::settings::SexpReader;
 
 // Which settings a file holds follows from its forms.
 int check(const std::string& file) {
   namespace rh = robinhoist;
-  Form root = Form::of_file(file);
+  SexpReader root = SexpReader::from_file(file);
   const char* kind = "";
   if (root.has("umpire"))
     kind = "umpire", rh::proxy::read(root);
@@ -63,7 +63,7 @@
 // The same in simulated time.
 int emulate(const std::string& file, long seed, std::string folder, bool no_record) {
   namespace rh = robinhoist;
-  const rh::day::Day day = rh::day::read(Form::of_file(file));
+  const rh::day::Day day = rh::day::read(SexpReader::from_file(file));
   if (folder.empty())
     folder = "found/emulated-" + std::to_string(seed);
   if (no_record)
@@ -101,7 +101,7 @@
 
 int play(const std::string& file, long seed, std::string folder) {
   namespace rh = robinhoist;
-  const rh::day::Day day = rh::day::read(Form::of_file(file));
+  const rh::day::Day day = rh::day::read(SexpReader::from_file(file));
   if (folder.empty())
     folder = "found/day-" + std::to_string(seed);
   std::cout << file << ", seed " << seed << ": " << day.deployment.proxies << " umpires, "
@@ -198,7 +198,7 @@
       return play(config, seed, out);
     if (*emulates)
       return emulate(config, seed, out, no_record);
-    Form root = Form::of_file(config);
+    SexpReader root = SexpReader::from_file(config);
     if (*proxy)
       return rh::proxy::run(rh::proxy::read(root));
     if (*controller)
@@ -210,7 +210,7 @@
   } catch (const rh::json::DecodeError& bad) {
     std::cerr << bad.what() << "\n";
     return 2;
-  } catch (const rh::settings::Invalid& invalid) {
+  } catch (const rh::settings::ValidationError& invalid) {
     std::cerr << invalid.what() << "\n";
     return 2;
   } catch (const std::exception& failed) {
--- a/src/cli/steps.cpp
+++ b/src/cli/steps.cpp
@@ -8,7 +8,7 @@
 #include "cli/ask.h"
 #include "json/reader.h"
 #include "json/writer.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 #include "steps/plan.h"
 
 namespace robinhoist::cli {
@@ -20,14 +20,14 @@
   std::ifstream in(file, std::ios::binary);
   std::ostringstream text;
   if (!in || !(text << in.rdbuf()))
-    throw settings::Invalid(file + ": can't be read", 1);
+    throw settings::ValidationError(file + ": can't be read", 1);
   return text.str();
 }
 
 // The order in which it would run, and what waits for what.
 int show_plan(const std::string& file, int stages) {
-  settings::Form form = settings::Form::of_file(file);
-  steps::Plan plan = steps::read(form.sub("plan"), stages);
+  settings::SexpReader form = settings::SexpReader::from_file(file);
+  steps::Plan plan = steps::read(form.child("plan"), stages);
   form.finish();
   std::cout << "plan of build " << plan.build << ", " << plan.steps.size()
             << " steps; nothing is run\n";
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -6,7 +6,7 @@
 #include "json/reader.h"
 #include "json/writer.h"
 #include "rollout/names.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 
 namespace robinhoist::controller {
 namespace {
@@ -18,7 +18,7 @@
 }
 }  // namespace
 
-Controller::Controller(net::Loop& loop, const Settings& settings, const log::Log& log,
+Controller::Controller(net::Loop& loop, const Settings& settings, const log::Logger& log,
                        Orders orders, Told told, Voted voted)
     : loop_(loop),
       settings_(settings),
@@ -194,7 +194,7 @@
     does();
   } catch (const json::DecodeError& bad) {
     asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
-  } catch (const settings::Invalid& bad) {
+  } catch (const settings::ValidationError& bad) {
     asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
   } catch (const journal::Failed& bad) {
     asked.exchange->answer(http::text_response(503, std::string(bad.what()) + "\n"));
@@ -325,7 +325,7 @@
     response.headers.add("WWW-Authenticate", "Bearer");
     return exchange->answer(response);
   }
-  if (auto wait = requests_.take(caller->name, loop_.now())) {
+  if (auto wait = requests_.try_acquire(caller->name, loop_.now())) {
     http::Response response = problem(429, "too many requests", "of " + caller->name);
     response.headers.add("Retry-After", std::to_string(wait->count() / 1000000 + 1));
     return exchange->answer(response);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -10,8 +10,8 @@
 #include "controller/watches.h"
 #include "http/server.h"
 #include "journal/journal.h"
-#include "limits/bucket.h"
-#include "log/log.h"
+#include "limits/token_bucket.h"
+#include "log/logger.h"
 #include "membership/members.h"
 #include "releases/catalog.h"
 #include "rollout/rollout.h"
@@ -51,7 +51,7 @@
       std::function<void(const std::string& proxy, int build, int stage, Verdict, Outcome)>;
 
   // Orders go to `orders`; where there is none they wait to be fetched.
-  Controller(net::Loop& loop, const Settings& settings, const log::Log& log, Orders orders = {},
+  Controller(net::Loop& loop, const Settings& settings, const log::Logger& log, Orders orders = {},
              Told told = {}, Voted voted = {});
   ~Controller();
 
@@ -127,7 +127,7 @@
 
   net::Loop& loop_;
   Settings settings_;
-  const log::Log& log_;
+  const log::Logger& log_;
   std::unique_ptr<rollout::Rollout> core_;
   Orders orders_;
   Told told_;
@@ -155,7 +155,7 @@
   std::string series_{};
   membership::Members members_;
   Tokens tokens_;
-  limits::Buckets requests_;
+  limits::TokenBucketLimiter requests_;
   std::unique_ptr<Watches> watches_{};
   net::Loop::Timer soon_ = net::Loop::no_timer, members_look_ = net::Loop::no_timer;
   net::Timers timers_;
--- a/src/controller/process.cpp
+++ b/src/controller/process.cpp
@@ -8,15 +8,15 @@
 namespace robinhoist::controller {
 namespace {
 
-Token read_token(settings::Form form) {
+Token read_token(settings::SexpReader form) {
   Token token;
-  token.name = form.own_word(0, "a name");
+  token.name = form.positional(0, "a name");
   token.role = form.enumerator<Role>(
       "role", {{"read", Role::read}, {"umpire", Role::proxy}, {"operate", Role::operate}});
   token.sha256 = form.text("sha256");
   if (token.sha256.size() != 64 ||
       token.sha256.find_first_not_of("0123456789abcdef") != std::string::npos)
-    form.problem("sha256", "is not 64 digits of lower-case hex (printf %s TOKEN | sha256sum)");
+    form.add_problem("sha256", "is not 64 digits of lower-case hex (printf %s TOKEN | sha256sum)");
   form.finish();
   return token;
 }
@@ -28,7 +28,7 @@
 
 template <class Make>
 int serve(const char* who, Make make) {
-  log::Log log(who);
+  log::Logger log(who);
   net::Loop loop(net::steady_now());
   net::Signals signals(loop, {SIGTERM, SIGINT}, [&](int) { loop.quit(); });
   std::signal(SIGPIPE, SIG_IGN);
@@ -40,39 +40,39 @@
 
 }  // namespace
 
-Settings read(settings::Form root) {
+Settings read(settings::SexpReader root) {
   Settings to;
-  auto deployment = deployment::read(root.sub("deployment"));
-  settings::Form form = root.sub("controller");
+  auto deployment = deployment::read(root.child("deployment"));
+  settings::SexpReader form = root.child("controller");
   to.server.listen = form.text("listen");
-  to.places = form.whole("places", 1, 100000);
-  to.build = form.whole("build", 1, 65535);
+  to.places = form.integer("places", 1, 100000);
+  to.build = form.integer("build", 1, 65535);
   to.journal = form.text("journal", "");
   to.who = form.text("name", "controller");
-  if (auto steps = form.maybe("steps")) {
+  if (auto steps = form.optional_child("steps")) {
     to.steps_target = steps->text("target");
-    to.lease = steps->span("lease", std::chrono::milliseconds(100), std::chrono::hours(1),
-                           std::chrono::seconds(10));
-    to.throttle = steps->truth("throttle", true);
+    to.lease = steps->duration("lease", std::chrono::milliseconds(100), std::chrono::hours(1),
+                               std::chrono::seconds(10));
+    to.throttle = steps->boolean("throttle", true);
     steps->finish();
     if (to.journal.empty())
-      form.problem("steps", "need a (journal FILE): what ran must outlive the process");
+      form.add_problem("steps", "need a (journal FILE): what ran must outlive the process");
   }
-  for (settings::Form& token : form.each("token"))
+  for (settings::SexpReader& token : form.children("token"))
     to.tokens.push_back(read_token(token));
   // What anybody may do must not be within anybody's reach.
   const std::string host = to.server.listen.substr(0, to.server.listen.rfind(':'));
   if (to.tokens.empty() && host != "localhost" && host != "[::1]" && host.rfind("127.", 0) != 0)
-    form.problem("listen", "is not on loopback, and there is no (token ...)");
+    form.add_problem("listen", "is not on loopback, and there is no (token ...)");
   to.requests_per_s = form.number("requests-per-s", 0, 1e6, 0.0);
-  to.history = static_cast<std::size_t>(form.whole("history", 10, 1000000, 1000));
-  to.watches.most = static_cast<std::size_t>(form.whole("watches", 1, 100000, 5000));
-  to.members.lease = form.span("umpire-lease", std::chrono::milliseconds(100),
-                               std::chrono::hours(1), std::chrono::seconds(3));
-  to.members.memory = form.span("umpire-memory", std::chrono::seconds(1),
-                                std::chrono::hours(24 * 7), std::chrono::minutes(10));
+  to.history = static_cast<std::size_t>(form.integer("history", 10, 1000000, 1000));
+  to.watches.most = static_cast<std::size_t>(form.integer("watches", 1, 100000, 5000));
+  to.members.lease = form.duration("umpire-lease", std::chrono::milliseconds(100),
+                                   std::chrono::hours(1), std::chrono::seconds(3));
+  to.members.memory = form.duration("umpire-memory", std::chrono::seconds(1),
+                                    std::chrono::hours(24 * 7), std::chrono::minutes(10));
   if (to.members.memory < to.members.lease)
-    form.problem("umpire-memory", "is less than umpire-lease");
+    form.add_problem("umpire-memory", "is less than umpire-lease");
   form.finish();
   root.finish();
   to.proxies = deployment.proxies;
@@ -81,14 +81,14 @@
 }
 
 int run(const Settings& settings) {
-  return serve("controller", [&](net::Loop& loop, const log::Log& log) {
+  return serve("controller", [&](net::Loop& loop, const log::Logger& log) {
     return std::make_unique<Controller>(loop, settings, log);
   });
 }
 
-ListSettings read_list(settings::Form root) {
+ListSettings read_list(settings::SexpReader root) {
   ListSettings to;
-  settings::Form form = root.sub("list");
+  settings::SexpReader form = root.child("list");
   to.server.listen = form.text("listen");
   form.finish();
   root.finish();
@@ -96,7 +96,7 @@
 }
 
 int run_list(const ListSettings& settings) {
-  return serve("list", [&](net::Loop& loop, const log::Log&) {
+  return serve("list", [&](net::Loop& loop, const log::Logger&) {
     return std::make_unique<registry::Service>(loop, settings.server, fresh_series());
   });
 }
--- a/src/controller/process.h
+++ b/src/controller/process.h
@@ -5,13 +5,13 @@
 
 namespace robinhoist::controller {
 
-Settings read(settings::Form root);
+Settings read(settings::SexpReader root);
 int run(const Settings& settings);
 
 struct ListSettings {
   http::ServerSettings server{};
 };
-ListSettings read_list(settings::Form root);
+ListSettings read_list(settings::SexpReader root);
 int run_list(const ListSettings& settings);
 
 }  // namespace robinhoist::controller
--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using settings::Form;
+using settings::SexpReader;
 
 constexpr std::pair<const char*, Kind> kinds[] = {
     {"crash", Kind::crash},
@@ -35,29 +35,29 @@
 };
 
 // (key LEAST MOST) or (key BOTH).
-std::pair<Duration, Duration> range(Form& form, const char* key, Duration absent) {
-  auto inner = form.maybe(key);
+std::pair<Duration, Duration> range(SexpReader& form, const char* key, Duration absent) {
+  auto inner = form.optional_child(key);
   if (!inner)
     return {absent, absent};
   std::vector<Duration> read;
-  for (std::size_t i = 0; i < inner->own_words(); ++i) {
-    auto one = settings::span_of(inner->own_word(i, ""));
+  for (std::size_t i = 0; i < inner->positional_count(); ++i) {
+    auto one = settings::parse_duration(inner->positional(i, ""));
     if (!one || *one < Duration{})
-      inner->problem(inner->own_word(i, "") + " is not a span such as 250ms");
+      inner->add_problem(inner->positional(i, "") + " is not a span such as 250ms");
     else
       read.push_back(*one);
   }
   inner->finish();
   if (read.empty() || read.size() > 2 || read.front() > read.back()) {
-    inner->problem("wants one span, or a least and a most");
+    inner->add_problem("wants one span, or a least and a most");
     return {absent, absent};
   }
   return {read.front(), read.back()};
 }
 
-Trouble read_trouble(Form form, const Day& day) {
+Trouble read_trouble(SexpReader form, const Day& day) {
   Trouble trouble{};
-  const std::string name = form.own_word(0, "a kind");
+  const std::string name = form.positional(0, "a kind");
   bool known = false;
   for (auto& [word, kind] : kinds)
     if (name == word)
@@ -66,10 +66,10 @@
     std::string all;
     for (auto& [word, kind] : kinds)
       all += (all.empty() ? "" : ", ") + std::string(word);
-    form.problem(name + " is none of " + all);
+    form.add_problem(name + " is none of " + all);
   }
-  trouble.at = form.span("at", 0ms, day.length);
-  trouble.lasts = form.span("for", 1ms, 1h);
+  trouble.at = form.duration("at", 0ms, day.length);
+  trouble.lasts = form.duration("for", 1ms, 1h);
   const auto is = [&](std::initializer_list<Kind> of) {
     return std::find(of.begin(), of.end(), trouble.kind) != of.end();
   };
@@ -83,42 +83,42 @@
           Kind::bad_requests}))
     trouble.size = form.number("share", 0, 0.99);
   if (is({Kind::neighbour}))
-    trouble.extra = form.span("every", 10ms, 1h, 2s).count() / 1e6;
+    trouble.extra = form.duration("every", 10ms, 1h, 2s).count() / 1e6;
   if (is({Kind::connection_squeeze}))
     trouble.size = form.number("connections-an-umpire", 0.01, 1e6);
   if (is({Kind::slow_handshakes}))
-    trouble.size = form.span("by", 0ms, 1min).count() / 1e6;
+    trouble.size = form.duration("by", 0ms, 1min).count() / 1e6;
   if (is({Kind::slow_link})) {
-    trouble.size = form.span("by", 0ms, 1min).count() / 1e6;
+    trouble.size = form.duration("by", 0ms, 1min).count() / 1e6;
     trouble.extra = form.number("lost", 0, 1, 0.0);
   }
   if (is({Kind::slow_link, Kind::zone_cut})) {
     trouble.zone = form.text("zone");
     if (day.deployment.zone(trouble.zone) < 0)
-      form.problem("zone", "is none of the deployment's");
+      form.add_problem("zone", "is none of the deployment's");
   }
   if (is({Kind::bad_requests}))
     trouble.tenant = form.text("tenant", "");
   if (is({Kind::retry_abuse})) {
     trouble.tenant = form.text("tenant");
-    trouble.size = form.whole("tries", 1, 100);
+    trouble.size = form.integer("tries", 1, 100);
     trouble.extra = form.number("patience", 0.01, 1);
   }
   if (!trouble.tenant.empty() && day.deployment.tenant(trouble.tenant) < 0)
-    form.problem("tenant", "is none of the deployment's");
+    form.add_problem("tenant", "is none of the deployment's");
   if (is({Kind::watch_breaks}))
-    trouble.size = form.span("every", 20ms, 1h).count() / 1e6;
+    trouble.size = form.duration("every", 20ms, 1h).count() / 1e6;
   if (is({Kind::stale_list}))
-    trouble.size = form.span("by", 0ms, 1h).count() / 1e6;
+    trouble.size = form.duration("by", 0ms, 1h).count() / 1e6;
   if (is({Kind::proxy_roll})) {
     trouble.size = form.number("batch", 0.001, 1);
-    trouble.extra = form.span("down", 0ms, 1min, 500ms).count() / 1e6;
+    trouble.extra = form.duration("down", 0ms, 1min, 500ms).count() / 1e6;
   }
   if (is({Kind::controller_down})) {
     trouble.how = form.enumerator<std::string>(
         "how", {{"silence", "silence"}, {"errors", "errors"}, {"stale", "stale"}});
     if (trouble.how == "stale")
-      trouble.size = form.span("by", 0ms, 1h).count() / 1e6;
+      trouble.size = form.duration("by", 0ms, 1h).count() / 1e6;
     if (trouble.how == "silence")
       trouble.size = form.number("counted", 0, 1, 0.5);
   }
@@ -126,7 +126,7 @@
   return trouble;
 }
 
-void read_load(Form form, Day& day) {
+void read_load(SexpReader form, Day& day) {
   load::Settings& to = day.load;
   to.rate = form.number("rate", 0.1, 1e6);
   to.shape = form.enumerator<load::Shape>("shape",
@@ -139,16 +139,16 @@
   to.request_classes.resize(day.deployment.request_classes.size());
   std::vector<bool> given(to.request_classes.size(), false);
   double sum = 0;
-  for (Form& one : form.each("product", 1)) {
-    const int p = day.deployment.request_class(one.own_word(0, "a product"));
+  for (SexpReader& one : form.children("product", 1)) {
+    const int p = day.deployment.request_class(one.positional(0, "a product"));
     if (p < 0 || given[p]) {
-      one.problem(p < 0 ? "is none of the deployment's products" : "given twice");
+      one.add_problem(p < 0 ? "is none of the deployment's products" : "given twice");
       continue;
     }
     given[p] = true;
     load::RequestClass& request_class = to.request_classes[p];
     sum += request_class.share = one.number("share", 0, 1);
-    request_class.work = one.span("work", 1us, 1h);
+    request_class.work = one.duration("work", 1us, 1h);
     request_class.spread = one.enumerator<load::Spread>(
         "spread",
         {{"exponential", load::Spread::exponential}, {"lognormal", load::Spread::lognormal}},
@@ -159,7 +159,7 @@
   for (std::size_t p = 0; p < to.request_classes.size(); ++p) {
     const RequestClass& of = day.deployment.request_classes[p].request_class;
     if (!given[p])
-      form.problem("product " + day.deployment.request_classes[p].name + " is missing");
+      form.add_problem("product " + day.deployment.request_classes[p].name + " is missing");
     to.request_classes[p].deadline = of.deadline;
     to.request_classes[p].dedup_window = of.dedup_window;
     to.request_classes[p].keyed = of.idempotency == Idempotency::idempotent_with_key;
@@ -170,7 +170,7 @@
             : load::Repeats::only_rejected;
   }
   if (sum < 0.999 || sum > 1.001)
-    form.problem("the products' shares must add up to 1, not " + std::to_string(sum));
+    form.add_problem("the products' shares must add up to 1, not " + std::to_string(sum));
   form.finish();
   if (!day.deployment.tenants.empty()) {
     to.tenants.clear();
@@ -179,8 +179,8 @@
   }
 }
 
-void read_clients(Form form, load::Settings& to) {
-  to.retries = form.whole("retries", 0, 100, 0);
+void read_clients(SexpReader form, load::Settings& to) {
+  to.retries = form.integer("retries", 0, 100, 0);
   std::vector<double> patience = form.numbers("patience", 0.01, 1, 0);
   if (!patience.empty()) {
     to.patience_least = *std::min_element(patience.begin(), patience.end());
@@ -206,64 +206,64 @@
   return "?";
 }
 
-Day read(Form root) {
+Day read(SexpReader root) {
   Day day;
-  day.deployment = deployment::read(root.sub("deployment"));
-  day.deployment_text = root.written("deployment");
-  Form form = root.sub("day");
-  day.length = form.span("length", 1s, 1h);
-  day.answer_slack = form.span("answer-slack", 0ms, 1s, 20ms);
-  Form fleet = form.sub("fleet");
-  day.places = fleet.whole("places", 1, 10000);
-  day.cell_size = fleet.whole("cell-size", 1, 10000, 4);
-  day.first.number = fleet.whole("build", 1, 65000, 1);
+  day.deployment = deployment::read(root.child("deployment"));
+  day.deployment_text = root.to_text("deployment");
+  SexpReader form = root.child("day");
+  day.length = form.duration("length", 1s, 1h);
+  day.answer_slack = form.duration("answer-slack", 0ms, 1s, 20ms);
+  SexpReader fleet = form.child("fleet");
+  day.places = fleet.integer("places", 1, 10000);
+  day.cell_size = fleet.integer("cell-size", 1, 10000, 4);
+  day.first.number = fleet.integer("build", 1, 65000, 1);
   day.speed_spread = fleet.number("speed-spread", 0, 0.9, 0.0);
   std::tie(day.boot_least, day.boot_most) = range(fleet, "boot", 1s);
-  day.capacity = machine::read_capacity(fleet.sub("capacity"), day.deployment);
+  day.capacity = machine::read_capacity(fleet.child("capacity"), day.deployment);
   day.cancelled = fleet.enumerator<machine::Cancelled>("cancelled",
                                                        {{"nothing", machine::Cancelled::nothing},
                                                         {"queued", machine::Cancelled::queued},
                                                         {"all", machine::Cancelled::all}},
                                                        machine::Cancelled::nothing);
   fleet.finish();
-  if (auto list = form.maybe("list")) {
+  if (auto list = form.optional_child("list")) {
     std::tie(day.list_least, day.list_most) = range(*list, "told-after", 0ms);
-    day.silent_after = list->span("silent-after", 0ms, 1h, 5s);
+    day.silent_after = list->duration("silent-after", 0ms, 1h, 5s);
     list->finish();
   }
-  if (auto controller = form.maybe("controller")) {
+  if (auto controller = form.optional_child("controller")) {
     std::tie(day.news_least, day.news_most) = range(*controller, "told-after", 0ms);
     controller->finish();
   }
-  if (auto reports = form.maybe("reports")) {
+  if (auto reports = form.optional_child("reports")) {
     std::tie(day.reports_least, day.reports_most) = range(*reports, "after", 1s);
     day.false_reports = reports->number("false", 0, 1, 0.0);
     reports->finish();
   }
   day.load.proxies = day.deployment.proxies;
   day.load.length = day.length;
-  if (auto front = form.maybe("front")) {
-    day.load.notice = front->span("notice", 0ms, 1h, 1s);
+  if (auto front = form.optional_child("front")) {
+    day.load.notice = front->duration("notice", 0ms, 1h, 1s);
     front->finish();
   }
-  read_load(form.sub("load"), day);
-  if (auto clients = form.maybe("clients"))
+  read_load(form.child("load"), day);
+  if (auto clients = form.optional_child("clients"))
     read_clients(*clients, day.load);
-  if (auto database = form.maybe("database")) {
+  if (auto database = form.optional_child("database")) {
     day.database = true;
     day.database_setup = database->text("setup");
     day.batch_slows = database->number("batch-slows", 1, 1000, 1.0);
-    day.throttle = database->truth("throttle", true);
+    day.throttle = database->boolean("throttle", true);
     database->finish();
   }
-  for (Form& release : form.each("release")) {
+  for (SexpReader& release : form.children("release")) {
     Offer offer;
-    offer.at = release.span("at", 0ms, day.length);
+    offer.at = release.duration("at", 0ms, day.length);
     offer.needs = release.text("needs", "");
-    if (auto plan = release.maybe("plan")) {
+    if (auto plan = release.optional_child("plan")) {
       if (!day.database)
-        release.problem("plan", "has no (database ...) to run against");
-      offer.plan = release.written("plan");
+        release.add_problem("plan", "has no (database ...) to run against");
+      offer.plan = release.to_text("plan");
       steps::Plan read = steps::read(*plan, static_cast<int>(day.deployment.rollout.stages.size()));
       for (const steps::Step& step : read.steps)
         offer.steps.push_back(step.id);
@@ -271,12 +271,12 @@
     offer.build = machine::read_build(release, day.deployment);
     if (offer.build.number <=
         (day.offers.empty() ? day.first.number : day.offers.back().build.number))
-      release.problem("its build is not newer than the one before");
+      release.add_problem("its build is not newer than the one before");
     if (!day.offers.empty() && offer.at < day.offers.back().at)
-      release.problem("at", "is before the release given before it");
+      release.add_problem("at", "is before the release given before it");
     day.offers.push_back(offer);
   }
-  for (Form& trouble : form.each("trouble"))
+  for (SexpReader& trouble : form.children("trouble"))
     day.troubles.push_back(read_trouble(trouble, day));
   form.finish();
   root.finish();
--- a/src/day/notation.h
+++ b/src/day/notation.h
@@ -74,7 +74,7 @@
   std::vector<Trouble> troubles{};
 };
 
-Day read(settings::Form root);
+Day read(settings::SexpReader root);
 const char* to_string(Kind kind);
 
 }  // namespace robinhoist::day
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -135,7 +135,7 @@
     setrlimit(RLIMIT_NOFILE, &files);
   }
   const SteadyTime epoch = net::steady_now();
-  log::Log log("day", "info", dir + "/day.log");
+  log::Logger log("day", "info", dir + "/day.log");
   record::write(dir + "/meta.json", meta_of(day, seed));
   record::Writer nodes(dir + "/nodes.jsonl"), told(dir + "/told.jsonl"),
       clients_record(dir + "/clients.jsonl"), lives(dir + "/umpires.jsonl"),
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -25,7 +25,7 @@
 }
 
 World::World(net::Loop& loop, net::Loop& database_loop, const Day& day, unsigned salt,
-             const log::Log& log, record::Writer& nodes, record::Writer& told,
+             const log::Logger& log, record::Writer& nodes, record::Writer& told,
              const std::string& folder, record::Writer* database)
     : loop_(loop), day_(day), log_(log), told_(told), random_(salt), folder_(folder) {
   standin::Shared shared;
--- a/src/day/world.h
+++ b/src/day/world.h
@@ -20,8 +20,8 @@
   // The database, where the day has one, runs on a loop of its own: a long step must not stop the
   // endpoints.
   World(net::Loop& loop, net::Loop& database_loop, const Day& day, unsigned salt,
-        const log::Log& log, record::Writer& nodes, record::Writer& told, const std::string& folder,
-        record::Writer* database);
+        const log::Logger& log, record::Writer& nodes, record::Writer& told,
+        const std::string& folder, record::Writer* database);
   ~World();
 
   int list_port() const { return list_->port(); }
@@ -56,7 +56,7 @@
 
   net::Loop& loop_;
   const Day& day_;
-  const log::Log& log_;
+  const log::Logger& log_;
   record::Writer& told_;
   std::minstd_rand random_;
   std::unique_ptr<standin::Nodes> nodes_;
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -9,7 +9,7 @@
 #include "policy/release.h"
 #include "policy/request.h"
 #include "rollout/rollout.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 #include "time/time_types.h"
 
 namespace robinhoist::deployment {
@@ -58,7 +58,7 @@
 };
 
 // Reads the keys of a (deployment ...) form; problems are left with the form.
-Deployment read(settings::Form form);
+Deployment read(settings::SexpReader form);
 
 // The module's settings for one proxy of the deployment.
 EndpointSettings endpoint_settings(const Deployment& deployment, int zone, int number);
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -7,7 +7,7 @@
 #include <sstream>
 
 #include "emulator/run.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 
 namespace robinhoist::lab {
 namespace {
@@ -18,7 +18,7 @@
   std::ifstream in(file, std::ios::binary);
   std::ostringstream text;
   if (!in || !(text << in.rdbuf()))
-    throw settings::Invalid(file + ": can't be read", 1);
+    throw settings::ValidationError(file + ": can't be read", 1);
   return text.str();
 }
 
@@ -83,34 +83,36 @@
 }
 
 Experiment read(const std::string& file) {
-  settings::Form root = settings::Form::of_file(file);
-  settings::Form form = root.sub("experiment");
+  settings::SexpReader root = settings::SexpReader::from_file(file);
+  settings::SexpReader form = root.child("experiment");
   Experiment to;
   to.name = form.text("name");
   to.day_file = (std::filesystem::path(file).parent_path() / form.text("day")).string();
-  to.repetitions = form.whole("repetitions", 1, 100000, 10);
-  to.seed = form.whole("seed", 1, 1000000000, 1);
+  to.repetitions = form.integer("repetitions", 1, 100000, 10);
+  to.seed = form.integer("seed", 1, 1000000000, 1);
   int many = 0;
   bool latin = false;
-  if (auto draw = form.maybe("draw")) {
-    const std::string how = draw->own_words() > 0 ? draw->own_word(0, "how") : "";
-    if (auto random = draw->maybe("random"))
-      many = static_cast<int>(settings::number_of(random->own_word(0, "how many")).value_or(0));
-    else if (auto square = draw->maybe("latin"))
+  if (auto draw = form.optional_child("draw")) {
+    const std::string how = draw->positional_count() > 0 ? draw->positional(0, "how") : "";
+    if (auto random = draw->optional_child("random"))
+      many =
+          static_cast<int>(settings::parse_number(random->positional(0, "how many")).value_or(0));
+    else if (auto square = draw->optional_child("latin"))
       latin = true,
-      many = static_cast<int>(settings::number_of(square->own_word(0, "how many")).value_or(0));
+      many =
+          static_cast<int>(settings::parse_number(square->positional(0, "how many")).value_or(0));
     else if (how != "grid")
-      draw->problem("is none of grid, (random N), (latin N)");
+      draw->add_problem("is none of grid, (random N), (latin N)");
     if (how != "grid" && (many < 1 || many > static_cast<int>(cells_most)))
-      draw->problem("how many must be from 1 to 10000");
+      draw->add_problem("how many must be from 1 to 10000");
     draw->finish();
   }
   std::vector<std::string> policies;
-  if (auto words = form.maybe("policies")) {
-    for (std::size_t i = 0; i < words->own_words(); ++i) {
-      policies.push_back(words->own_word(i, "a policy"));
+  if (auto words = form.optional_child("policies")) {
+    for (std::size_t i = 0; i < words->positional_count(); ++i) {
+      policies.push_back(words->positional(i, "a policy"));
       if (!emulator::policy_of(policies.back()))
-        words->problem(
+        words->add_problem(
             policies.back() +
             " is none of module, and random, round-robin, least-requests, each alone or with "
             "/never, /always, /threshold");
@@ -119,24 +121,24 @@
   }
   if (policies.empty())
     policies.push_back("module");
-  for (settings::Form& vary : form.each("vary", policies.size() > 1 ? 0 : 1)) {
+  for (settings::SexpReader& vary : form.children("vary", policies.size() > 1 ? 0 : 1)) {
     Parameter one;
-    one.name = vary.own_word(0, "a name");
+    one.name = vary.positional(0, "a name");
     one.at = vary.text("at");
-    if (auto values = vary.maybe("values"))
-      for (std::size_t i = 0; i < values->own_words(); ++i)
-        one.values.push_back(values->own_word(i, "a value"));
-    if (auto range = vary.maybe("from")) {
+    if (auto values = vary.optional_child("values"))
+      for (std::size_t i = 0; i < values->positional_count(); ++i)
+        one.values.push_back(values->positional(i, "a value"));
+    if (auto range = vary.optional_child("from")) {
       one.range = true;
-      one.least = settings::number_of(range->own_word(0, "the least")).value_or(0);
-      one.most = settings::number_of(range->own_word(1, "the most")).value_or(0);
+      one.least = settings::parse_number(range->positional(0, "the least")).value_or(0);
+      one.most = settings::parse_number(range->positional(1, "the most")).value_or(0);
       if (!(one.least < one.most))
-        range->problem("needs two numbers, the lesser first");
+        range->add_problem("needs two numbers, the lesser first");
       if (many == 0)
-        range->problem("a range can't be taken in a grid: give values, or draw");
+        range->add_problem("a range can't be taken in a grid: give values, or draw");
     }
     if (one.values.empty() && !one.range)
-      vary.problem("has neither (values ...) nor (from LEAST MOST)");
+      vary.add_problem("has neither (values ...) nor (from LEAST MOST)");
     vary.finish();
     to.parameters.push_back(std::move(one));
   }
@@ -146,7 +148,7 @@
   const std::vector<Row> rows =
       many > 0 ? drawn(to.parameters, many, latin, to.seed) : grid(to.parameters);
   if (rows.size() > cells_most)
-    throw settings::Invalid(file + ": more than 10000 cells", 1);
+    throw settings::ValidationError(file + ": more than 10000 cells", 1);
   to.digest = to.name + "\n" + std::to_string(to.seed);
   // Policies come last among the parameters, so that plots have the first varied thing as their
   // axis.
@@ -160,19 +162,20 @@
       cell.policy = emulator::policy_of(policy).value_or(emulator::PolicySpec{});
       if (policies.size() > 1)
         cell.values.push_back(policy);
-      settings::Form day = settings::Form::of_text(day_text, to.day_file);
+      settings::SexpReader day = settings::SexpReader::from_text(day_text, to.day_file);
       std::string label;
       for (std::size_t i = 0; i < varied; ++i) {
         label += (label.empty() ? "" : ", ") + to.parameters[i].name + "=" + row[i];
-        if (!day.set(to.parameters[i].at, row[i]))
-          throw settings::Invalid(
+        if (!day.override_value(to.parameters[i].at, row[i]))
+          throw settings::ValidationError(
               file + ": " + to.parameters[i].at + " names nothing in " + to.day_file, 1);
       }
-      cell.text = day.written();
+      cell.text = day.to_text();
       // Read anew from its text: what a cell makes wrong is told with the cell's name.
-      cell.day = day::read(settings::Form::of_text(cell.text, to.day_file + " (" + label + ")"));
+      cell.day =
+          day::read(settings::SexpReader::from_text(cell.text, to.day_file + " (" + label + ")"));
       if (const std::string why = emulator::why_not(cell.day); !why.empty())
-        throw settings::Invalid(to.day_file + ": can't be emulated: " + why, 1);
+        throw settings::ValidationError(to.day_file + ": can't be emulated: " + why, 1);
       to.digest += "\n" + policy + "\n" + cell.text;
       to.cells.push_back(std::move(cell));
     }
--- a/src/lab/experiment.h
+++ b/src/lab/experiment.h
@@ -38,7 +38,7 @@
   std::string digest{};  // of all that decides what is played
 };
 
-Experiment read(const std::string& file);  // throws settings::Invalid
+Experiment read(const std::string& file);  // throws settings::ValidationError
 
 // A measure of one run; each says which way is better.
 struct Measure {
--- a/src/lab/hunt.cpp
+++ b/src/lab/hunt.cpp
@@ -236,8 +236,8 @@
 
 std::string day_text(const std::string& base, const std::vector<Trouble>& troubles,
                      const std::string& comment) {
-  settings::Form form = settings::Form::of_text(base, "base");
-  std::string text = "; " + comment + "\n" + form.written_without("day", "trouble");
+  settings::SexpReader form = settings::SexpReader::from_text(base, "base");
+  std::string text = "; " + comment + "\n" + form.to_text_without("day", "trouble");
   // The (day ...) form is the last that is written: its end is the text's last parenthesis.
   const std::size_t end = text.rfind(')');
   std::string added;
--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -339,7 +339,7 @@
     std::map<std::string, std::map<double, Mean>> lines;
     for (std::size_t c = 0; c < experiment.cells.size(); ++c) {
       const Cell& cell = experiment.cells[c];
-      const auto x = settings::number_of(cell.values[0]);
+      const auto x = settings::parse_number(cell.values[0]);
       const std::vector<double> values = values_of(runs[c], measure.name);
       if (!x || values.empty())
         continue;
--- a/src/machine/forms.cpp
+++ b/src/machine/forms.cpp
@@ -4,11 +4,11 @@
 
 using namespace std::chrono_literals;
 
-Capacity read_capacity(settings::Form form, const deployment::Deployment& deployment) {
+Capacity read_capacity(settings::SexpReader form, const deployment::Deployment& deployment) {
   Capacity to;
-  to.cores = form.whole("cores", 1, 1024, 2);
-  to.slots = form.whole("slots", 1, 100000, 8 * to.cores);
-  to.waiting_room = form.whole("waiting-room", 0, 100000, 32 * to.cores);
+  to.cores = form.integer("cores", 1, 1024, 2);
+  to.slots = form.integer("slots", 1, 100000, 8 * to.cores);
+  to.waiting_room = form.integer("waiting-room", 0, 100000, 32 * to.cores);
   to.speed = form.number("speed", 0.01, 100, 1.0);
   to.crowding = form.number("crowding", 0, 1, 0.0);
   form.finish();
@@ -19,16 +19,16 @@
   return to;
 }
 
-Build read_build(settings::Form form, const deployment::Deployment& deployment) {
+Build read_build(settings::SexpReader form, const deployment::Deployment& deployment) {
   Build to;
-  auto number = settings::number_of(form.own_word(0, "a build number"));
+  auto number = settings::parse_number(form.positional(0, "a build number"));
   if (!number || *number < 1 || *number > 65535 || *number != static_cast<int>(*number))
-    form.problem("its number is not a whole number from 1 to 65535");
+    form.add_problem("its number is not a whole number from 1 to 65535");
   else
     to.number = static_cast<int>(*number);
   to.speed = form.number("speed", 0.1, 10, 1.0);
-  if (auto bad = form.maybe("bad")) {
-    const std::string how = bad->own_word(0, "the way in which it is bad");
+  if (auto bad = form.optional_child("bad")) {
+    const std::string how = bad->positional(0, "the way in which it is bad");
     const std::pair<const char*, Flaw> ways[] = {
         {"errors", Flaw::errors}, {"slow", Flaw::slow}, {"product", Flaw::request_class},
         {"load", Flaw::load},     {"late", Flaw::late}, {"wrong", Flaw::wrong},
@@ -37,7 +37,7 @@
       if (how == name)
         to.flaw = flaw;
     if (to.flaw == Flaw::none)
-      bad->problem(how + " is none of errors, slow, product, load, late, wrong, shared");
+      bad->add_problem(how + " is none of errors, slow, product, load, late, wrong, shared");
     const bool factor = to.flaw == Flaw::slow || to.flaw == Flaw::load || to.flaw == Flaw::late ||
                         to.flaw == Flaw::shared;
     to.strength = factor ? bad->number("times", 1, 100) : bad->number("share", 0, 1);
@@ -46,11 +46,11 @@
     if (to.flaw == Flaw::load)
       to.busy = bad->number("busy", 0, 1);
     if (to.flaw == Flaw::late)
-      to.after = bad->span("after", 0ms, 1h);
+      to.after = bad->duration("after", 0ms, 1h);
     if (to.flaw == Flaw::request_class) {
       to.request_class = deployment.request_class(bad->text("product"));
       if (to.request_class < 0)
-        bad->problem("product", "is none of the deployment's");
+        bad->add_problem("product", "is none of the deployment's");
     }
     bad->finish();
   }
--- a/src/machine/forms.h
+++ b/src/machine/forms.h
@@ -6,7 +6,7 @@
 
 namespace robinhoist::machine {
 
-Capacity read_capacity(settings::Form form, const deployment::Deployment& deployment);
-Build read_build(settings::Form form, const deployment::Deployment& deployment);
+Capacity read_capacity(settings::SexpReader form, const deployment::Deployment& deployment);
+Build read_build(settings::SexpReader form, const deployment::Deployment& deployment);
 
 }  // namespace robinhoist::machine
--- a/src/platform/process.cpp
+++ b/src/platform/process.cpp
@@ -60,7 +60,7 @@
   mallopt(M_TRIM_THRESHOLD, 512 * 1024);
   mallopt(M_MMAP_THRESHOLD, 256 * 1024);
   const Config config = of_file(config_file);
-  log::Log log(config.name, "info");
+  log::Logger log(config.name, "info");
   net::Loop loop(net::steady_now());
   std::signal(SIGPIPE, SIG_IGN);
   Discovery endpoints(loop, config.discovery, config.known.version,
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 
 #include "policy/statistics.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 
 namespace robinhoist::platform {
 namespace {
@@ -34,7 +34,7 @@
   if (text.size() < 2)
     return {};
   const char unit = text.back();
-  const auto value = settings::number_of(std::string(text.substr(0, text.size() - 1)));
+  const auto value = settings::parse_number(std::string(text.substr(0, text.size() - 1)));
   if (!value || (unit != 'm' && unit != 'u'))
     return {};
   return unit == 'm' ? *value : *value / 1000;
@@ -52,7 +52,7 @@
     const std::size_t equals = pair.find('=');
     if (equals == std::string_view::npos || equals == 0)
       return {};
-    const auto value = settings::number_of(std::string(pair.substr(equals + 1)));
+    const auto value = settings::parse_number(std::string(pair.substr(equals + 1)));
     if (!value)
       return {};
     figures.emplace_back(pair.substr(0, equals), *value);
--- a/src/platform/sources.cpp
+++ b/src/platform/sources.cpp
@@ -67,7 +67,7 @@
 }  // namespace
 
 Watch::Watch(net::Loop& loop, const std::string& address, const Settings& settings,
-             const log::Log& log)
+             const log::Logger& log)
     : loop_(loop),
       address_(address),
       settings_(settings),
@@ -94,7 +94,7 @@
   if (address == address_)
     return;
   address_ = address;
-  backoff_.worked();
+  backoff_.reset();
   if (stream_)
     stream_->stop();
   again();
@@ -129,7 +129,7 @@
   body.erase(0, framer_.done());
   if (objects == 0 && framer_.lines() == lines)
     return false;
-  backoff_.worked();
+  backoff_.reset();
   if (failing_)
     log_.info("heard again", {{"of", settings_.what}, {"from", address_}});
   failing_ = false;
@@ -145,7 +145,7 @@
     log_.warn("not heard", {{"of", settings_.what}, {"from", address_}, {"why", why}});
   failing_ = true;
   loop_.cancel(timer_);
-  timer_ = loop_.in(backoff_.failed(), [this] { ask(); });
+  timer_ = loop_.in(backoff_.next_delay(), [this] { ask(); });
 }
 
 Watch::Settings Discovery::watching(unsigned salt) {
@@ -156,7 +156,7 @@
 }
 
 Discovery::Discovery(net::Loop& loop, const std::string& address, std::int64_t version,
-                     const Watch::Settings& watch, const log::Log& log)
+                     const Watch::Settings& watch, const log::Logger& log)
     : loop_(loop), version_(version), watch_(loop, address, watch, log) {}
 
 void Discovery::start(Heard heard) {
@@ -193,7 +193,7 @@
 }
 
 ReleaseApi::ReleaseApi(net::Loop& loop, const std::string& address, const ReleaseUpdate& known,
-                       Duration vote_within, unsigned salt, const log::Log& log)
+                       Duration vote_within, unsigned salt, const log::Logger& log)
     : loop_(loop),
       vote_within_(vote_within),
       known_(known),
--- a/src/platform/sources.h
+++ b/src/platform/sources.h
@@ -9,7 +9,7 @@
 #include "http/connection_pool.h"
 #include "http/stream_client.h"
 #include "json/framer.h"
-#include "log/log.h"
+#include "log/logger.h"
 #include "platform/config.h"
 #include "proxy/sources.h"
 #include "retry/backoff.h"
@@ -30,7 +30,8 @@
   };
   using Target = std::function<std::string()>;
   using Event = std::function<void(const json::Value& object)>;  // throws json::DecodeError
-  Watch(net::Loop& loop, const std::string& address, const Settings& settings, const log::Log& log);
+  Watch(net::Loop& loop, const std::string& address, const Settings& settings,
+        const log::Logger& log);
   ~Watch();
   void start(Target target, Event event);
   void again();  // at once
@@ -46,7 +47,7 @@
   net::Loop& loop_;
   std::string address_;
   Settings settings_;
-  const log::Log& log_;
+  const log::Logger& log_;
   std::unique_ptr<http::StreamClient> stream_{};
   retry::Backoff backoff_;
   Target target_{};
@@ -61,7 +62,7 @@
   static Watch::Settings watching(unsigned salt);
   // From the version of a list that is known already.
   Discovery(net::Loop& loop, const std::string& address, std::int64_t version,
-            const Watch::Settings& watch, const log::Log& log);
+            const Watch::Settings& watch, const log::Logger& log);
   void start(Heard heard) override;
   void refresh() override;
   void move(const std::string& address) { watch_.move(address); }
@@ -82,7 +83,7 @@
   using Flagged = std::function<void(const std::string& endpoint, Duration ago)>;
   static Watch::Settings watching(unsigned salt);
   ReleaseApi(net::Loop& loop, const std::string& address, const ReleaseUpdate& known,
-             Duration vote_within, unsigned salt, const log::Log& log);
+             Duration vote_within, unsigned salt, const log::Logger& log);
   void start(Heard heard) override;
   void vote(int build, int stage, Verdict verdict, Answered answered) override;
   void client_outcomes(long, long) override {}  // this platform does not ask
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -11,7 +11,7 @@
 double number(std::string_view text, double absent) {
   if (text.empty())
     return absent;
-  return settings::number_of(std::string(text)).value_or(std::nan(""));
+  return settings::parse_number(std::string(text)).value_or(std::nan(""));
 }
 
 // Endpoint's load from the header that proxies of the field use (Open Request Cost Aggregation,
@@ -30,7 +30,7 @@
     std::size_t equals = pair.find('=');
     if (equals == std::string_view::npos)
       continue;
-    auto value = settings::number_of(std::string(pair.substr(equals + 1)));
+    auto value = settings::parse_number(std::string(pair.substr(equals + 1)));
     if (!value || *value < 0)
       continue;
     std::string_view name = pair.substr(0, equals);
--- a/src/proxy/process.cpp
+++ b/src/proxy/process.cpp
@@ -10,7 +10,7 @@
 namespace robinhoist::proxy {
 
 int run(const Settings& settings) {
-  log::Log log(settings.name, settings.log_level);
+  log::Logger log(settings.name, settings.log_level);
   net::Loop loop(net::steady_now());
   std::signal(SIGPIPE, SIG_IGN);
   HttpEndpointSource endpoints(loop, settings.list_from, settings.name, settings.salt, log);
--- a/src/proxy/router.cpp
+++ b/src/proxy/router.cpp
@@ -35,7 +35,7 @@
 
 Router::Router(net::Loop& loop, const RouterSettings& settings,
                const module_settings::ModuleSettings& module_settings, const Protocol& protocol,
-               const log::Log& log, EndpointSource& endpoints, ReleaseSource& releases)
+               const log::Logger& log, EndpointSource& endpoints, ReleaseSource& releases)
     : loop_(loop),
       settings_(settings),
       module_settings_(module_settings),
--- a/src/proxy/router.h
+++ b/src/proxy/router.h
@@ -12,7 +12,7 @@
 #include "endpoint_cache/endpoint_cache.h"
 #include "http/connection_pool.h"
 #include "http/server.h"
-#include "log/log.h"
+#include "log/logger.h"
 #include "module_settings/module_settings.h"
 #include "policy/decision_engine.h"
 #include "proxy/protocol.h"
@@ -41,7 +41,7 @@
  public:
   Router(net::Loop& loop, const RouterSettings& settings,
          const module_settings::ModuleSettings& module_settings, const Protocol& protocol,
-         const log::Log& log, EndpointSource& endpoints, ReleaseSource& releases);
+         const log::Logger& log, EndpointSource& endpoints, ReleaseSource& releases);
   ~Router();
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
@@ -125,7 +125,7 @@
   RouterSettings settings_;
   module_settings::ModuleSettings module_settings_;
   const Protocol& protocol_;
-  const log::Log& log_;
+  const log::Logger& log_;
   EndpointSource& endpoint_source_;
   ReleaseSource& release_source_;
   DecisionEngine engine_;
--- a/src/proxy/settings.h
+++ b/src/proxy/settings.h
@@ -34,8 +34,8 @@
 RouterSettings router_settings(const Settings& settings);
 module_settings::ModuleSettings module_settings_of(const Settings& settings);
 
-// (umpire ...) with (deployment ...) beside it, in the same file. Throws settings::Invalid.
+// (umpire ...) with (deployment ...) beside it, in the same file. Throws settings::ValidationError.
 Settings read(const std::string& file);
-Settings read(settings::Form root);
+Settings read(settings::SexpReader root);
 
 }  // namespace robinhoist::proxy
--- a/src/proxy/sources.cpp
+++ b/src/proxy/sources.cpp
@@ -29,7 +29,7 @@
 }
 }  // namespace
 
-Poll::Poll(net::Loop& loop, const std::string& from, unsigned salt, const log::Log& log)
+Poll::Poll(net::Loop& loop, const std::string& from, unsigned salt, const log::Logger& log)
     : loop_(loop),
       caller_(loop, Poco::Net::SocketAddress(from), few_connections()),
       backoff_(pause_least, pause_most, salt),
@@ -68,13 +68,14 @@
             log_.info("news comes again", {{"from", caller_.peer().toString()}});
         }
         if (fine)
-          backoff_.worked();
-        timer_ = loop_.in(fine ? Duration(0) : backoff_.failed(), [this] { ask(); });
+          backoff_.reset();
+        timer_ = loop_.in(fine ? Duration(0) : backoff_.next_delay(), [this] { ask(); });
       });
 }
 
 HttpEndpointSource::HttpEndpointSource(net::Loop& loop, const std::string& from,
-                                       const std::string& proxy, unsigned salt, const log::Log& log)
+                                       const std::string& proxy, unsigned salt,
+                                       const log::Logger& log)
     : engine_(proxy), poll_(loop, from, salt, log) {}
 
 void HttpEndpointSource::start(Heard heard) {
@@ -108,7 +109,7 @@
 }
 
 WatchReleaseSource::WatchReleaseSource(net::Loop& loop, const Settings& settings,
-                                       const log::Log& log)
+                                       const log::Logger& log)
     : loop_(loop),
       settings_(settings),
       log_(log),
@@ -178,7 +179,7 @@
   if (failing_)
     log_.info("releases are heard of again", {{"from", stream_.peer().toString()}});
   failing_ = false;
-  backoff_.worked();
+  backoff_.reset();
   if (auto news = follower_.news(loop_.now())) {
     newest_ = news->name;
     heard_(news->release);
@@ -196,7 +197,7 @@
               {{"from", stream_.peer().toString()}, {"status", log::text(status)}});
   failing_ = failing_ || status != 200;
   loop_.cancel(again_);
-  again_ = loop_.in(backoff_.failed(), [this] { watch(); });
+  again_ = loop_.in(backoff_.next_delay(), [this] { watch(); });
 }
 
 void WatchReleaseSource::beat() {
--- a/src/proxy/sources.h
+++ b/src/proxy/sources.h
@@ -7,7 +7,7 @@
 
 #include "http/connection_pool.h"
 #include "http/stream_client.h"
-#include "log/log.h"
+#include "log/logger.h"
 #include "registry/registry.h"
 #include "releases/follower.h"
 #include "retry/backoff.h"
@@ -41,7 +41,7 @@
 class Poll {
  public:
   using Answer = std::function<bool(const http::Response&)>;  // false: it made no sense
-  Poll(net::Loop& loop, const std::string& from, unsigned salt, const log::Log& log);
+  Poll(net::Loop& loop, const std::string& from, unsigned salt, const log::Logger& log);
   ~Poll();
   // `target` is asked for anew before each call.
   void start(std::function<std::string()> target, Answer answer);
@@ -53,7 +53,7 @@
   net::Loop& loop_;
   http::ConnectionPool caller_;
   retry::Backoff backoff_;
-  const log::Log& log_;
+  const log::Logger& log_;
   std::function<std::string()> target_{};
   Answer answer_{};
   http::ConnectionPool::Id call_ = 0;
@@ -64,7 +64,7 @@
 class HttpEndpointSource : public EndpointSource {
  public:
   HttpEndpointSource(net::Loop& loop, const std::string& from, const std::string& proxy,
-                     unsigned salt, const log::Log& log);
+                     unsigned salt, const log::Logger& log);
   void start(Heard heard) override;
   void refresh() override;
 
@@ -83,7 +83,7 @@
     Duration vote_within{};
     unsigned salt = 1;
   };
-  WatchReleaseSource(net::Loop& loop, const Settings& settings, const log::Log& log);
+  WatchReleaseSource(net::Loop& loop, const Settings& settings, const log::Logger& log);
   ~WatchReleaseSource() override;
   void start(Heard heard) override;
   void vote(int build, int stage, Verdict verdict, Answered answered) override;
@@ -98,7 +98,7 @@
 
   net::Loop& loop_;
   Settings settings_;
-  const log::Log& log_;
+  const log::Logger& log_;
   http::ConnectionPool caller_;
   http::StreamClient stream_;
   retry::Backoff backoff_;
--- a/src/settings/form.cpp
+++ b/src/settings/sexp_reader.cpp
@@ -1,4 +1,4 @@
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 
 #include <sfsexp/sexp.h>
 
@@ -18,7 +18,7 @@
 constexpr std::size_t largest = 4u << 20;
 
 [[noreturn]] void refuse(const std::string& file, int line, const std::string& what) {
-  throw Invalid(file + ":" + std::to_string(line) + ": " + what, 1);
+  throw ValidationError(file + ":" + std::to_string(line) + ": " + what, 1);
 }
 
 // The line of each element, in the order in which a parser meets them; refuses what does not
@@ -119,7 +119,7 @@
 
 }  // namespace
 
-std::optional<double> number_of(const std::string& word) {
+std::optional<double> parse_number(const std::string& word) {
   double value = 0;
   auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value);
   if (error != std::errc{} || end != word.data() + word.size() || !std::isfinite(value))
@@ -127,14 +127,14 @@
   return value;
 }
 
-std::optional<Duration> span_of(const std::string& word) {
+std::optional<Duration> parse_duration(const std::string& word) {
   static constexpr std::pair<const char*, double> units[] = {
       {"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"m", 6e7}, {"h", 3.6e9}};
   for (auto& [unit, us] : units) {
     std::size_t length = std::strlen(unit);
     if (word.size() <= length || word.compare(word.size() - length, length, unit) != 0)
       continue;
-    auto value = number_of(word.substr(0, word.size() - length));
+    auto value = parse_number(word.substr(0, word.size() - length));
     if (value && std::abs(*value * us) < 1e15)
       return Duration(std::llround(*value * us));
   }
@@ -147,32 +147,32 @@
   std::ifstream in(file, std::ios::binary);
   std::ostringstream text;
   if (!in || !(text << in.rdbuf()) || in.bad())
-    throw Invalid(file + ": can't be read", 1);
+    throw ValidationError(file + ": can't be read", 1);
   return text.str();
 }
 
 // The forms of a text, after the empty key in front; includes are put in their place.
 Value parsed(const std::string& text, const std::string& name, Source& source) {
   if (source.files.size() > 16)
-    throw Invalid(name + ": more than 16 files include each other", 1);
+    throw ValidationError(name + ": more than 16 files include each other", 1);
   source.files.push_back(name);
   const int file = static_cast<int>(source.files.size()) - 1;
   if (text.size() > largest)
-    throw Invalid(name + ": larger than 4 MiB", 1);
+    throw ValidationError(name + ": larger than 4 MiB", 1);
   std::vector<int> lines = lines_of(text, name);
   if (lines.empty())
-    throw Invalid(name + ": holds nothing", 1);
+    throw ValidationError(name + ": holds nothing", 1);
   std::string whole = "(" + text + "\n)";
   sexp_t* tree = parse_sexp(whole.data(), whole.size());
   if (!tree)
-    throw Invalid(name + ": does not parse", 1);
+    throw ValidationError(name + ": does not parse", 1);
   Value root;
   lines.insert(lines.begin(), 1);
   std::size_t next = 0;
   take(tree, root, file, lines, next);
   destroy_sexp(tree);
   if (next != lines.size())
-    throw Invalid(name + ": does not parse", 1);
+    throw ValidationError(name + ": does not parse", 1);
   Value out{.line = 1, .file = file, .list = true};
   out.items.push_back(Value{.line = 1, .file = file});  // in place of a key
   for (Value& item : root.items) {
@@ -194,49 +194,49 @@
 
 }  // namespace
 
-Form Form::of_file(const std::string& file) {
-  return of_text(content_of(file), file);
+SexpReader SexpReader::from_file(const std::string& file) {
+  return from_text(content_of(file), file);
 }
 
-Form Form::of_text(const std::string& text, const std::string& name) {
+SexpReader SexpReader::from_text(const std::string& text, const std::string& name) {
   auto source = std::make_shared<Source>();
   auto root = std::make_shared<Value>(parsed(text, name, *source));
-  return Form(root, root.get(), source, "", true);
+  return SexpReader(root, root.get(), source, "", true);
 }
 
-Form::Form(std::shared_ptr<Value> root, const Value* value, std::shared_ptr<Source> source,
-           std::string path, bool top)
+SexpReader::SexpReader(std::shared_ptr<Value> root, const Value* value,
+                       std::shared_ptr<Source> source, std::string path, bool top)
     : root_(std::move(root)),
       value_(value),
       source_(std::move(source)),
       path_(std::move(path)),
       top_(top) {}
 
-Form Form::inner(const Value* value, const std::string& path) {
-  return Form(root_, value, source_, path_.empty() ? path : path_ + "." + path, false);
+SexpReader SexpReader::inner(const Value* value, const std::string& path) {
+  return SexpReader(root_, value, source_, path_.empty() ? path : path_ + "." + path, false);
 }
 
-void Form::report(const Value& at, const std::string& path, const std::string& what) const {
+void SexpReader::report(const Value& at, const std::string& path, const std::string& what) const {
   source_->problems.push_back(source_->files.at(at.file) + ":" + std::to_string(at.line) + ": " +
                               (path.empty() ? "" : path + ": ") + what);
 }
 
-void Form::wrong(const Value& at, const std::string& key, const std::string& allowed) const {
+void SexpReader::wrong(const Value& at, const std::string& key, const std::string& allowed) const {
   report(at, path_.empty() ? key : path_ + "." + key, shown(at) + " is not " + allowed);
 }
 
-void Form::problem(const std::string& what) const {
+void SexpReader::add_problem(const std::string& what) const {
   report(*value_, path_, what);
 }
 
-void Form::problem(const char* key, const std::string& what) const {
+void SexpReader::add_problem(const char* key, const std::string& what) const {
   for (const Value& item : value_->items)
     if (keyed(item) && item.items[0].atom == key)
       return report(item, path_.empty() ? key : path_ + "." + key, what);
-  problem(what);
+  add_problem(what);
 }
 
-bool Form::has(const char* key) const {
+bool SexpReader::has(const char* key) const {
   return std::any_of(value_->items.begin() + 1, value_->items.end(),
                      [&](const Value& item) { return keyed(item) && item.items[0].atom == key; });
 }
@@ -265,7 +265,7 @@
 }
 }  // namespace
 
-std::string Form::written(const char* key) const {
+std::string SexpReader::to_text(const char* key) const {
   std::string text;
   for (std::size_t i = 1; i < value_->items.size() && text.empty(); ++i)
     if (keyed(value_->items[i]) && value_->items[i].items[0].atom == key)
@@ -273,7 +273,7 @@
   return text;
 }
 
-std::string Form::written() const {
+std::string SexpReader::to_text() const {
   std::string text;
   for (std::size_t i = 1; i < value_->items.size(); ++i) {
     write(value_->items[i], text);
@@ -282,7 +282,7 @@
   return text;
 }
 
-std::string Form::written_without(const char* key, const char* left_out) const {
+std::string SexpReader::to_text_without(const char* key, const char* left_out) const {
   std::string text, last;
   for (std::size_t i = 1; i < value_->items.size(); ++i) {
     const Value& item = value_->items[i];
@@ -299,7 +299,7 @@
   return text + last + "\n";
 }
 
-bool Form::set(const std::string& path, const std::string& words) {
+bool SexpReader::override_value(const std::string& path, const std::string& words) {
   Value* at = root_.get();
   std::istringstream steps(path);
   std::string step;
@@ -352,7 +352,7 @@
   return true;
 }
 
-const Value* Form::one(const char* key, bool needed) {
+const Value* SexpReader::one(const char* key, bool needed) {
   const Value* value = scalar(key, needed);
   if (value && value->items.size() == 2 && !value->items[1].list)
     return &value->items[1];
@@ -361,7 +361,7 @@
   return nullptr;
 }
 
-const Value* Form::scalar(const char* key, bool needed) {
+const Value* SexpReader::scalar(const char* key, bool needed) {
   asked_.push_back(key);
   const Value* found = nullptr;
   for (std::size_t i = 1; i < value_->items.size(); ++i) {
@@ -380,7 +380,7 @@
   return found;
 }
 
-std::string Form::text(const char* key, std::optional<std::string> absent) {
+std::string SexpReader::text(const char* key, std::optional<std::string> absent) {
   const Value* value = one(key, !absent);
   if (!value)
     return absent.value_or("");
@@ -389,22 +389,23 @@
   return value->atom;
 }
 
-double Form::number(const char* key, double least, double most, std::optional<double> absent) {
+double SexpReader::number(const char* key, double least, double most,
+                          std::optional<double> absent) {
   const Value* value = one(key, !absent);
   if (!value)
     return absent.value_or(least);
-  auto read = value->quoted ? std::nullopt : number_of(value->atom);
+  auto read = value->quoted ? std::nullopt : parse_number(value->atom);
   if (read && *read >= least && *read <= most)
     return *read;
   wrong(*value, key, "a number from " + plain(least) + " to " + plain(most));
   return least;
 }
 
-int Form::whole(const char* key, int least, int most, std::optional<int> absent) {
+int SexpReader::integer(const char* key, int least, int most, std::optional<int> absent) {
   const Value* value = one(key, !absent);
   if (!value)
     return absent.value_or(least);
-  auto read = value->quoted ? std::nullopt : number_of(value->atom);
+  auto read = value->quoted ? std::nullopt : parse_number(value->atom);
   if (read && *read >= least && *read <= most && *read == std::floor(*read))
     return static_cast<int>(*read);
   wrong(*value, key,
@@ -412,31 +413,31 @@
   return least;
 }
 
-Duration Form::span(const char* key, Duration least, Duration most,
-                    std::optional<Duration> absent) {
+Duration SexpReader::duration(const char* key, Duration least, Duration most,
+                              std::optional<Duration> absent) {
   const Value* value = one(key, !absent);
   if (!value)
     return absent.value_or(least);
-  auto read = value->quoted ? std::nullopt : span_of(value->atom);
+  auto read = value->quoted ? std::nullopt : parse_duration(value->atom);
   if (read && *read >= least && *read <= most)
     return *read;
   wrong(*value, key, "a span such as 250ms, from " + plain(least) + " to " + plain(most));
   return least;
 }
 
-bool Form::truth(const char* key, std::optional<bool> absent) {
+bool SexpReader::boolean(const char* key, std::optional<bool> absent) {
   return enumerator<bool>(key, {{"no", false}, {"yes", true}}, absent);
 }
 
-std::vector<double> Form::numbers(const char* key, double least, double most,
-                                  std::size_t least_count) {
+std::vector<double> SexpReader::numbers(const char* key, double least, double most,
+                                        std::size_t least_count) {
   std::vector<double> read;
   const Value* value = scalar(key, least_count > 0);
   if (!value)
     return read;
   for (std::size_t i = 1; i < value->items.size(); ++i) {
     const Value& item = value->items[i];
-    auto number = item.list || item.quoted ? std::nullopt : number_of(item.atom);
+    auto number = item.list || item.quoted ? std::nullopt : parse_number(item.atom);
     if (number && *number >= least && *number <= most)
       read.push_back(*number);
     else
@@ -447,28 +448,28 @@
   return read;
 }
 
-Form Form::sub(const char* key) {
+SexpReader SexpReader::child(const char* key) {
   const Value* value = scalar(key, true);
   static const Value nothing{.list = true, .items = {Value{}}};
   // What a missing form lacks is not reported once more, key by key.
   if (!value) {
-    Form empty = inner(&nothing, key);
+    SexpReader empty = inner(&nothing, key);
     empty.source_ = std::make_shared<Source>(Source{.files = {""}});
     return empty;
   }
   return inner(value, key);
 }
 
-std::optional<Form> Form::maybe(const char* key) {
+std::optional<SexpReader> SexpReader::optional_child(const char* key) {
   const Value* value = scalar(key, false);
   if (!value)
     return {};
   return inner(value, key);
 }
 
-std::vector<Form> Form::each(const char* key, std::size_t least_count) {
+std::vector<SexpReader> SexpReader::children(const char* key, std::size_t least_count) {
   asked_.push_back(key);
-  std::vector<Form> found;
+  std::vector<SexpReader> found;
   for (std::size_t i = 1; i < value_->items.size(); ++i) {
     const Value& item = value_->items[i];
     if (!keyed(item) || item.items[0].atom != key)
@@ -484,26 +485,26 @@
   return found;
 }
 
-std::size_t Form::own_words() const {
+std::size_t SexpReader::positional_count() const {
   std::size_t count = 0;
   for (std::size_t i = 1; i < value_->items.size(); ++i)
     count += !value_->items[i].list;
   return count;
 }
 
-std::string Form::own_word(std::size_t index, const char* what) {
+std::string SexpReader::positional(std::size_t index, const char* what) {
   for (std::size_t i = 1; i < value_->items.size(); ++i) {
     if (value_->items[i].list)
       continue;
     if (index-- == 0)
       return value_->items[i].atom;
   }
-  problem(std::string("lacks ") + what);
+  add_problem(std::string("lacks ") + what);
   return "";
 }
 
-std::vector<std::pair<std::string, Form>> Form::in_order() {
-  std::vector<std::pair<std::string, Form>> forms;
+std::vector<std::pair<std::string, SexpReader>> SexpReader::all_children() {
+  std::vector<std::pair<std::string, SexpReader>> forms;
   for (std::size_t i = 1; i < value_->items.size(); ++i) {
     const Value& item = value_->items[i];
     if (!item.list)
@@ -518,7 +519,7 @@
   return forms;
 }
 
-void Form::finish() {
+void SexpReader::finish() {
   for (std::size_t i = 1; i < value_->items.size(); ++i) {
     const Value& item = value_->items[i];
     if (!item.list && !top_)
@@ -535,7 +536,7 @@
   std::string all;
   for (const std::string& problem : source_->problems)
     all += (all.empty() ? "" : "\n") + problem;
-  throw Invalid(all, static_cast<int>(source_->problems.size()));
+  throw ValidationError(all, static_cast<int>(source_->problems.size()));
 }
 
 }  // namespace robinhoist::settings
--- a/src/standin/agent.cpp
+++ b/src/standin/agent.cpp
@@ -3,7 +3,7 @@
 #include <csignal>
 
 #include "http/connection_pool.h"
-#include "log/log.h"
+#include "log/logger.h"
 #include "machine/forms.h"
 #include "net/signals.h"
 #include "registry/registry.h"
@@ -21,7 +21,7 @@
 // Runs what it is ordered to, and tells list and controller.
 class Agent {
  public:
-  Agent(net::Loop& loop, const Settings& settings, const log::Log& log)
+  Agent(net::Loop& loop, const Settings& settings, const log::Logger& log)
       : loop_(loop),
         settings_(settings),
         log_(log),
@@ -164,7 +164,7 @@
 
   net::Loop& loop_;
   const Settings& settings_;
-  const log::Log& log_;
+  const log::Logger& log_;
   Nodes nodes_;
   std::unique_ptr<http::ConnectionPool> list_{}, orders_{};
   std::map<int, Machine> machines_{};
@@ -173,21 +173,21 @@
 
 }  // namespace
 
-Settings read(settings::Form root) {
+Settings read(settings::SexpReader root) {
   Settings to;
-  to.deployment = deployment::read(root.sub("deployment"));
-  settings::Form form = root.sub("standin");
+  to.deployment = deployment::read(root.child("deployment"));
+  settings::SexpReader form = root.child("standin");
   to.list = form.text("list", "");
   to.orders_from = form.text("orders-from", "");
-  to.nodes = form.whole("nodes", 1, 10000, 1);
-  to.first_port = form.whole("first-port", 0, 65535, 0);
-  to.boot = form.span("boot", 0ms, 1min, 0ms);
-  if (auto capacity = form.maybe("capacity"))
+  to.nodes = form.integer("nodes", 1, 10000, 1);
+  to.first_port = form.integer("first-port", 0, 65535, 0);
+  to.boot = form.duration("boot", 0ms, 1min, 0ms);
+  if (auto capacity = form.optional_child("capacity"))
     to.capacity = machine::read_capacity(*capacity, to.deployment);
-  for (settings::Form& build : form.each("build", 1))
+  for (settings::SexpReader& build : form.children("build", 1))
     to.builds.push_back(machine::read_build(build, to.deployment));
-  to.shared.memory = form.span("memory", 0ms, 24h, 2s);
-  const Duration work = form.span("work", 0ms, 1min, 10ms);
+  to.shared.memory = form.duration("memory", 0ms, 24h, 2s);
+  const Duration work = form.duration("work", 0ms, 1min, 10ms);
   to.shared.work.assign(to.deployment.request_classes.size(), work);
   form.finish();
   root.finish();
@@ -195,7 +195,7 @@
 }
 
 int run(const Settings& settings) {
-  log::Log log("standin");
+  log::Logger log("standin");
   net::Loop loop(net::steady_now());
   net::Signals signals(loop, {SIGTERM, SIGINT}, [&](int) { loop.quit(); });
   std::signal(SIGPIPE, SIG_IGN);
--- a/src/standin/agent.h
+++ b/src/standin/agent.h
@@ -19,7 +19,7 @@
   deployment::Deployment deployment{};
 };
 
-Settings read(settings::Form root);
+Settings read(settings::SexpReader root);
 
 int run(const Settings& settings);
 
--- a/src/standin/database.cpp
+++ b/src/standin/database.cpp
@@ -7,7 +7,7 @@
 
 #include "json/reader.h"
 #include "json/writer.h"
-#include "log/log.h"
+#include "log/logger.h"
 #include "net/signals.h"
 
 namespace robinhoist::standin {
@@ -306,7 +306,7 @@
 }
 
 int run_database(const std::string& listen, const std::string& file, const std::string& setup) {
-  log::Log log("standin-db");
+  log::Logger log("standin-db");
   net::Loop loop(net::steady_now());
   net::Signals signals(loop, {SIGTERM, SIGINT}, [&](int) { loop.quit(); });
   std::signal(SIGPIPE, SIG_IGN);
--- a/src/standin/nodes.cpp
+++ b/src/standin/nodes.cpp
@@ -174,7 +174,7 @@
   work.id = next_id_++;
   work.request_class = request_class;
   std::string_view said = request.headers.get("X-Work-Us");
-  auto us = said.empty() ? std::nullopt : settings::number_of(std::string(said));
+  auto us = said.empty() ? std::nullopt : settings::parse_number(std::string(said));
   work.work = us && *us >= 0 ? Duration(static_cast<std::int64_t>(*us))
               : request_class < static_cast<int>(shared_.work.size()) ? shared_.work[request_class]
                                                                       : Duration(1ms);
--- a/src/steps/plan.cpp
+++ b/src/steps/plan.cpp
@@ -7,13 +7,13 @@
 #include <optional>
 #include <set>
 
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 
 namespace robinhoist::steps {
 namespace {
 
 using namespace std::chrono_literals;
-using settings::Form;
+using settings::SexpReader;
 
 std::string digest_of(const Step& step) {
   std::string all = to_string(step.phase);
@@ -26,66 +26,67 @@
   return text;
 }
 
-Step read_step(Form& form, int stages) {
+Step read_step(SexpReader& reader, int stages) {
   Step step;
-  step.id = form.own_word(0, "an id");
-  step.kind = form.enumerator<Kind>("kind", {{"schema", Kind::schema}, {"data", Kind::data}});
-  step.phase = form.enumerator<Phase>(
+  step.id = reader.positional(0, "an id");
+  step.kind = reader.enumerator<Kind>("kind", {{"schema", Kind::schema}, {"data", Kind::data}});
+  step.phase = reader.enumerator<Phase>(
       "phase",
       {{"expand", Phase::expand}, {"migrate", Phase::migrate}, {"contract", Phase::contract}});
   if (step.phase == Phase::migrate) {
-    step.before_stage = form.whole("before-wave", 0, 1000);
+    step.before_stage = reader.integer("before-wave", 0, 1000);
     if (step.before_stage < 1 || step.before_stage >= stages)
-      form.problem("before-wave", "wave " + std::to_string(step.before_stage) +
-                                      " is none of those between 1 and " +
-                                      std::to_string(stages - 1));
-  } else if (form.has("before-wave")) {
-    form.problem("before-wave", "has a meaning for a migrate step only");
+      reader.add_problem("before-wave", "wave " + std::to_string(step.before_stage) +
+                                            " is none of those between 1 and " +
+                                            std::to_string(stages - 1));
+  } else if (reader.has("before-wave")) {
+    reader.add_problem("before-wave", "has a meaning for a migrate step only");
   }
-  step.apply = form.text("apply");
-  step.undo = form.text("undo", "");
-  step.check = form.text("check", "");
-  step.undo_on_back = form.enumerator<bool>(
+  step.apply = reader.text("apply");
+  step.undo = reader.text("undo", "");
+  step.check = reader.text("check", "");
+  step.undo_on_back = reader.enumerator<bool>(
       "on-back", {{"keep", false}, {"undo", true}},
       step.phase == Phase::contract ? std::optional<bool>(false) : std::nullopt);
   if (step.undo_on_back && step.undo.empty())
-    form.problem("undo is missing: a wave may still go back, and on-back says undo");
+    reader.add_problem("undo is missing: a wave may still go back, and on-back says undo");
   if (step.phase == Phase::contract && step.undo_on_back)
-    form.problem("on-back", "a contract step runs only when the release can't be sent back");
-  step.idempotent = form.truth("idempotent", false);
-  step.transactional = form.truth("transactional", true);
+    reader.add_problem("on-back", "a contract step runs only when the release can't be sent back");
+  step.idempotent = reader.boolean("idempotent", false);
+  step.transactional = reader.boolean("transactional", true);
   if (step.kind == Kind::data) {
-    step.table = form.text("table");
-    step.key = form.text("key");
-    step.batch = form.whole("batch", 1, 1000000);
+    step.table = reader.text("table");
+    step.key = reader.text("key");
+    step.batch = reader.integer("batch", 1, 1000000);
     if (!step.transactional)
-      form.problem("transactional", "a data step keeps its cursor in its transaction");
+      reader.add_problem("transactional", "a data step keeps its cursor in its transaction");
     if (step.apply.find(":after") == std::string::npos ||
         step.apply.find(":upto") == std::string::npos)
-      form.problem("apply", "of a data step must bind :after and :upto");
+      reader.add_problem("apply", "of a data step must bind :after and :upto");
     const bool after = step.undo.find(":after") != std::string::npos;
     step.undo_in_batches = step.undo.find(":upto") != std::string::npos;
     if (after != step.undo_in_batches)
-      form.problem("undo", "must bind both :after and :upto, then it runs in batches, or neither");
+      reader.add_problem("undo",
+                         "must bind both :after and :upto, then it runs in batches, or neither");
   }
-  step.timeout = form.span("timeout", 1ms, 24h, 30s);
-  step.lock_timeout = form.span("lock-timeout", 0ms, 1h, 2s);
-  if (auto retry = form.maybe("retry")) {
-    step.tries = retry->whole("tries", 1, 1000);
-    step.pause_least = retry->span("pause", 0ms, 1h, 200ms);
-    step.pause_most = retry->span("pause-most", 0ms, 24h, 10s);
+  step.timeout = reader.duration("timeout", 1ms, 24h, 30s);
+  step.lock_timeout = reader.duration("lock-timeout", 0ms, 1h, 2s);
+  if (auto retry = reader.optional_child("retry")) {
+    step.tries = retry->integer("tries", 1, 1000);
+    step.pause_least = retry->duration("pause", 0ms, 1h, 200ms);
+    step.pause_most = retry->duration("pause-most", 0ms, 24h, 10s);
     if (step.pause_most < step.pause_least)
-      retry->problem("pause-most", "is less than pause");
+      retry->add_problem("pause-most", "is less than pause");
     retry->finish();
   } else {
     step.tries = 5;
     step.pause_least = 200ms;
     step.pause_most = 10s;
   }
-  if (auto needs = form.maybe("needs"))
-    for (std::size_t i = 0; i < needs->own_words(); ++i)
-      step.needs.push_back(needs->own_word(i, ""));
-  form.finish();
+  if (auto needs = reader.optional_child("needs"))
+    for (std::size_t i = 0; i < needs->positional_count(); ++i)
+      step.needs.push_back(needs->positional(i, ""));
+  reader.finish();
   step.digest = digest_of(step);
   return step;
 }
@@ -103,31 +104,31 @@
   return words[static_cast<int>(phase)];
 }
 
-Plan read(Form form, int stages, const std::map<std::string, std::string>& applied) {
+Plan read(SexpReader reader, int stages, const std::map<std::string, std::string>& applied) {
   Plan plan;
-  plan.build = form.whole("release", 1, 65535);
-  std::vector<Form> forms = form.each("step", 1);
+  plan.build = reader.integer("release", 1, 65535);
+  std::vector<SexpReader> forms = reader.children("step", 1);
   std::map<std::string, std::size_t> place;
-  for (Form& one : forms) {
+  for (SexpReader& one : forms) {
     Step step = read_step(one, stages);
     if (!place.emplace(step.id, plan.steps.size()).second)
-      one.problem("a second step of that id");
+      one.add_problem("a second step of that id");
     auto before = applied.find(std::to_string(plan.build) + "/" + step.id);
     if (before != applied.end() && before->second != step.digest)
-      one.problem("has been applied with other content (digest " + before->second + ", now " +
-                  step.digest + "): give it a new id");
+      one.add_problem("has been applied with other content (digest " + before->second + ", now " +
+                      step.digest + "): give it a new id");
     plan.steps.push_back(std::move(step));
   }
-  form.finish();
+  reader.finish();
   for (std::size_t i = 0; i < plan.steps.size(); ++i)
     for (const std::string& need : plan.steps[i].needs) {
       auto at = place.find(need);
       if (at == place.end())
-        forms[i].problem("needs " + need + ", which is no step of this plan");
+        forms[i].add_problem("needs " + need + ", which is no step of this plan");
       else if (rank(plan.steps[at->second]) > rank(plan.steps[i]))
-        forms[i].problem("is a " + std::string(to_string(plan.steps[i].phase)) +
-                         " step and needs " + need + ", which runs later, in " +
-                         to_string(plan.steps[at->second].phase));
+        forms[i].add_problem("is a " + std::string(to_string(plan.steps[i].phase)) +
+                             " step and needs " + need + ", which runs later, in " +
+                             to_string(plan.steps[at->second].phase));
     }
   // The order: phase and stage first, then needs, then as written. What can't be placed hangs in a
   // cycle.
@@ -147,7 +148,7 @@
                          });
     });
     if (ready == left.end()) {
-      forms[left.front()].problem("needs itself, by way of the steps that it needs");
+      forms[left.front()].add_problem("needs itself, by way of the steps that it needs");
       break;
     }
     placed.insert(plan.steps[*ready].id);
--- a/src/steps/plan.h
+++ b/src/steps/plan.h
@@ -9,7 +9,7 @@
 #include "time/time_types.h"
 
 namespace robinhoist::settings {
-class Form;
+class SexpReader;
 }
 
 namespace robinhoist::steps {
@@ -46,7 +46,8 @@
 
 // What is wrong is left with the form. `stages` is how many there are; `applied` gives the digests
 // of steps that have once been applied, by "build/id": the same id with other content is refused.
-Plan read(settings::Form form, int stages, const std::map<std::string, std::string>& applied = {});
+Plan read(settings::SexpReader form, int stages,
+          const std::map<std::string, std::string>& applied = {});
 const char* to_string(Phase phase);
 
 }  // namespace robinhoist::steps
--- a/src/steps/runner.cpp
+++ b/src/steps/runner.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "json/writer.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 
 namespace robinhoist::steps {
 namespace {
@@ -44,11 +44,12 @@
 }  // namespace
 
 Runner::Runner(net::Loop& loop, const RunnerSettings& settings, journal::Journal& journal,
-               Target& target, const log::Log& log)
+               Target& target, const log::Logger& log)
     : loop_(loop), settings_(settings), journal_(journal), target_(target), log_(log) {
   for (auto& [build, text] : journal_.plans()) {
-    settings::Form form = settings::Form::of_text(text, "plan of build " + std::to_string(build));
-    Plan plan = read(form.sub("plan"), settings_.stages);
+    settings::SexpReader form =
+        settings::SexpReader::from_text(text, "plan of build " + std::to_string(build));
+    Plan plan = read(form.child("plan"), settings_.stages);
     form.finish();
     runs_.push_back(rebuilt(plan, text));
   }
@@ -76,17 +77,17 @@
 }
 
 int Runner::take_plan(const std::string& text, const std::string& name, const std::string& who) {
-  settings::Form form = settings::Form::of_text(text, name);
-  Plan plan = read(form.sub("plan"), settings_.stages, journal_.applied());
+  settings::SexpReader form = settings::SexpReader::from_text(text, name);
+  Plan plan = read(form.child("plan"), settings_.stages, journal_.applied());
   Run* old = find(plan.build);
   if (old && old->core.busy())
-    form.problem("a step of the plan that it replaces is running; try again");
+    form.add_problem("a step of the plan that it replaces is running; try again");
   // What has been touched can't be dropped from the plan.
   for (auto& [step, digest] : journal_.applied()) {
     const std::string mine = std::to_string(plan.build) + "/";
     if (step.rfind(mine, 0) == 0 && std::none_of(plan.steps.begin(), plan.steps.end(),
                                                  [&](auto& s) { return mine + s.id == step; }))
-      form.problem("step " + step.substr(mine.size()) + " has been applied and is missing now");
+      form.add_problem("step " + step.substr(mine.size()) + " has been applied and is missing now");
   }
   form.finish();
   journal_.keep_plan(plan.build, text, who);
--- a/src/steps/runner.h
+++ b/src/steps/runner.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "journal/journal.h"
-#include "log/log.h"
+#include "log/logger.h"
 #include "net/loop.h"
 #include "steps/core.h"
 #include "steps/target.h"
@@ -28,10 +28,10 @@
 class Runner {
  public:
   Runner(net::Loop& loop, const RunnerSettings& settings, journal::Journal& journal, Target& target,
-         const log::Log& log);
+         const log::Logger& log);
   ~Runner();
 
-  // Takes a plan, new or edited; throws settings::Invalid with all that is wrong with it.
+  // Takes a plan, new or edited; throws settings::ValidationError with all that is wrong with it.
   int take_plan(const std::string& text, const std::string& name, const std::string& who);
   // Where a build's release stands; builds without a plan are let pass.
   void release(int build, const Release& release);
@@ -82,7 +82,7 @@
   RunnerSettings settings_;
   journal::Journal& journal_;
   Target& target_;
-  const log::Log& log_;
+  const log::Logger& log_;
   std::vector<std::unique_ptr<Run>> runs_{};  // by build, oldest first
   std::int64_t token_ = 0;
   TimePoint lease_until_{};
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -125,7 +125,7 @@
     EXPECT_NE(at, std::string::npos) << changed_from;
     day.replace(at, changed_from.size(), changed_to);
   }
-  return day::read(settings::Form::of_text(day, "short.day"));
+  return day::read(settings::SexpReader::from_text(day, "short.day"));
 }
 
 std::string content(const std::string& file) {
@@ -247,7 +247,7 @@
   EXPECT_EQ(lab::table(whole, results), lab::table(whole, fresh));
   EXPECT_EQ(results.of(1).size(), 3u);
   EXPECT_THROW(lab::Results(at + "/r.sqlite", written(3, "50 120")), std::runtime_error);
-  EXPECT_THROW(written(3, "50 fast"), settings::Invalid);
+  EXPECT_THROW(written(3, "50 fast"), settings::ValidationError);
   fs::remove_all(at);
 }
 
@@ -272,7 +272,7 @@
 }
 
 TEST(Run, refuses_a_day_with_a_database) {
-  const day::Day day = day::read(settings::Form::of_file(ROOT "/days/steps.day"));
+  const day::Day day = day::read(settings::SexpReader::from_file(ROOT "/days/steps.day"));
   EXPECT_NE(why_not(day), "");
   EXPECT_THROW(run(day, 1, ""), std::runtime_error);
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -158,7 +158,7 @@
 // held; moved, it goes on there.
 TEST(Discovery, goes_on_from_its_version_through_cuts_noise_and_moves) {
   net::Loop loop(net::steady_now());
-  log::Log log("test", "off");
+  log::Logger log("test", "off");
   int turn = 0;
   Desk first(loop, [&](const http::ExchangePtr& e) {
     e->begin_stream({});
@@ -192,7 +192,7 @@
 // older than the list held is not believed, nor is a part.
 TEST(Discovery, takes_whole_lists_however_they_come) {
   net::Loop loop(net::steady_now());
-  log::Log log("test", "off");
+  log::Logger log("test", "off");
   std::string indented = with(listed(8, true), ",", ",\r\n    ");
   indented = with(indented, "\"m\"", "\"}]\\\"{\\\\\"");
   int turn = 0;
@@ -217,7 +217,7 @@
 
 TEST(Discovery, begun_anew_it_is_believed_in_the_end) {
   net::Loop loop(net::steady_now());
-  log::Log log("test", "off");
+  log::Logger log("test", "off");
   Desk desk(loop, [&](const http::ExchangePtr& e) {
     e->begin_stream({});
     e->write(listed(2, true));
@@ -238,7 +238,7 @@
 // comes up: the third has the list.
 TEST(Watch, bytes_that_make_no_whole_are_no_sign_of_life) {
   net::Loop loop(net::steady_now());
-  log::Log log("test", "off");
+  log::Logger log("test", "off");
   int turn = 0;
   std::function<void(http::ExchangePtr)> trickle = [&](http::ExchangePtr e) {
     if (e->write("{"))
@@ -288,7 +288,7 @@
       {"silence", Outcome::timeout}};
   for (auto& [answer, outcome] : answers) {
     net::Loop loop(net::steady_now());
-    log::Log log("test", "off");
+    log::Logger log("test", "off");
     Desk desk(loop, [&, answer = answer](const http::ExchangePtr& e) {
       if (e->request.target == "/v1/watch")
         return e->begin_stream({});
@@ -315,7 +315,7 @@
 
 TEST(ReleaseApi, what_stood_earlier_is_no_news_and_disputes_are_told) {
   net::Loop loop(net::steady_now());
-  log::Log log("test", "off");
+  log::Logger log("test", "off");
   Desk desk(loop, [&](const http::ExchangePtr& e) {
     e->begin_stream({});
     std::string older = rollout(2, 0, "IN_PROGRESS");
@@ -342,7 +342,7 @@
 // back to.
 TEST(ReleaseApi, a_late_answer_does_not_bring_a_stage_back) {
   net::Loop loop(net::steady_now());
-  log::Log log("test", "off");
+  log::Logger log("test", "off");
   http::ExchangePtr watching, vote;
   Desk desk(loop, [&](const http::ExchangePtr& e) {
     if (e->request.target != "/v1/watch")
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -19,7 +19,7 @@
 #include "load/load.h"
 #include "machine/machine.h"
 #include "plays.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 
 namespace robinhoist {
 namespace {
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -24,7 +24,7 @@
 class ProxyPlay : public testing::TestWithParam<std::string> {};
 
 TEST_P(ProxyPlay, goes_as_written) {
-  const auto settings = proxy::read(settings::Form::of_text(settings_text, "settings"));
+  const auto settings = proxy::read(settings::SexpReader::from_text(settings_text, "settings"));
   const proxy::HttpProtocol protocol(settings);
   tests::Stage stage([&](tests::Stage& on) {
     return std::make_unique<proxy::Router>(on.loop, proxy::router_settings(settings),
@@ -41,7 +41,7 @@
 // Each cap is acknowledged.
 TEST(Sources, a_broken_watch_is_taken_up_and_an_expired_one_begun_anew) {
   net::Loop loop(net::steady_now());
-  log::Log log("test", "off");
+  log::Logger log("test", "off");
   const auto event = [](const char* type, int version, int stage, const char* cap) {
     return std::string(R"({"type":")") + type + R"(","version":)" + std::to_string(version) +
            R"(,"ageMs":0,"object":{"metadata":{"name":"build-2"},"spec":{"build":2},"status":{"stage":)" +
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -156,7 +156,7 @@
   fs::path folder = fs::temp_directory_path() / ("robinhoist-api-" + std::to_string(::getpid()));
   net::Loop loop{net::steady_now()};
   std::thread thread{[this] { loop.run(); }};
-  log::Log log{"test", "off"};
+  log::Logger log{"test", "off"};
   std::string extra{};
   std::unique_ptr<controller::Controller> controller{};
   std::function<void(const char*)> point{};
@@ -182,7 +182,7 @@
     loop.call([this] { start_here(); });
   }
   void start_here() {
-    auto form = settings::Form::of_text(
+    auto form = settings::SexpReader::from_text(
         std::string(deployment_text) + "(controller (listen 127.0.0.1:" + std::to_string(port) +
             ") (places 4) (build 1) (journal \"" + (folder / "journal").string() + "\")" + extra +
             ")",
--- a/tests/stage.h
+++ b/tests/stage.h
@@ -193,7 +193,7 @@
   explicit Stage(Make how) : make(std::move(how)) {}
   Make make;
   net::Loop loop{net::steady_now()};
-  log::Log log{"test", "err"};
+  log::Logger log{"test", "err"};
   FakeNodes endpoints{};
   FakeReleases releases{};
   std::unique_ptr<proxy::Router> router{};
--- a/tests/steps_test.cpp
+++ b/tests/steps_test.cpp
@@ -12,7 +12,7 @@
 #include "faulty_vfs.h"
 #include "net/loop.h"
 #include "plays.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 #include "standin/database.h"
 #include "steps/runner.h"
 
@@ -24,8 +24,8 @@
 using tests::Words;
 
 Plan plan_of(const std::string& text) {
-  settings::Form form = settings::Form::of_text(text, "plan");
-  Plan plan = read(form.sub("plan"), 3);
+  settings::SexpReader form = settings::SexpReader::from_text(text, "plan");
+  Plan plan = read(form.child("plan"), 3);
   form.finish();
   return plan;
 }
@@ -140,10 +140,10 @@
   std::ifstream in(GetParam());
   std::string line, told;
   try {
-    settings::Form form = settings::Form::of_file(GetParam());
-    read(form.sub("plan"), 3, {{"2/known", "0123"}});
+    settings::SexpReader form = settings::SexpReader::from_file(GetParam());
+    read(form.child("plan"), 3, {{"2/known", "0123"}});
     form.finish();
-  } catch (const settings::Invalid& bad) {
+  } catch (const settings::ValidationError& bad) {
     told = bad.what();
   }
   while (std::getline(in, line) && line.rfind("; ", 0) == 0) {
@@ -412,7 +412,7 @@
   fs::path folder = fs::temp_directory_path() / ("robinhoist-steps-" + std::to_string(::getpid()));
   net::Loop loop{net::steady_now()};
   std::thread thread{[this] { loop.run(); }};
-  log::Log log{"test", "off"};
+  log::Logger log{"test", "off"};
   std::unique_ptr<standin::Database> database{};
   std::unique_ptr<journal::Journal> journal{};
   std::unique_ptr<Target> target{};
@@ -711,7 +711,7 @@
       try {
         stage.runner->take_plan(text, "plan", "test");
         ADD_FAILURE() << "taken, though " << words;
-      } catch (const settings::Invalid& bad) {
+      } catch (const settings::ValidationError& bad) {
         EXPECT_NE(std::string(bad.what()).find(words), std::string::npos) << bad.what();
       }
     };
