--- a/bench/steps_bench.cpp
+++ b/bench/steps_bench.cpp
@@ -5,9 +5,9 @@
 #include <filesystem>
 #include <thread>
 
+#include "migration/runner.h"
 #include "settings/sexp_reader.h"
 #include "standin/database.h"
-#include "steps/runner.h"
 
 namespace {
 
@@ -83,12 +83,12 @@
         "SELECT i + 1 FROM c WHERE i < " +
         std::to_string(rows) + ") INSERT INTO t SELECT i, 0 FROM c");
     journal::Journal journal(fresh("fill"));
-    steps::Target target(loop, "127.0.0.1:" + std::to_string(database.port()));
-    steps::RunnerSettings settings;
+    migration::Target target(loop, "127.0.0.1:" + std::to_string(database.port()));
+    migration::RunnerSettings settings;
     settings.who = "bench";
     settings.lease = std::chrono::seconds(10);
     settings.stages = 3;
-    steps::Runner runner(loop, settings, journal, target, log);
+    migration::Runner runner(loop, settings, journal, target, log);
     runner.take_plan(plan_text, "plan", "bench");
     runner.release(2, {.stage = -1, .offered = true});
     runner.changed = [&] {
--- a/src/cli/steps.cpp
+++ b/src/cli/steps.cpp
@@ -8,8 +8,8 @@
 #include "cli/ask.h"
 #include "json/reader.h"
 #include "json/writer.h"
+#include "migration/plan.h"
 #include "settings/sexp_reader.h"
-#include "steps/plan.h"
 
 namespace robinhoist::cli {
 namespace {
@@ -27,22 +27,22 @@
 // The order in which it would run, and what waits for what.
 int show_plan(const std::string& file, int stages) {
   settings::SexpReader form = settings::SexpReader::from_file(file);
-  steps::Plan plan = steps::read(form.child("plan"), stages);
+  migration::Plan plan = migration::read_plan(form.child("plan"), stages);
   form.finish();
   std::cout << "plan of build " << plan.build << ", " << plan.steps.size()
             << " steps; nothing is run\n";
   std::string gate;
   int number = 0;
-  for (const steps::Step& step : plan.steps) {
-    const std::string before = step.phase == steps::Phase::expand ? "before wave 0"
-                               : step.phase == steps::Phase::migrate
+  for (const migration::Step& step : plan.steps) {
+    const std::string before = step.phase == migration::Phase::expand ? "before wave 0"
+                               : step.phase == migration::Phase::migrate
                                    ? "before wave " + std::to_string(step.before_stage)
                                    : "once it can't be sent back";
     if (before != gate)
       std::cout << before << ":\n";
     gate = before;
     std::cout << "  " << ++number << ". " << step.id << " ("
-              << (step.kind == steps::Kind::data ? "data" : "schema") << ", "
+              << (step.kind == migration::StepKind::data ? "data" : "schema") << ", "
               << (step.transactional ? "marked in its transaction"
                   : step.check.empty()
                       ? step.idempotent ? "may run twice" : "asks the operator when in doubt"
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -57,12 +57,12 @@
   watches_ = std::make_unique<Watches>(loop, told_objects_, series_, settings.watches, told_);
   offer_pending();
   if (!settings.steps_target.empty()) {
-    target_ = std::make_unique<steps::Target>(loop, settings.steps_target);
-    steps::RunnerSettings runner;
+    target_ = std::make_unique<migration::Target>(loop, settings.steps_target);
+    migration::RunnerSettings runner;
     runner.who = settings.who;
     runner.lease = settings.lease;
     runner.stages = static_cast<int>(settings.rollout.stages.size());
-    runner_ = std::make_unique<steps::Runner>(loop, runner, *journal_, *target_, log);
+    runner_ = std::make_unique<migration::Runner>(loop, runner, *journal_, *target_, log);
     runner_->changed = [this] {
       if (tell_steps())
         timers_.in(Duration(0), [this] { pull(); });
@@ -95,12 +95,12 @@
   const ReleaseUpdate news = core_->news(now);
   const int stages = static_cast<int>(settings_.rollout.stages.size());
   for (auto& [build, fate] : core_->fates()) {
-    steps::Release old{.stage = stages - 1, .offered = true};
+    migration::ReleaseState old{.stage = stages - 1, .offered = true};
     old.withdrawn = old.going_back = fate != ReleasePhase::released;
     old.final = fate == ReleasePhase::released;
     runner_->release(build, old);
   }
-  steps::Release present{.stage = core_->running_stage(), .offered = true};
+  migration::ReleaseState present{.stage = core_->running_stage(), .offered = true};
   present.going_back = news.phase == ReleasePhase::rolling_back;
   present.withdrawn = news.phase == ReleasePhase::rolled_back;
   present.final = news.phase == ReleasePhase::released && !core_->can_go_back(now);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -13,9 +13,9 @@
 #include "limits/token_bucket.h"
 #include "log/logger.h"
 #include "membership/members.h"
+#include "migration/runner.h"
 #include "releases/catalog.h"
 #include "rollout/rollout.h"
-#include "steps/runner.h"
 #include "time/time_types.h"
 
 namespace robinhoist::controller {
@@ -56,7 +56,7 @@
   ~Controller();
 
   rollout::Rollout& core() { return *core_; }
-  steps::Runner* runner() { return runner_.get(); }
+  migration::Runner* runner() { return runner_.get(); }
   // Creates the release of a build and offers it; false when that is refused.
   bool offer(int build, const std::string& who);
   // To be called after anything told to the core from outside.
@@ -143,8 +143,8 @@
   std::minstd_rand random_{1};
   net::Loop::Timer look_ = net::Loop::no_timer;
   std::unique_ptr<journal::Journal> journal_{};
-  std::unique_ptr<steps::Target> target_{};
-  std::unique_ptr<steps::Runner> runner_{};
+  std::unique_ptr<migration::Target> target_{};
+  std::unique_ptr<migration::Runner> runner_{};
   std::map<std::pair<int, int>, bool> gates_{};  // by build and stage, as last told to the core
   std::string kept_{};
   std::optional<std::pair<std::string, std::string>>
--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "machine/forms.h"
-#include "steps/plan.h"
+#include "migration/plan.h"
 
 namespace robinhoist::day {
 namespace {
@@ -264,8 +264,9 @@
       if (!day.database)
         release.add_problem("plan", "has no (database ...) to run against");
       offer.plan = release.to_text("plan");
-      steps::Plan read = steps::read(*plan, static_cast<int>(day.deployment.rollout.stages.size()));
-      for (const steps::Step& step : read.steps)
+      migration::Plan read =
+          migration::read_plan(*plan, static_cast<int>(day.deployment.rollout.stages.size()));
+      for (const migration::Step& step : read.steps)
         offer.steps.push_back(step.id);
     }
     offer.build = machine::read_build(release, day.deployment);
--- a/src/steps/plan.cpp
+++ b/src/migration/plan.cpp
@@ -1,4 +1,4 @@
-#include "steps/plan.h"
+#include "migration/plan.h"
 
 #include <xxhash.h>
 
@@ -9,7 +9,7 @@
 
 #include "settings/sexp_reader.h"
 
-namespace robinhoist::steps {
+namespace robinhoist::migration {
 namespace {
 
 using namespace std::chrono_literals;
@@ -29,7 +29,8 @@
 Step read_step(SexpReader& reader, int stages) {
   Step step;
   step.id = reader.positional(0, "an id");
-  step.kind = reader.enumerator<Kind>("kind", {{"schema", Kind::schema}, {"data", Kind::data}});
+  step.kind =
+      reader.enumerator<StepKind>("kind", {{"schema", StepKind::schema}, {"data", StepKind::data}});
   step.phase = reader.enumerator<Phase>(
       "phase",
       {{"expand", Phase::expand}, {"migrate", Phase::migrate}, {"contract", Phase::contract}});
@@ -54,7 +55,7 @@
     reader.add_problem("on-back", "a contract step runs only when the release can't be sent back");
   step.idempotent = reader.boolean("idempotent", false);
   step.transactional = reader.boolean("transactional", true);
-  if (step.kind == Kind::data) {
+  if (step.kind == StepKind::data) {
     step.table = reader.text("table");
     step.key = reader.text("key");
     step.batch = reader.integer("batch", 1, 1000000);
@@ -104,7 +105,7 @@
   return words[static_cast<int>(phase)];
 }
 
-Plan read(SexpReader reader, int stages, const std::map<std::string, std::string>& applied) {
+Plan read_plan(SexpReader reader, int stages, const std::map<std::string, std::string>& applied) {
   Plan plan;
   plan.build = reader.integer("release", 1, 65535);
   std::vector<SexpReader> forms = reader.children("step", 1);
@@ -159,4 +160,4 @@
   return plan;
 }
 
-}  // namespace robinhoist::steps
+}  // namespace robinhoist::migration
--- a/src/steps/plan.h
+++ b/src/migration/plan.h
@@ -12,16 +12,16 @@
 class SexpReader;
 }
 
-namespace robinhoist::steps {
+namespace robinhoist::migration {
 
-enum class Kind { schema, data };
+enum class StepKind { schema, data };
 // expand: before the first stage. migrate: before a named stage. contract: once the release can't
 // be rolled back.
 enum class Phase { expand, migrate, contract };
 
 struct Step {
   std::string id{};
-  Kind kind = Kind::schema;
+  StepKind kind = StepKind::schema;
   Phase phase = Phase::expand;
   int before_stage = 0;         // for migrate
   std::string apply{}, undo{};  // statements; a data step's bind :after and :upto
@@ -46,8 +46,8 @@
 
 // What is wrong is left with the form. `stages` is how many there are; `applied` gives the digests
 // of steps that have once been applied, by "build/id": the same id with other content is refused.
-Plan read(settings::SexpReader form, int stages,
-          const std::map<std::string, std::string>& applied = {});
+Plan read_plan(settings::SexpReader form, int stages,
+               const std::map<std::string, std::string>& applied = {});
 const char* to_string(Phase phase);
 
-}  // namespace robinhoist::steps
+}  // namespace robinhoist::migration
--- a/src/steps/core.cpp
+++ b/src/migration/plan_state_machine.cpp
@@ -1,9 +1,9 @@
-#include "steps/core.h"
+#include "migration/plan_state_machine.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace robinhoist::steps {
+namespace robinhoist::migration {
 namespace {
 using namespace std::chrono_literals;
 // A data step backs off while more than this part of the requests do poorly: its pause between
@@ -14,9 +14,10 @@
 constexpr Duration throttle_least = 20ms, throttle_most = 5s;
 }  // namespace
 
-Core::Core(Plan plan) : plan_(std::move(plan)), progress_(plan_.steps.size()) {}
+PlanStateMachine::PlanStateMachine(Plan plan)
+    : plan_(std::move(plan)), progress_(plan_.steps.size()) {}
 
-int Core::step(const std::string& id) const {
+int PlanStateMachine::step(const std::string& id) const {
   for (std::size_t i = 0; i < plan_.steps.size(); ++i)
     if (plan_.steps[i].id == id)
       return static_cast<int>(i);
@@ -24,7 +25,7 @@
 }
 
 // A step that a stage needs runs while the stage before it goes on.
-bool Core::wanted(int i) const {
+bool PlanStateMachine::wanted(int i) const {
   if (!release_.offered || release_.going_back || release_.withdrawn)
     return false;
   const Step& step = plan_.steps[i];
@@ -33,83 +34,90 @@
   return step.phase == Phase::expand || release_.stage >= step.before_stage - 1;
 }
 
-bool Core::finished(int i) const {
+bool PlanStateMachine::finished(int i) const {
   const Progress& progress = progress_[i];
   if (progress.skipped)
     return true;
-  return progress.fact == Fact::applied && (plan_.steps[i].check.empty() || progress.verified);
+  return progress.fact == StepState::applied && (plan_.steps[i].check.empty() || progress.verified);
 }
 
-bool Core::to_undo(int i) const {
+bool PlanStateMachine::to_undo(int i) const {
   const Step& step = plan_.steps[i];
   const Progress& progress = progress_[i];
   if (step.phase == Phase::contract || progress.skipped || !step.undo_on_back)
     return false;
-  return progress.fact == Fact::applied || progress.fact == Fact::maybe_applied ||
-         progress.fact == Fact::maybe_undone ||
-         (progress.fact == Fact::not_applied && progress.after > 0);
+  return progress.fact == StepState::applied || progress.fact == StepState::maybe_applied ||
+         progress.fact == StepState::maybe_undone ||
+         (progress.fact == StepState::not_applied && progress.after > 0);
 }
 
-std::optional<Todo> Core::run(int i, Direction direction) {
+std::optional<Action> PlanStateMachine::run(int i, Direction direction) {
   busy_ = true;
   const bool all =
       direction == Direction::undo && progress_[i].whole && plan_.steps[i].undo_in_batches;
-  return Todo{
-      Act::run, i, direction, progress_[i].tries + 1, all ? beyond_all_keys : progress_[i].after,
-      ""};
+  return Action{ActionKind::run,
+                i,
+                direction,
+                progress_[i].tries + 1,
+                all ? beyond_all_keys : progress_[i].after,
+                ""};
 }
 
 // It may have run: that is looked into, never simply run again.
-std::optional<Todo> Core::resolve(int i, Direction direction) {
+std::optional<Action> PlanStateMachine::resolve(int i, Direction direction) {
   const Step& step = plan_.steps[i];
   Progress& progress = progress_[i];
   if (step.transactional || !step.check.empty()) {
     busy_ = true;
-    return Todo{
-        step.transactional ? Act::look_for_mark : Act::check, i, direction, progress.tries, 0, ""};
+    return Action{step.transactional ? ActionKind::look_for_mark : ActionKind::check,
+                  i,
+                  direction,
+                  progress.tries,
+                  0,
+                  ""};
   }
   if (step.idempotent)
     return run(i, direction);
   progress.stuck = progress.asked = true;
   progress.why = "it may have run, nothing can tell, and it must not run twice";
-  return Todo{Act::ask_operator, i, direction, progress.tries, 0, progress.why};
+  return Action{ActionKind::ask_operator, i, direction, progress.tries, 0, progress.why};
 }
 
-std::optional<Todo> Core::forward(int i, TimePoint now) {
+std::optional<Action> PlanStateMachine::forward(int i, TimePoint now) {
   Progress& progress = progress_[i];
   if (progress.stuck || now < progress.retry_at)
     return {};
   switch (progress.fact) {
-    case Fact::not_applied:
-    case Fact::undone:
-      if (plan_.steps[i].kind == Kind::data && progress.after > 0 && now < batch_at_)
+    case StepState::not_applied:
+    case StepState::undone:
+      if (plan_.steps[i].kind == StepKind::data && progress.after > 0 && now < batch_at_)
         return {};
       return run(i, Direction::apply);
-    case Fact::maybe_applied:
+    case StepState::maybe_applied:
       return resolve(i, Direction::apply);
-    case Fact::maybe_undone:
+    case StepState::maybe_undone:
       return resolve(i, Direction::undo);
-    case Fact::applied:
+    case StepState::applied:
       break;
   }
   busy_ = true;
-  return Todo{Act::verify, i, Direction::apply, progress.tries, 0, ""};
+  return Action{ActionKind::verify, i, Direction::apply, progress.tries, 0, ""};
 }
 
-std::optional<Todo> Core::backward(int i, TimePoint now) {
+std::optional<Action> PlanStateMachine::backward(int i, TimePoint now) {
   Progress& progress = progress_[i];
   if (progress.stuck || now < progress.retry_at)
     return {};
-  if (progress.fact == Fact::maybe_applied)
+  if (progress.fact == StepState::maybe_applied)
     return resolve(i, Direction::apply);
-  if (progress.fact == Fact::maybe_undone)
+  if (progress.fact == StepState::maybe_undone)
     return resolve(i, Direction::undo);
   if (plan_.steps[i].undo_in_batches && !progress.whole && now < batch_at_)
     return {};
   return run(i, Direction::undo);
 }
 
-std::optional<Todo> Core::next(TimePoint now) {
+std::optional<Action> PlanStateMachine::next(TimePoint now) {
   // One at a time, and none while another runner may hold the lease.
   if (busy_ || paused_ || !leased_)
     return {};
@@ -127,7 +135,7 @@
   return {};
 }
 
-std::optional<TimePoint> Core::next_look() const {
+std::optional<TimePoint> PlanStateMachine::next_look() const {
   std::optional<TimePoint> at;
   for (const Progress& progress : progress_)
     if (!progress.stuck && progress.retry_at > TimePoint{} && (!at || progress.retry_at < *at))
@@ -137,7 +145,7 @@
   return at;
 }
 
-void Core::again(Progress& progress, const Step& step, TimePoint now) {
+void PlanStateMachine::again(Progress& progress, const Step& step, TimePoint now) {
   ++progress.tries;
   Duration pause = step.pause_least;
   for (int i = 1; i < progress.tries && pause < step.pause_most; ++i)
@@ -149,16 +157,16 @@
   progress.retry_at = now + pause / 2 + pause * part / 32;
 }
 
-void Core::ended(int i, Direction direction, Result result, std::int64_t after,
-                 const std::string& why, TimePoint now) {
+void PlanStateMachine::ended(int i, Direction direction, StepResult result, std::int64_t after,
+                             const std::string& why, TimePoint now) {
   busy_ = false;
   Progress& progress = progress_[i];
   const Step& step = plan_.steps[i];
   progress.why = why;
   replay_ended(i, direction, result, after);
   switch (result) {
-    case Result::done:
-    case Result::more:
+    case StepResult::done:
+    case StepResult::more:
       progress.tries = 0;
       progress.retry_at = TimePoint{};
       batch_at_ = now + throttle_;
@@ -170,28 +178,28 @@
       if (progress.pace.size() > pace_most)
         progress.pace.pop_front();
       break;
-    case Result::not_run:
-    case Result::unknown:
+    case StepResult::not_run:
+    case StepResult::unknown:
       again(progress, step, now);
-      if (result == Result::not_run && progress.tries >= step.tries)
+      if (result == StepResult::not_run && progress.tries >= step.tries)
         progress.stuck = true;
       break;
-    case Result::fenced:
+    case StepResult::fenced:
       leased_ = false;
       break;
   }
 }
 
-void Core::looked(int i, Answer applied, std::int64_t after, const std::string& why,
-                  TimePoint now) {
+void PlanStateMachine::looked(int i, ProbeResult applied, std::int64_t after,
+                              const std::string& why, TimePoint now) {
   busy_ = false;
   Progress& progress = progress_[i];
   progress.why = why;
-  const bool verifying = progress.fact == Fact::applied;
+  const bool verifying = progress.fact == StepState::applied;
   replay_looked(i, applied, after);
-  if (applied == Answer::unknown) {
+  if (applied == ProbeResult::unknown) {
     again(progress, plan_.steps[i], now);
-  } else if (verifying && applied == Answer::no) {
+  } else if (verifying && applied == ProbeResult::no) {
     progress.stuck = true;
     progress.why = "it was applied, but its check says that it is not";
   } else {
@@ -199,60 +207,62 @@
   }
 }
 
-void Core::replay_intent(int i, Direction direction) {
+void PlanStateMachine::replay_intent(int i, Direction direction) {
   Progress& progress = progress_[i];
-  progress.fact = direction == Direction::apply ? Fact::maybe_applied : Fact::maybe_undone;
+  progress.fact =
+      direction == Direction::apply ? StepState::maybe_applied : StepState::maybe_undone;
   progress.verified = false;
 }
 
-void Core::replay_ended(int i, Direction direction, Result result, std::int64_t after) {
+void PlanStateMachine::replay_ended(int i, Direction direction, StepResult result,
+                                    std::int64_t after) {
   Progress& progress = progress_[i];
   const bool apply = direction == Direction::apply;
   switch (result) {
-    case Result::done:
-      progress.fact = apply ? Fact::applied : Fact::undone;
+    case StepResult::done:
+      progress.fact = apply ? StepState::applied : StepState::undone;
       progress.whole = apply;
       progress.after = apply ? after : 0;
       progress.verified = false;
       break;
-    case Result::more:
-      progress.fact = Fact::not_applied;
+    case StepResult::more:
+      progress.fact = StepState::not_applied;
       progress.whole = false;
       progress.after = after;
       break;
-    case Result::not_run:
-    case Result::fenced:
+    case StepResult::not_run:
+    case StepResult::fenced:
       // An undo that changed nothing leaves what was there: all of the step, or the part that a
       // back cut off.
-      progress.fact = !apply && progress.whole ? Fact::applied : Fact::not_applied;
+      progress.fact = !apply && progress.whole ? StepState::applied : StepState::not_applied;
       break;
-    case Result::unknown:
-      progress.fact = apply ? Fact::maybe_applied : Fact::maybe_undone;
+    case StepResult::unknown:
+      progress.fact = apply ? StepState::maybe_applied : StepState::maybe_undone;
       break;
   }
 }
 
-void Core::replay_looked(int i, Answer applied, std::int64_t after) {
+void PlanStateMachine::replay_looked(int i, ProbeResult applied, std::int64_t after) {
   Progress& progress = progress_[i];
-  if (applied == Answer::unknown)
+  if (applied == ProbeResult::unknown)
     return;
-  if (progress.fact == Fact::applied) {
-    progress.verified = applied == Answer::yes;
+  if (progress.fact == StepState::applied) {
+    progress.verified = applied == ProbeResult::yes;
     return;
   }
-  const bool undone = progress.fact == Fact::maybe_undone;
-  if (applied == Answer::yes) {
-    progress.fact = undone && !progress.whole ? Fact::not_applied : Fact::applied;
+  const bool undone = progress.fact == StepState::maybe_undone;
+  if (applied == ProbeResult::yes) {
+    progress.fact = undone && !progress.whole ? StepState::not_applied : StepState::applied;
     progress.whole |= !undone;
   } else {
     // Not whole, but with a cursor: the part that was there before the undo is there still.
-    progress.fact = undone && after == 0 ? Fact::undone : Fact::not_applied;
+    progress.fact = undone && after == 0 ? StepState::undone : StepState::not_applied;
     progress.whole = false;
     progress.after = after;
   }
 }
 
-void Core::client_outcomes(long requests, long unsuccessful, TimePoint now) {
+void PlanStateMachine::client_outcomes(long requests, long unsuccessful, TimePoint now) {
   if (requests < min_requests)
     return;
   if (static_cast<double>(unsuccessful) > max_unsuccessful_share * static_cast<double>(requests))
@@ -262,10 +272,10 @@
   batch_at_ = std::min(std::max(batch_at_, now), now + throttle_);
 }
 
-std::optional<Estimate> Core::estimate(int i) const {
+std::optional<Estimate> PlanStateMachine::estimate(int i) const {
   const Progress& progress = progress_[i];
-  if (plan_.steps[i].kind != Kind::data || progress.fact == Fact::applied || progress.after <= 0 ||
-      progress.last < progress.after)
+  if (plan_.steps[i].kind != StepKind::data || progress.fact == StepState::applied ||
+      progress.after <= 0 || progress.last < progress.after)
     return {};
   Estimate estimate{static_cast<double>(progress.after) / static_cast<double>(progress.last)};
   if (progress.pace.size() < 2)
@@ -280,35 +290,35 @@
   return estimate;
 }
 
-bool Core::retry(int i) {
+bool PlanStateMachine::retry(int i) {
   Progress& progress = progress_[i];
   if (!progress.stuck && progress.retry_at == TimePoint{})
     return false;
-  if (progress.asked && progress.fact == Fact::maybe_applied)
-    progress.fact = Fact::not_applied;
-  if (progress.asked && progress.fact == Fact::maybe_undone)
-    progress.fact = progress.whole ? Fact::applied : Fact::not_applied;
+  if (progress.asked && progress.fact == StepState::maybe_applied)
+    progress.fact = StepState::not_applied;
+  if (progress.asked && progress.fact == StepState::maybe_undone)
+    progress.fact = progress.whole ? StepState::applied : StepState::not_applied;
   progress.stuck = progress.asked = false;
   progress.tries = 0;
   progress.retry_at = TimePoint{};
   return true;
 }
 
-void Core::skip_now(int i) {
+void PlanStateMachine::skip_now(int i) {
   Progress& progress = progress_[i];
   progress.skipped = true;
   progress.stuck = progress.asked = false;
   progress.retry_at = TimePoint{};
 }
 
-bool Core::skip(int i) {
+bool PlanStateMachine::skip(int i) {
   if (busy_ || (release_.withdrawn ? !to_undo(i) : finished(i)))
     return false;
   skip_now(i);
   return true;
 }
 
-bool Core::allows(int stage, std::string* why) const {
+bool PlanStateMachine::allows(int stage, std::string* why) const {
   for (std::size_t i = 0; i < plan_.steps.size(); ++i) {
     const Step& step = plan_.steps[i];
     const bool needed =
@@ -322,7 +332,7 @@
   return true;
 }
 
-bool Core::succeeded() const {
+bool PlanStateMachine::succeeded() const {
   for (int i = 0; i < static_cast<int>(plan_.steps.size()); ++i) {
     if (release_.withdrawn ? to_undo(i) : wanted(i) && !finished(i))
       return false;
@@ -330,15 +340,15 @@
   return true;
 }
 
-const char* to_string(Fact fact) {
+const char* to_string(StepState fact) {
   static const char* const words[] = {"not applied", "may be applied", "applied", "may be undone",
                                       "undone"};
   return words[static_cast<int>(fact)];
 }
 
-const char* to_string(Result result) {
+const char* to_string(StepResult result) {
   static const char* const words[] = {"done", "more", "not-run", "unknown", "fenced"};
   return words[static_cast<int>(result)];
 }
 
-}  // namespace robinhoist::steps
+}  // namespace robinhoist::migration
--- a/src/steps/core.h
+++ b/src/migration/plan_state_machine.h
@@ -9,24 +9,24 @@
 #include <string>
 #include <vector>
 
-#include "steps/plan.h"
+#include "migration/plan.h"
 #include "time/time_types.h"
 
-namespace robinhoist::steps {
+namespace robinhoist::migration {
 
 enum class Direction { apply, undo };
 // not_run: known to have changed nothing. unknown: it may have run. fenced: another runner has
 // taken over.
-enum class Result { done, more, not_run, unknown, fenced };
-enum class Answer { yes, no, unknown };
+enum class StepResult { done, more, not_run, unknown, fenced };
+enum class ProbeResult { yes, no, unknown };
 
 // Above every key: where an undo in batches begins that has the whole step to undo.
 constexpr std::int64_t beyond_all_keys = std::int64_t{1} << 53;
 
-enum class Act { run, look_for_mark, check, verify, ask_operator };
+enum class ActionKind { run, look_for_mark, check, verify, ask_operator };
 
-struct Todo {
-  Act act;
+struct Action {
+  ActionKind act;
   int step = -1;
   Direction direction = Direction::apply;
   int attempt = 0;
@@ -35,19 +35,19 @@
 };
 
 // Where the release stands, as far as steps are concerned.
-struct Release {
+struct ReleaseState {
   int stage = -1;  // the stage now running; -1: none yet
   bool offered = false;
   bool going_back = false;  // rolled back; its machines still serve
   bool withdrawn = false;   // rolled back, and none of its machines serve any more
   bool final = false;       // released, and can't be rolled back
-  bool operator==(const Release&) const = default;
+  bool operator==(const ReleaseState&) const = default;
 };
 
-enum class Fact { not_applied, maybe_applied, applied, maybe_undone, undone };
+enum class StepState { not_applied, maybe_applied, applied, maybe_undone, undone };
 
 struct Progress {
-  Fact fact = Fact::not_applied;
+  StepState fact = StepState::not_applied;
   bool whole = false;  // it has been applied to its end, whatever an undo has done since
   bool verified = false, stuck = false, skipped = false, asked = false;
   int tries = 0;  // that failed in a row
@@ -69,16 +69,17 @@
   std::optional<Duration> left{};
 };
 
-class Core {
+class PlanStateMachine {
  public:
-  explicit Core(Plan plan);
+  explicit PlanStateMachine(Plan plan);
 
   // Inputs.
-  void release(const Release& release) { release_ = release; }
+  void release(const ReleaseState& release) { release_ = release; }
   void lease(bool held) { leased_ = held; }
-  void ended(int step, Direction direction, Result result, std::int64_t after,
+  void ended(int step, Direction direction, StepResult result, std::int64_t after,
              const std::string& why, TimePoint now);
-  void looked(int step, Answer applied, std::int64_t after, const std::string& why, TimePoint now);
+  void looked(int step, ProbeResult applied, std::int64_t after, const std::string& why,
+              TimePoint now);
   // A data step's largest key, which its end goes by.
   void reaches(int step, std::int64_t last) { progress_[step].last = last; }
   void pause(bool on) { paused_ = on; }
@@ -90,12 +91,12 @@
   bool skip(int step);
   // Replay after a start: what was written down, in order.
   void replay_intent(int step, Direction direction);
-  void replay_ended(int step, Direction direction, Result result, std::int64_t after);
-  void replay_looked(int step, Answer applied, std::int64_t after);
+  void replay_ended(int step, Direction direction, StepResult result, std::int64_t after);
+  void replay_looked(int step, ProbeResult applied, std::int64_t after);
   void replay_skipped(int step) { skip_now(step); }
 
   // Decisions.
-  std::optional<Todo> next(TimePoint now);
+  std::optional<Action> next(TimePoint now);
   std::optional<TimePoint> next_look() const;
   // Whether a stage may take traffic; `why` says what is missing.
   bool allows(int stage, std::string* why = nullptr) const;
@@ -116,22 +117,22 @@
   bool wanted(int step) const;
   bool finished(int step) const;
   bool to_undo(int step) const;
-  std::optional<Todo> forward(int step, TimePoint now);
-  std::optional<Todo> backward(int step, TimePoint now);
-  std::optional<Todo> resolve(int step, Direction direction);
-  std::optional<Todo> run(int step, Direction direction);
+  std::optional<Action> forward(int step, TimePoint now);
+  std::optional<Action> backward(int step, TimePoint now);
+  std::optional<Action> resolve(int step, Direction direction);
+  std::optional<Action> run(int step, Direction direction);
   void again(Progress& progress, const Step& step, TimePoint now);
   void skip_now(int step);
 
   Plan plan_;
   std::vector<Progress> progress_;
-  Release release_{};
+  ReleaseState release_{};
   bool leased_ = false, paused_ = false, busy_ = false;
   Duration throttle_{};
   TimePoint batch_at_{};
 };
 
-const char* to_string(Fact fact);
-const char* to_string(Result result);
+const char* to_string(StepState fact);
+const char* to_string(StepResult result);
 
-}  // namespace robinhoist::steps
+}  // namespace robinhoist::migration
--- a/src/steps/runner.cpp
+++ b/src/migration/runner.cpp
@@ -1,11 +1,11 @@
-#include "steps/runner.h"
+#include "migration/runner.h"
 
 #include <algorithm>
 
 #include "json/writer.h"
 #include "settings/sexp_reader.h"
 
-namespace robinhoist::steps {
+namespace robinhoist::migration {
 namespace {
 
 using namespace std::chrono_literals;
@@ -16,11 +16,11 @@
 const char* to_string(Direction direction) {
   return direction == Direction::apply ? "apply" : "undo";
 }
-const char* to_string(Answer answer) {
-  return answer == Answer::yes ? "yes" : answer == Answer::no ? "no" : "unknown";
+const char* to_string(ProbeResult answer) {
+  return answer == ProbeResult::yes ? "yes" : answer == ProbeResult::no ? "no" : "unknown";
 }
 
-void replay(Core& core, const journal::Entry& entry) {
+void replay(PlanStateMachine& core, const journal::Entry& entry) {
   const int step = core.step(entry.step);
   if (step < 0)
     return;
@@ -31,12 +31,12 @@
     return core.replay_skipped(step);
   if (entry.what == "looked")
     return core.replay_looked(step,
-                              entry.outcome == "yes"  ? Answer::yes
-                              : entry.outcome == "no" ? Answer::no
-                                                      : Answer::unknown,
+                              entry.outcome == "yes"  ? ProbeResult::yes
+                              : entry.outcome == "no" ? ProbeResult::no
+                                                      : ProbeResult::unknown,
                               entry.after);
-  for (Result result :
-       {Result::done, Result::more, Result::not_run, Result::unknown, Result::fenced})
+  for (StepResult result : {StepResult::done, StepResult::more, StepResult::not_run,
+                            StepResult::unknown, StepResult::fenced})
     if (entry.outcome == to_string(result))
       return core.replay_ended(step, direction, result, entry.after);
 }
@@ -49,7 +49,7 @@
   for (auto& [build, text] : journal_.plans()) {
     settings::SexpReader form =
         settings::SexpReader::from_text(text, "plan of build " + std::to_string(build));
-    Plan plan = read(form.child("plan"), settings_.stages);
+    Plan plan = read_plan(form.child("plan"), settings_.stages);
     form.finish();
     runs_.push_back(rebuilt(plan, text));
   }
@@ -62,7 +62,7 @@
 }
 
 std::unique_ptr<Runner::Run> Runner::rebuilt(const Plan& plan, const std::string& text) const {
-  auto run = std::make_unique<Run>(Run{Core(plan), text});
+  auto run = std::make_unique<Run>(Run{PlanStateMachine(plan), text});
   for (const journal::Entry& entry : journal_.entries(plan.build))
     replay(run->core, entry);
   run->core.lease(token_ > 0);
@@ -78,7 +78,7 @@
 
 int Runner::take_plan(const std::string& text, const std::string& name, const std::string& who) {
   settings::SexpReader form = settings::SexpReader::from_text(text, name);
-  Plan plan = read(form.child("plan"), settings_.stages, journal_.applied());
+  Plan plan = read_plan(form.child("plan"), settings_.stages, journal_.applied());
   Run* old = find(plan.build);
   if (old && old->core.busy())
     form.add_problem("a step of the plan that it replaces is running; try again");
@@ -108,7 +108,7 @@
   return plan.build;
 }
 
-void Runner::release(int build, const Release& release) {
+void Runner::release(int build, const ReleaseState& release) {
   if (Run* run = find(build))
     run->core.release(release);
 }
@@ -218,26 +218,26 @@
     changed();
 }
 
-void Runner::act(Run& run, const Todo& todo) {
+void Runner::act(Run& run, const Action& todo) {
   const Step& step = run.core.plan().steps[todo.step];
   const int build = run.core.plan().build, index = todo.step;
   log_.info("step", {{"build", log::text(build)},
                      {"step", step.id},
-                     {"does", todo.act == Act::run             ? to_string(todo.direction)
-                              : todo.act == Act::look_for_mark ? "looks for its mark"
-                              : todo.act == Act::ask_operator  ? "asks the operator"
-                                                               : "checks"},
+                     {"does", todo.act == ActionKind::run             ? to_string(todo.direction)
+                              : todo.act == ActionKind::look_for_mark ? "looks for its mark"
+                              : todo.act == ActionKind::ask_operator  ? "asks the operator"
+                                                                      : "checks"},
                      {"attempt", log::text(todo.attempt)},
                      {"after", log::text(todo.after)},
                      {"why", todo.why}});
   const auto looked = [this, build, index, direction = todo.direction](
-                          Answer answer, std::int64_t after, const std::string& why) {
+                          ProbeResult answer, std::int64_t after, const std::string& why) {
     Run* of = find(build);
     if (!of)
       return;
     at("looked, not written");
     of->core.looked(index, answer, after, why, loop_.now());
-    if (answer != Answer::unknown) {
+    if (answer != ProbeResult::unknown) {
       try {
         write(*of, of->core.plan().steps[index], "looked", direction, to_string(answer), after, 0,
               why);
@@ -249,7 +249,7 @@
     pull();
   };
   switch (todo.act) {
-    case Act::run:
+    case ActionKind::run:
       run.began = loop_.now();
       at("before the intent");
       try {
@@ -257,7 +257,8 @@
       } catch (const journal::Failed& bad) {
         // Without its intent on record it does not run.
         unwritten_.clear();
-        run.core.ended(index, todo.direction, Result::fenced, todo.after, bad.what(), loop_.now());
+        run.core.ended(index, todo.direction, StepResult::fenced, todo.after, bad.what(),
+                       loop_.now());
         run.core.lease(token_ > 0);
         throw;
       }
@@ -270,14 +271,14 @@
                       return;
                     at("ended, not written");
                     const Step& ended = of->core.plan().steps[index];
-                    const Result result = outcome.result;
-                    const bool ran = result == Result::done || result == Result::more;
+                    const StepResult result = outcome.result;
+                    const bool ran = result == StepResult::done || result == StepResult::more;
                     const std::int64_t after = ran ? outcome.after : todo.after;
                     const std::string& why = outcome.why;
                     if (outcome.last > 0)
                       of->core.reaches(index, outcome.last);
                     of->core.ended(index, todo.direction, result, after, why, loop_.now());
-                    if (result == Result::fenced)
+                    if (result == StepResult::fenced)
                       token_ = 0;
                     log_.info("step ended",
                               {{"build", log::text(build)},
@@ -296,14 +297,14 @@
                     pull();
                   });
       break;
-    case Act::look_for_mark:
+    case ActionKind::look_for_mark:
       target_.mark(run.core.plan(), step, token_, looked);
       break;
-    case Act::check:
-    case Act::verify:
+    case ActionKind::check:
+    case ActionKind::verify:
       target_.check(step, looked);
       break;
-    case Act::ask_operator:
+    case ActionKind::ask_operator:
       log_.warn("a step waits for the operator",
                 {{"build", log::text(build)}, {"step", step.id}, {"why", todo.why}});
       break;
@@ -387,9 +388,10 @@
     for (std::size_t i = 0; i < run->core.plan().steps.size(); ++i) {
       const Progress& progress = run->core.progress()[i];
       verification->asked.push_back({run->core.plan().build, run->core.plan().steps[i],
-                                     progress.skipped                 ? "skipped"
-                                     : progress.fact == Fact::applied ? ""
-                                                                      : to_string(progress.fact)});
+                                     progress.skipped ? "skipped"
+                                     : progress.fact == StepState::applied
+                                         ? ""
+                                         : to_string(progress.fact)});
     }
   verify_next(verification);
 }
@@ -404,11 +406,11 @@
       asked.state = "nothing can tell";
       continue;
     }
-    const auto told = [this, verification, &asked](Answer answer, std::int64_t,
+    const auto told = [this, verification, &asked](ProbeResult answer, std::int64_t,
                                                    const std::string& why) {
-      asked.state = answer == Answer::yes  ? "holds"
-                    : answer == Answer::no ? "does not hold"
-                                           : "not answered";
+      asked.state = answer == ProbeResult::yes  ? "holds"
+                    : answer == ProbeResult::no ? "does not hold"
+                                                : "not answered";
       asked.why = why;
       ++verification->next;
       verify_next(verification);
@@ -439,8 +441,8 @@
 }
 }  // namespace
 
-std::vector<Runner::Seen> Runner::steps_of(int build) const {
-  std::vector<Seen> seen;
+std::vector<Runner::StepSummary> Runner::steps_of(int build) const {
+  std::vector<StepSummary> seen;
   if (const Run* run = find(build))
     for (std::size_t i = 0; i < run->core.plan().steps.size(); ++i) {
       const Step& step = run->core.plan().steps[i];
@@ -457,7 +459,7 @@
       .put("journal", broken_.empty() ? "well" : broken_);
   out.begin_array("plans");
   for (auto& run : runs_) {
-    const Core& core = run->core;
+    const PlanStateMachine& core = run->core;
     out.begin_object()
         .put("build", core.plan().build)
         .put("paused", core.paused())
@@ -486,4 +488,4 @@
   return out.end_array().end_object().text();
 }
 
-}  // namespace robinhoist::steps
+}  // namespace robinhoist::migration
--- a/src/steps/runner.h
+++ b/src/migration/runner.h
@@ -9,12 +9,12 @@
 
 #include "journal/journal.h"
 #include "log/logger.h"
+#include "migration/plan_state_machine.h"
+#include "migration/target.h"
 #include "net/loop.h"
-#include "steps/core.h"
-#include "steps/target.h"
 #include "time/time_types.h"
 
-namespace robinhoist::steps {
+namespace robinhoist::migration {
 
 struct RunnerSettings {
   std::string who{};  // holder of the lease
@@ -34,7 +34,7 @@
   // Takes a plan, new or edited; throws settings::ValidationError with all that is wrong with it.
   int take_plan(const std::string& text, const std::string& name, const std::string& who);
   // Where a build's release stands; builds without a plan are let pass.
-  void release(int build, const Release& release);
+  void release(int build, const ReleaseState& release);
   bool allows(int build, int stage, std::string* why = nullptr) const;
   // The operator's words; empty when done, else why not.
   std::string pause(bool on, const std::string& who, const std::string& why);
@@ -55,14 +55,14 @@
   bool stuck() const;
   bool has_plan(int build) const { return find(build) != nullptr; }
   // Of a build's plan, in order: id, phase, state in words.
-  struct Seen {
+  struct StepSummary {
     std::string id, phase, state;
   };
-  std::vector<Seen> steps_of(int build) const;
+  std::vector<StepSummary> steps_of(int build) const;
 
  private:
   struct Run {
-    Core core;
+    PlanStateMachine core;
     std::string text;
     TimePoint began{};
   };
@@ -70,7 +70,7 @@
   Run* find(int build) const;
   void verify_next(const std::shared_ptr<Verification>& verification);
   std::unique_ptr<Run> rebuilt(const Plan& plan, const std::string& text) const;
-  void act(Run& run, const Todo& todo);
+  void act(Run& run, const Action& todo);
   void write(const Run& run, const Step& step, const char* what, Direction direction,
              const std::string& outcome, std::int64_t after, int attempt, const std::string& why,
              const std::string& who = "");
@@ -92,4 +92,4 @@
   bool pulling_ = false;
 };
 
-}  // namespace robinhoist::steps
+}  // namespace robinhoist::migration
--- a/src/steps/target.cpp
+++ b/src/migration/target.cpp
@@ -1,9 +1,9 @@
-#include "steps/target.h"
+#include "migration/target.h"
 
 #include "json/reader.h"
 #include "json/writer.h"
 
-namespace robinhoist::steps {
+namespace robinhoist::migration {
 namespace {
 
 using namespace std::chrono_literals;
@@ -52,7 +52,7 @@
   body.put("undo", !apply)
       .put("statement", apply ? step.apply : step.undo)
       .put("transactional", step.transactional);
-  if (step.kind == Kind::data && (apply || step.undo_in_batches))
+  if (step.kind == StepKind::data && (apply || step.undo_in_batches))
     body.put("table", step.table)
         .put("key", step.key)
         .put("batch", step.batch)
@@ -62,23 +62,24 @@
                [ran](http::CallResult how, http::Response&& response) {
                  const std::string why = why_of(how, response);
                  if (how == http::CallResult::connect_failed)
-                   return ran({.result = Result::not_run, .why = why});
+                   return ran({.result = StepResult::not_run, .why = why});
                  if (how != http::CallResult::answered)
-                   return ran({.result = Result::unknown, .why = why});
+                   return ran({.result = StepResult::unknown, .why = why});
                  if (response.status == 409)
-                   return ran({.result = Result::fenced, .why = why});
+                   return ran({.result = StepResult::fenced, .why = why});
                  if (response.status == 422)
-                   return ran({.result = Result::not_run, .why = why});
+                   return ran({.result = StepResult::not_run, .why = why});
                  try {
                    if (response.status != 200)
-                     return ran({.result = Result::unknown, .why = why});
+                     return ran({.result = StepResult::unknown, .why = why});
                    auto document = json::parse_object(response.body);
-                   const Result result = json::enumerator<Result>(
-                       document, "result", {{"done", Result::done}, {"more", Result::more}});
+                   const StepResult result = json::enumerator<StepResult>(
+                       document, "result",
+                       {{"done", StepResult::done}, {"more", StepResult::more}});
                    ran({result, static_cast<std::int64_t>(json::number_or(document, "after", 0)),
                         static_cast<std::int64_t>(json::number_or(document, "last", 0)), ""});
                  } catch (const json::DecodeError& bad) {
-                   ran({.result = Result::unknown, .why = bad.what()});
+                   ran({.result = StepResult::unknown, .why = bad.what()});
                  }
                });
 }
@@ -94,34 +95,35 @@
                [looked](http::CallResult how, http::Response&& response) {
                  try {
                    if (how != http::CallResult::answered || response.status != 200)
-                     return looked(Answer::unknown, 0, why_of(how, response));
+                     return looked(ProbeResult::unknown, 0, why_of(how, response));
                    auto document = json::parse_object(response.body);
-                   looked(json::boolean(document, "applied") ? Answer::yes : Answer::no,
+                   looked(json::boolean(document, "applied") ? ProbeResult::yes : ProbeResult::no,
                           static_cast<std::int64_t>(json::number(document, "after")), "");
                  } catch (const json::DecodeError& bad) {
-                   looked(Answer::unknown, 0, bad.what());
+                   looked(ProbeResult::unknown, 0, bad.what());
                  }
                });
 }
 
 void Target::check(const Step& step, Looked looked) {
   auto body = json::Writer().begin_object().put("statement", step.check).end_object().text();
-  caller_.call(post("/v1/query", body), step.timeout,
-               [looked](http::CallResult how, http::Response&& response) {
-                 try {
-                   if (how != http::CallResult::answered ||
-                       (response.status != 200 && response.status != 422))
-                     return looked(Answer::unknown, 0, why_of(how, response));
-                   // A check that can't even be asked, for a table is missing, says no.
-                   if (response.status == 422)
-                     return looked(Answer::no, 0, response.body);
-                   auto document = json::parse_object(response.body);
-                   looked(json::number_or(document, "value", 0) != 0 ? Answer::yes : Answer::no, 0,
-                          "");
-                 } catch (const json::DecodeError& bad) {
-                   looked(Answer::unknown, 0, bad.what());
-                 }
-               });
+  caller_.call(
+      post("/v1/query", body), step.timeout,
+      [looked](http::CallResult how, http::Response&& response) {
+        try {
+          if (how != http::CallResult::answered ||
+              (response.status != 200 && response.status != 422))
+            return looked(ProbeResult::unknown, 0, why_of(how, response));
+          // A check that can't even be asked, for a table is missing, says no.
+          if (response.status == 422)
+            return looked(ProbeResult::no, 0, response.body);
+          auto document = json::parse_object(response.body);
+          looked(json::number_or(document, "value", 0) != 0 ? ProbeResult::yes : ProbeResult::no, 0,
+                 "");
+        } catch (const json::DecodeError& bad) {
+          looked(ProbeResult::unknown, 0, bad.what());
+        }
+      });
 }
 
-}  // namespace robinhoist::steps
+}  // namespace robinhoist::migration
--- a/src/steps/target.h
+++ b/src/migration/target.h
@@ -11,20 +11,20 @@
 #include <string>
 
 #include "http/connection_pool.h"
-#include "steps/core.h"
+#include "migration/plan_state_machine.h"
 
-namespace robinhoist::steps {
+namespace robinhoist::migration {
 
 class Target {
  public:
   // `last`: the largest key of a data step's table; 0: not told.
   struct Outcome {
-    Result result;
+    StepResult result;
     std::int64_t after = 0, last = 0;
     std::string why{};
   };
   using Ran = std::function<void(const Outcome&)>;
-  using Looked = std::function<void(Answer, std::int64_t after, const std::string& why)>;
+  using Looked = std::function<void(ProbeResult, std::int64_t after, const std::string& why)>;
   Target(net::Loop& loop, const std::string& address);
   void run(const Plan& plan, const Step& step, Direction direction, std::int64_t after,
            std::int64_t token, Ran ran);
@@ -35,4 +35,4 @@
   http::ConnectionPool caller_;
 };
 
-}  // namespace robinhoist::steps
+}  // namespace robinhoist::migration
--- a/tests/steps_test.cpp
+++ b/tests/steps_test.cpp
@@ -10,13 +10,13 @@
 #include <thread>
 
 #include "faulty_vfs.h"
+#include "migration/runner.h"
 #include "net/loop.h"
 #include "plays.h"
 #include "settings/sexp_reader.h"
 #include "standin/database.h"
-#include "steps/runner.h"
 
-namespace robinhoist::steps {
+namespace robinhoist::migration {
 namespace {
 
 using namespace std::chrono_literals;
@@ -25,21 +25,21 @@
 
 Plan plan_of(const std::string& text) {
   settings::SexpReader form = settings::SexpReader::from_text(text, "plan");
-  Plan plan = read(form.child("plan"), 3);
+  Plan plan = read_plan(form.child("plan"), 3);
   form.finish();
   return plan;
 }
 
 struct Stage {
   std::string text{};
-  std::unique_ptr<Core> core{};
-  std::optional<Todo> todo{};
-  Release at{};
+  std::unique_ptr<PlanStateMachine> core{};
+  std::optional<Action> todo{};
+  ReleaseState at{};
   TimePoint now{};
 
-  Core& it() {
+  PlanStateMachine& it() {
     if (!core) {
-      core = std::make_unique<Core>(plan_of("(plan (release 2) " + text + ")"));
+      core = std::make_unique<PlanStateMachine>(plan_of("(plan (release 2) " + text + ")"));
       core->lease(true);
     }
     return *core;
@@ -91,20 +91,20 @@
       if (w.size() > 4 && w[w.size() - 2] == "after") {
         EXPECT_EQ(todo->after, std::stol(w.back()));
       }
-      if (todo->act == Act::run)
+      if (todo->act == ActionKind::run)
         it().replay_intent(todo->step, todo->direction);
     } else if (w[0] == "ends") {
-      for (Result result :
-           {Result::done, Result::more, Result::not_run, Result::unknown, Result::fenced})
+      for (StepResult result : {StepResult::done, StepResult::more, StepResult::not_run,
+                                StepResult::unknown, StepResult::fenced})
         if (w[1] == to_string(result))
           return it().ended(todo->step, todo->direction, result, w.size() > 2 ? std::stol(w[2]) : 0,
                             "", now);
       throw std::runtime_error("no such result");
     } else if (w[0] == "says") {
       it().looked(todo->step,
-                  w[1] == "yes"  ? Answer::yes
-                  : w[1] == "no" ? Answer::no
-                                 : Answer::unknown,
+                  w[1] == "yes"  ? ProbeResult::yes
+                  : w[1] == "no" ? ProbeResult::no
+                                 : ProbeResult::unknown,
                   w.size() > 2 ? std::stol(w[2]) : 0, "", now);
     } else if (w[0] == "allows") {
       EXPECT_EQ(it().allows(std::stoi(w[1])), w[2] == "yes");
@@ -141,7 +141,7 @@
   std::string line, told;
   try {
     settings::SexpReader form = settings::SexpReader::from_file(GetParam());
-    read(form.child("plan"), 3, {{"2/known", "0123"}});
+    read_plan(form.child("plan"), 3, {{"2/known", "0123"}});
     form.finish();
   } catch (const settings::ValidationError& bad) {
     told = bad.what();
@@ -163,16 +163,16 @@
 enum class Bug { none, no_intent, lost_is_not_run, back_while_serving };
 
 struct Model {
-  Core core, durable;        // as it runs, and as a replay of the journal would give it
-  std::vector<bool> truth;   // what the database really holds
-  std::vector<bool> marked;  // and what its marks say
-  std::optional<Todo> todo{};
-  Release release{};
+  PlanStateMachine core, durable;  // as it runs, and as a replay of the journal would give it
+  std::vector<bool> truth;         // what the database really holds
+  std::vector<bool> marked;        // and what its marks say
+  std::optional<Action> todo{};
+  ReleaseState release{};
   int crashes = 0, faults = 0;
 
   std::string key() const {
     std::string key;
-    for (const Core* one : {&core, &durable})
+    for (const PlanStateMachine* one : {&core, &durable})
       for (const Progress& p : one->progress())
         key += std::to_string(static_cast<int>(p.fact)) + (p.whole ? "w" : "") +
                (p.verified ? "v" : "") + (p.stuck ? "s" : "") + (p.asked ? "a" : "") +
@@ -208,7 +208,7 @@
     if (seen.insert(model.key()).second)
       open.push_back(std::move(model));
   };
-  Model first{Core(plan), Core(plan), std::vector<bool>(count, false),
+  Model first{PlanStateMachine(plan), PlanStateMachine(plan), std::vector<bool>(count, false),
               std::vector<bool>(count, false)};
   first.core.lease(true);
   add(first);
@@ -257,9 +257,9 @@
     if (model.todo) {
       const int i = model.todo->step;
       const Direction direction = model.todo->direction;
-      const Act act = model.todo->act;
-      if (act == Act::run) {
-        auto ends = [&](Model next, Result result) {
+      const ActionKind act = model.todo->act;
+      if (act == ActionKind::run) {
+        auto ends = [&](Model next, StepResult result) {
           next.core.ended(i, direction, result, 0, "", TimePoint{});
           next.durable.replay_ended(i, direction, result, 0);
           next.todo.reset();
@@ -268,37 +268,37 @@
         Model done = model;
         execute(done);
         crash(done);
-        ends(done, Result::done);
+        ends(done, StepResult::done);
         if (model.faults < 2) {
           ++done.faults;
-          ends(done, bug == Bug::lost_is_not_run ? Result::not_run : Result::unknown);
+          ends(done, bug == Bug::lost_is_not_run ? StepResult::not_run : StepResult::unknown);
           Model lost = model;
           ++lost.faults;
-          ends(lost, Result::not_run);
-          ends(lost, Result::unknown);
+          ends(lost, StepResult::not_run);
+          ends(lost, StepResult::unknown);
         }
       } else {
-        auto says = [&](Model next, Answer answer) {
+        auto says = [&](Model next, ProbeResult answer) {
           next.core.looked(i, answer, 0, "", TimePoint{});
-          if (answer != Answer::unknown)
+          if (answer != ProbeResult::unknown)
             next.durable.replay_looked(i, answer, 0);
           next.todo.reset();
           add(std::move(next));
         };
-        const bool there = act == Act::look_for_mark ? model.marked[i] : model.truth[i];
-        says(model, there ? Answer::yes : Answer::no);
+        const bool there = act == ActionKind::look_for_mark ? model.marked[i] : model.truth[i];
+        says(model, there ? ProbeResult::yes : ProbeResult::no);
         if (model.faults < 2) {
           Model lost = model;
           ++lost.faults;
-          says(lost, Answer::unknown);
+          says(lost, ProbeResult::unknown);
         }
       }
     } else {
       Model next = model;
-      const std::optional<Todo> todo = next.core.next(late);
-      if (todo && todo->act != Act::ask_operator) {
+      const std::optional<Action> todo = next.core.next(late);
+      if (todo && todo->act != ActionKind::ask_operator) {
         next.todo = todo;
-        if (todo->act == Act::run) {
+        if (todo->act == ActionKind::run) {
           next.core.replay_intent(todo->step, todo->direction);
           if (bug != Bug::no_intent)
             next.durable.replay_intent(todo->step, todo->direction);
@@ -329,20 +329,20 @@
     }
     // The release moves at any time, also while a step runs.
     Model moved = model;
-    auto move = [&](Release to) {
+    auto move = [&](ReleaseState to) {
       moved = model;
       moved.release = to;
       moved.core.release(to);
       add(moved);
     };
-    Release r = model.release;
+    ReleaseState r = model.release;
     if (!r.offered) {
       r.offered = true;
       move(r);
       continue;
     }
     if (!r.going_back && !r.withdrawn && !r.final) {
-      Release on = r;
+      ReleaseState on = r;
       if (r.stage + 1 < 3 && model.core.allows(r.stage + 1)) {
         ++on.stage;
         move(on);
@@ -350,7 +350,7 @@
         on.final = true;
         move(on);
       }
-      Release back = r;
+      ReleaseState back = r;
       if (bug == Bug::back_while_serving)
         back.withdrawn = true, back.going_back = false;
       else
@@ -486,7 +486,7 @@
     runner->release(2, at);
     runner->pull();
   }
-  void move(const Release& to) {
+  void move(const ReleaseState& to) {
     at = to;
     if (runner && !dead) {
       runner->release(2, at);
@@ -504,7 +504,7 @@
     }
     return false;
   }
-  Release at{};
+  ReleaseState at{};
   bool dead = false;
   int refused = 0;  // starts
 };
@@ -797,4 +797,4 @@
 }
 
 }  // namespace
-}  // namespace robinhoist::steps
+}  // namespace robinhoist::migration
