--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -3,9 +3,10 @@
 #include <algorithm>
 
 #include "controller/problem.h"
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "rollout/names.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 
 namespace robinhoist::controller {
 namespace {
@@ -17,7 +18,7 @@
 }
 }  // namespace
 
-Controller::Controller(net::Loop& loop, const Settings& settings, const log::Log& log,
+Controller::Controller(net::Loop& loop, const Settings& settings, const log::Logger& log,
                        Orders orders, Told told, Voted voted)
     : loop_(loop),
       settings_(settings),
@@ -56,12 +57,12 @@
   watches_ = std::make_unique<Watches>(loop, told_objects_, series_, settings.watches, told_);
   offer_pending();
   if (!settings.steps_target.empty()) {
-    target_ = std::make_unique<steps::Target>(loop, settings.steps_target);
-    steps::RunnerSettings runner;
+    target_ = std::make_unique<migration::Target>(loop, settings.steps_target);
+    migration::RunnerSettings runner;
     runner.who = settings.who;
     runner.lease = settings.lease;
     runner.stages = static_cast<int>(settings.rollout.stages.size());
-    runner_ = std::make_unique<steps::Runner>(loop, runner, *journal_, *target_, log);
+    runner_ = std::make_unique<migration::Runner>(loop, runner, *journal_, *target_, log);
     runner_->changed = [this] {
       if (tell_steps())
         timers_.in(Duration(0), [this] { pull(); });
@@ -94,12 +95,12 @@
   const ReleaseUpdate news = core_->news(now);
   const int stages = static_cast<int>(settings_.rollout.stages.size());
   for (auto& [build, fate] : core_->fates()) {
-    steps::Release old{.stage = stages - 1, .offered = true};
+    migration::ReleaseState old{.stage = stages - 1, .offered = true};
     old.withdrawn = old.going_back = fate != ReleasePhase::released;
     old.final = fate == ReleasePhase::released;
     runner_->release(build, old);
   }
-  steps::Release present{.stage = core_->running_stage(), .offered = true};
+  migration::ReleaseState present{.stage = core_->running_stage(), .offered = true};
   present.going_back = news.phase == ReleasePhase::rolling_back;
   present.withdrawn = news.phase == ReleasePhase::rolled_back;
   present.final = news.phase == ReleasePhase::released && !core_->can_go_back(now);
@@ -173,17 +174,17 @@
 }
 
 void Controller::orders(const Asked& asked) {
-  json::Out out;
-  out.open().open_list("orders");
+  json::Writer out;
+  out.begin_object().begin_array("orders");
   for (const rollout::Order& order : untaken_)
-    out.open()
+    out.begin_object()
         .put("is", to_string(order.kind))
         .put("machine", order.machine)
         .put("place", order.place)
         .put("build", order.build)
-        .close();
+        .end_object();
   untaken_.clear();
-  asked.exchange->answer(http::json_response(200, out.close_list().close().text()));
+  asked.exchange->answer(http::json_response(200, out.end_array().end_object().text()));
 }
 
 void Controller::with_steps(const Asked& asked, const std::function<void()>& does) {
@@ -191,9 +192,9 @@
     return asked.exchange->answer(http::text_response(404, "this controller runs no steps\n"));
   try {
     does();
-  } catch (const json::BadInput& bad) {
+  } catch (const json::DecodeError& bad) {
     asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
-  } catch (const settings::Invalid& bad) {
+  } catch (const settings::ValidationError& bad) {
     asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
   } catch (const journal::Failed& bad) {
     asked.exchange->answer(http::text_response(503, std::string(bad.what()) + "\n"));
@@ -208,8 +209,8 @@
         runner_->take_plan(request.body, "plan", who.empty() ? asked.caller.name : who);
     tell_steps();
     pull();
-    asked.exchange->answer(
-        http::json_response(200, json::Out().open().put("build", build).close().text()));
+    asked.exchange->answer(http::json_response(
+        200, json::Writer().begin_object().put("build", build).end_object().text()));
   });
 }
 
@@ -227,7 +228,7 @@
 
 void Controller::steps_say(const Asked& asked) {
   with_steps(asked, [&] {
-    auto document = json::object_of(asked.exchange->request.body);
+    auto document = json::parse_object(asked.exchange->request.body);
     const std::string who = json::text_or(document, "who", asked.caller.name),
                       why = json::text_or(document, "why", "");
     const std::string what(
@@ -236,7 +237,7 @@
     if (what == "pause" || what == "resume") {
       refused = runner_->pause(what == "pause", who, why);
     } else {
-      const int build = json::whole(document, "build");
+      const int build = json::integer(document, "build");
       const std::string step = json::text(document, "step");
       refused = what == "retry" ? runner_->retry(build, step, who, why)
                                 : runner_->skip(build, step, who, why);
@@ -249,14 +250,14 @@
 
 void Controller::machine(const Asked& asked) {
   try {
-    auto document = json::object_of(asked.exchange->request.body);
-    const int machine = json::whole(document, "machine");
+    auto document = json::parse_object(asked.exchange->request.body);
+    const int machine = json::integer(document, "machine");
     const bool up = json::enumerator<bool>(document, "state", {{"up", true}, {"gone", false}});
     if (up)
       core_->machine_up(machine, loop_.now());
     else
       core_->machine_gone(machine, loop_.now());
-  } catch (const json::BadInput& bad) {
+  } catch (const json::DecodeError& bad) {
     return asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
   }
   pull();
@@ -324,7 +325,7 @@
     response.headers.add("WWW-Authenticate", "Bearer");
     return exchange->answer(response);
   }
-  if (auto wait = requests_.take(caller->name, loop_.now())) {
+  if (auto wait = requests_.try_acquire(caller->name, loop_.now())) {
     http::Response response = problem(429, "too many requests", "of " + caller->name);
     response.headers.add("Retry-After", std::to_string(wait->count() / 1000000 + 1));
     return exchange->answer(response);
--- a/src/steps/target.cpp
+++ b/src/migration/target.cpp
@@ -1,8 +1,9 @@
-#include "steps/target.h"
+#include "migration/target.h"
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 
-namespace robinhoist::steps {
+namespace robinhoist::migration {
 namespace {
 
 using namespace std::chrono_literals;
@@ -43,84 +44,86 @@
 void Target::run(const Plan& plan, const Step& step, Direction direction, std::int64_t after,
                  std::int64_t token, Ran ran) {
   const bool apply = direction == Direction::apply;
-  json::Out body;
-  body.open()
+  json::Writer body;
+  body.begin_object()
       .put("token", static_cast<long>(token))
       .put("mark", mark_of(plan, step))
       .put("digest", step.digest);
   body.put("undo", !apply)
       .put("statement", apply ? step.apply : step.undo)
       .put("transactional", step.transactional);
-  if (step.kind == Kind::data && (apply || step.undo_in_batches))
+  if (step.kind == StepKind::data && (apply || step.undo_in_batches))
     body.put("table", step.table)
         .put("key", step.key)
         .put("batch", step.batch)
         .put("after", static_cast<long>(after));
-  body.put("lock_ms", static_cast<double>(step.lock_timeout.count()) / 1e3).close();
+  body.put("lock_ms", static_cast<double>(step.lock_timeout.count()) / 1e3).end_object();
   caller_.call(post("/v1/steps/run", body.text()), step.timeout,
                [ran](http::CallResult how, http::Response&& response) {
                  const std::string why = why_of(how, response);
                  if (how == http::CallResult::connect_failed)
-                   return ran({.result = Result::not_run, .why = why});
+                   return ran({.result = StepResult::not_run, .why = why});
                  if (how != http::CallResult::answered)
-                   return ran({.result = Result::unknown, .why = why});
+                   return ran({.result = StepResult::unknown, .why = why});
                  if (response.status == 409)
-                   return ran({.result = Result::fenced, .why = why});
+                   return ran({.result = StepResult::fenced, .why = why});
                  if (response.status == 422)
-                   return ran({.result = Result::not_run, .why = why});
+                   return ran({.result = StepResult::not_run, .why = why});
                  try {
                    if (response.status != 200)
-                     return ran({.result = Result::unknown, .why = why});
-                   auto document = json::object_of(response.body);
-                   const Result result = json::enumerator<Result>(
-                       document, "result", {{"done", Result::done}, {"more", Result::more}});
+                     return ran({.result = StepResult::unknown, .why = why});
+                   auto document = json::parse_object(response.body);
+                   const StepResult result = json::enumerator<StepResult>(
+                       document, "result",
+                       {{"done", StepResult::done}, {"more", StepResult::more}});
                    ran({result, static_cast<std::int64_t>(json::number_or(document, "after", 0)),
                         static_cast<std::int64_t>(json::number_or(document, "last", 0)), ""});
-                 } catch (const json::BadInput& bad) {
-                   ran({.result = Result::unknown, .why = bad.what()});
+                 } catch (const json::DecodeError& bad) {
+                   ran({.result = StepResult::unknown, .why = bad.what()});
                  }
                });
 }
 
 void Target::mark(const Plan& plan, const Step& step, std::int64_t token, Looked looked) {
-  auto body = json::Out()
-                  .open()
+  auto body = json::Writer()
+                  .begin_object()
                   .put("token", static_cast<long>(token))
                   .put("mark", mark_of(plan, step))
-                  .close()
+                  .end_object()
                   .text();
   caller_.call(post("/v1/steps/mark", body), step.timeout,
                [looked](http::CallResult how, http::Response&& response) {
                  try {
                    if (how != http::CallResult::answered || response.status != 200)
-                     return looked(Answer::unknown, 0, why_of(how, response));
-                   auto document = json::object_of(response.body);
-                   looked(json::truth(document, "applied") ? Answer::yes : Answer::no,
+                     return looked(ProbeResult::unknown, 0, why_of(how, response));
+                   auto document = json::parse_object(response.body);
+                   looked(json::boolean(document, "applied") ? ProbeResult::yes : ProbeResult::no,
                           static_cast<std::int64_t>(json::number(document, "after")), "");
-                 } catch (const json::BadInput& bad) {
-                   looked(Answer::unknown, 0, bad.what());
+                 } catch (const json::DecodeError& bad) {
+                   looked(ProbeResult::unknown, 0, bad.what());
                  }
                });
 }
 
 void Target::check(const Step& step, Looked looked) {
-  auto body = json::Out().open().put("statement", step.check).close().text();
-  caller_.call(post("/v1/query", body), step.timeout,
-               [looked](http::CallResult how, http::Response&& response) {
-                 try {
-                   if (how != http::CallResult::answered ||
-                       (response.status != 200 && response.status != 422))
-                     return looked(Answer::unknown, 0, why_of(how, response));
-                   // A check that can't even be asked, for a table is missing, says no.
-                   if (response.status == 422)
-                     return looked(Answer::no, 0, response.body);
-                   auto document = json::object_of(response.body);
-                   looked(json::number_or(document, "value", 0) != 0 ? Answer::yes : Answer::no, 0,
-                          "");
-                 } catch (const json::BadInput& bad) {
-                   looked(Answer::unknown, 0, bad.what());
-                 }
-               });
+  auto body = json::Writer().begin_object().put("statement", step.check).end_object().text();
+  caller_.call(
+      post("/v1/query", body), step.timeout,
+      [looked](http::CallResult how, http::Response&& response) {
+        try {
+          if (how != http::CallResult::answered ||
+              (response.status != 200 && response.status != 422))
+            return looked(ProbeResult::unknown, 0, why_of(how, response));
+          // A check that can't even be asked, for a table is missing, says no.
+          if (response.status == 422)
+            return looked(ProbeResult::no, 0, response.body);
+          auto document = json::parse_object(response.body);
+          looked(json::number_or(document, "value", 0) != 0 ? ProbeResult::yes : ProbeResult::no, 0,
+                 "");
+        } catch (const json::DecodeError& bad) {
+          looked(ProbeResult::unknown, 0, bad.what());
+        }
+      });
 }
 
-}  // namespace robinhoist::steps
+}  // namespace robinhoist::migration
--- a/src/simulator_adapter/instance.cpp
+++ b/src/simulator_adapter/instance.cpp
@@ -76,8 +76,8 @@
 int Instance::endpoint_index(const std::string& name) const {
   const auto found = endpoint_indices_.find(name);
   if (found == endpoint_indices_.end())
-    throw json::BadInput(std::string("field ") + wire::field::endpoint +
-                         " names a box that was never listed");
+    throw json::DecodeError(std::string("field ") + wire::field::endpoint +
+                            " names a box that was never listed");
   return found->second;
 }
 
--- a/src/standin/nodes.cpp
+++ b/src/standin/nodes.cpp
@@ -174,7 +174,7 @@
   work.id = next_id_++;
   work.request_class = request_class;
   std::string_view said = request.headers.get("X-Work-Us");
-  auto us = said.empty() ? std::nullopt : settings::number_of(std::string(said));
+  auto us = said.empty() ? std::nullopt : settings::parse_number(std::string(said));
   work.work = us && *us >= 0 ? Duration(static_cast<std::int64_t>(*us))
               : request_class < static_cast<int>(shared_.work.size()) ? shared_.work[request_class]
                                                                       : Duration(1ms);
@@ -248,13 +248,13 @@
         done->how == machine::Ran::failed
             ? http::json_response(500, "{\"error\":\"failed\"}")
             : http::json_response(
-                  200, json::Out()
-                           .open()
+                  200, json::Writer()
+                           .begin_object()
                            .put("product", deployment_.request_classes[open.request_class].name)
                            .put("node", node.spec.name)
                            .put("build", node.spec.build.number)
                            .put("right", done->how != machine::Ran::wrong)
-                           .close()
+                           .end_object()
                            .text());
     char load[96];
     std::snprintf(load, sizeof load, "TEXT cpu_utilization=%.2f,named_metrics.held=%d",
