--- a/src/audit/audit.h
+++ b/src/audit/audit.h
@@ -1,51 +1,79 @@
-// Checks a played day's record against the five rules: from what endpoints received, what clients
-// got and what each proxy had been told and when. It trusts nothing that an proxy says of itself.
+/// The auditor: judges a scenario's record by the five rules.
+///
+/// It goes by what the servers received, what the clients got, and what each proxy had been
+/// notified of and when. It trusts nothing that a proxy says of itself, and links neither the
+/// decision module nor the hosts.
 #pragma once
 #include <array>
-#include <map>
 #include <string>
 #include <vector>
 
+#include "audit/events.h"
 #include "record/meta.h"
-#include "time/time_types.h"
 
 namespace robinhoist::audit {
 
-struct Rule {
+/// How often one rule was checked, and what was found.
+struct RuleReport {
   const char* name = "";
-  long checked = 0, broken = 0, excused = 0;
-  std::string first{};  // the first case, in words
+  long checked = 0;
+  long broken = 0;
+  long excused = 0;  ///< cases that the rule allows, such as requests lost with a killed proxy
+  std::string first_breach{};  ///< in words
+
   bool kept() const { return broken == 0; }
+  /// Counts a breach; the first one is kept in words.
+  void add_breach(const std::string& what);
 };
 
+/// The five rules, as places in Report::rules.
+enum class Rule { no_request_lost, no_effect_twice, drains_kept, slow_start_kept, quota_kept };
+
 struct ClassStatistics {
-  long asked = 0, succeeded_in_time = 0;
-  std::vector<double> latencies_ms{};  // of succeeded tries
+  long requested = 0;
+  long succeeded_in_time = 0;
+  std::vector<double> latencies_ms{};  ///< of requests that succeeded
 };
 
-struct Release {
-  TimePoint at;
-  int build, stage;
-  std::string phase, why;
+/// What the clients got. A request may take several attempts of its client.
+struct RequestCounts {
+  long requested = 0;  ///< first attempts
+  long attempts = 0;   ///< of the clients
+  long succeeded = 0;
+  long wrong = 0;  ///< of those that succeeded: with a wrong answer
+  long rejected = 0;
+  long failed = 0;
+  long rejected_before_routing = 0;
+  long unreached = 0;
+  long lost = 0;
+  long left = 0;  ///< whose client left first
 };
 
 struct Report {
-  std::array<Rule, 5> rules{};
-  Rule steps{.name = "steps in order"};  // of releases: beside the five rules
-  long asked = 0, tries = 0, succeeded = 0, rejected = 0, failed = 0, rejected_before_routing = 0,
-       unreached = 0, lost = 0, left = 0;
-  long wrong = 0, attempts = 0, votes = 0;
-  double weight_offered = 0, weight_in_time = 0, most_exposed = 0, most_pushed = 0;
+  std::array<RuleReport, 5> rules{};
+  RuleReport steps{.name = "steps in order"};  ///< of releases' migrations: beside the five rules
+  RequestCounts requests{};
+  long proxy_attempts = 0;  ///< attempts of the proxies, as the servers received them
+  long votes = 0;
+  double weight_offered = 0;
+  double weight_in_time = 0;
+  double max_quota_use = 0;       ///< of the canary quota; 1: all of it
+  double max_slow_start_use = 0;  ///< of what a server that warms up may be sent; 1: all of it
   std::vector<ClassStatistics> request_classes{};
-  std::vector<Release> releases{};
+  std::vector<ReleaseChange> releases{};
   std::vector<std::string> notes{};
   record::Meta meta{};
+
+  RuleReport& rule(Rule rule) { return rules[static_cast<std::size_t>(rule)]; }
+  /// Whether all five rules hold, and the order of the steps.
   bool kept() const;
 };
 
-// Throws json::DecodeError when the record can't be read.
-Report check(const std::string& folder);
-// One line for each rule, then the figures.
-std::string shown(Report& report);
+/// Audits the record in a folder. Throws json::DecodeError, with file and line, when it cannot be
+/// read.
+Report audit(const std::string& folder);
+
+/// A line for each rule, then the statistics.
+std::string to_text(const Report& report);
 
 }  // namespace robinhoist::audit
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -51,8 +51,8 @@
 // Prints the verdict; 0 only when all five rules hold.
 int audit(const std::string& folder) {
   try {
-    robinhoist::audit::Report report = robinhoist::audit::check(folder);
-    std::cout << robinhoist::audit::shown(report);
+    robinhoist::audit::Report report = robinhoist::audit::audit(folder);
+    std::cout << robinhoist::audit::to_text(report);
     return report.kept() ? 0 : 1;
   } catch (const robinhoist::json::DecodeError& bad) {
     std::cerr << bad.what() << "\n";
--- a/src/lab/hunt.cpp
+++ b/src/lab/hunt.cpp
@@ -113,9 +113,9 @@
   const emulator::Summary summary = emulator::run(day, seed, folder);
   found.priority_weight =
       summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 100;
-  audit::Report report = audit::check(folder);
+  audit::Report report = audit::audit(folder);
   if (!report.kept()) {
-    std::istringstream lines(audit::shown(report));
+    std::istringstream lines(audit::to_text(report));
     for (std::string line; std::getline(lines, line);)
       if (line.find("broken") != std::string::npos)
         found.broken += (found.broken.empty() ? "" : "; ") + line;
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -231,20 +231,20 @@
       text.resize(text.size() - 5);
     std::ofstream(written.folder.at / (name + ".jsonl")) << text;
   }
-  Report report = check(written.folder.at.string());
+  const Report report = audit(written.folder.at.string());
   EXPECT_FALSE(written.wanted.empty());
   for (int r = 1; r <= 6; ++r) {
-    const Rule& rule = r == 6 ? report.steps : report.rules[r - 1];
+    const RuleReport& rule = r == 6 ? report.steps : report.rules[r - 1];
     auto wanted = written.wanted.find(r == 6 ? "steps" : std::to_string(r));
     if (wanted == written.wanted.end()) {
-      EXPECT_TRUE(rule.kept()) << r << ": " << rule.first;
+      EXPECT_TRUE(rule.kept()) << r << ": " << rule.first_breach;
       continue;
     }
     const std::string how = wanted->second.substr(0, wanted->second.find(' '));
-    EXPECT_EQ(rule.kept(), how == "kept") << r << ": " << rule.first;
+    EXPECT_EQ(rule.kept(), how == "kept") << r << ": " << rule.first_breach;
     if (how != wanted->second) {
-      EXPECT_NE(rule.first.find(wanted->second.substr(how.size() + 1)), std::string::npos)
-          << rule.first;
+      EXPECT_NE(rule.first_breach.find(wanted->second.substr(how.size() + 1)), std::string::npos)
+          << rule.first_breach;
     }
   }
 }
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -153,8 +153,8 @@
   EXPECT_NE(a.events, other.events);
   // Without a record it is the same run.
   EXPECT_EQ(run(day, 3, "").events, a.events);
-  audit::Report report = audit::check(folder("a"));
-  EXPECT_TRUE(report.kept()) << audit::shown(report);
+  audit::Report report = audit::audit(folder("a"));
+  EXPECT_TRUE(report.kept()) << audit::to_text(report);
   for (const char* name : {"a", "b", "c"})
     fs::remove_all(folder(name));
 }
