--- a/bench/steps_bench.cpp
+++ b/bench/steps_bench.cpp
@@ -44,7 +44,7 @@
   journal::Journal journal(fresh("write"));
   int n = 0;
   for (auto _ : state)
-    journal.write(entry(n++));
+    journal.append(entry(n++));
   state.SetItemsProcessed(state.iterations());
 }
 BENCHMARK(durable_write)->UseRealTime();
@@ -55,14 +55,14 @@
   const std::string file = fresh("recover");
   {
     journal::Journal journal(file);
-    journal.batch(true);
+    journal.begin_batch();
     for (int n = 0; n < state.range(0); ++n) {
       journal::Entry one = entry(n);
       if (n + 10 < state.range(0))
         one.build = 1;
-      journal.write(one);
+      journal.append(one);
     }
-    journal.batch(false);
+    journal.end_batch();
   }
   for (auto _ : state) {
     journal::Journal journal(file);
@@ -85,13 +85,13 @@
     journal::Journal journal(fresh("fill"));
     migration::Target target(loop, "127.0.0.1:" + std::to_string(database.port()));
     migration::RunnerSettings settings;
-    settings.who = "bench";
-    settings.lease = std::chrono::seconds(10);
+    settings.holder = "bench";
+    settings.lease_length = std::chrono::seconds(10);
     settings.stages = 3;
     migration::Runner runner(loop, settings, journal, target, log);
-    runner.take_plan(plan_text, "plan", "bench");
-    runner.release(2, {.stage = -1, .offered = true});
-    runner.changed = [&] {
+    runner.accept_plan(plan_text, "plan", "bench");
+    runner.set_release(2, {.stage = -1, .offered = true});
+    runner.on_changed = [&] {
       if (runner.allows(2, 0))
         loop.stop();
     };
--- a/src/cli/steps.cpp
+++ b/src/cli/steps.cpp
@@ -44,10 +44,10 @@
     std::cout << "  " << ++number << ". " << step.id << " ("
               << (step.kind == migration::StepKind::data ? "data" : "schema") << ", "
               << (step.transactional ? "marked in its transaction"
-                  : step.check.empty()
+                  : step.check_query.empty()
                       ? step.idempotent ? "may run twice" : "asks the operator when in doubt"
                       : "checked when in doubt")
-              << ", on back " << (step.undo_on_back ? "undone" : "kept") << ")\n";
+              << ", on back " << (step.rollback_with_release ? "undone" : "kept") << ")\n";
   }
   return 0;
 }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -41,7 +41,7 @@
   settings_.rollout.gated = !settings.steps_target.empty();
   if (!settings.journal.empty()) {
     journal_ = std::make_unique<journal::Journal>(settings.journal);
-    if (auto text = journal_->get("rollout")) {
+    if (auto text = journal_->state("rollout")) {
       core_ =
           std::make_unique<rollout::Rollout>(settings_.rollout, settings.places, settings.proxies,
                                              rollout::decoded_kept(*text), loop.now());
@@ -59,11 +59,11 @@
   if (!settings.steps_target.empty()) {
     target_ = std::make_unique<migration::Target>(loop, settings.steps_target);
     migration::RunnerSettings runner;
-    runner.who = settings.who;
-    runner.lease = settings.lease;
+    runner.holder = settings.who;
+    runner.lease_length = settings.lease;
     runner.stages = static_cast<int>(settings.rollout.stages.size());
     runner_ = std::make_unique<migration::Runner>(loop, runner, *journal_, *target_, log);
-    runner_->changed = [this] {
+    runner_->on_changed = [this] {
       if (tell_steps())
         timers_.in(Duration(0), [this] { pull(); });
       keep_soon();  // objects show steps
@@ -96,15 +96,15 @@
   const int stages = static_cast<int>(settings_.rollout.stages.size());
   for (auto& [build, fate] : core_->fates()) {
     migration::ReleaseState old{.stage = stages - 1, .offered = true};
-    old.withdrawn = old.going_back = fate != ReleasePhase::released;
-    old.final = fate == ReleasePhase::released;
-    runner_->release(build, old);
+    old.rolled_back = old.rolling_back = fate != ReleasePhase::released;
+    old.finalized = fate == ReleasePhase::released;
+    runner_->set_release(build, old);
   }
   migration::ReleaseState present{.stage = core_->running_stage(), .offered = true};
-  present.going_back = news.phase == ReleasePhase::rolling_back;
-  present.withdrawn = news.phase == ReleasePhase::rolled_back;
-  present.final = news.phase == ReleasePhase::released && !core_->can_go_back(now);
-  runner_->release(news.build, present);
+  present.rolling_back = news.phase == ReleasePhase::rolling_back;
+  present.rolled_back = news.phase == ReleasePhase::rolled_back;
+  present.finalized = news.phase == ReleasePhase::released && !core_->can_go_back(now);
+  runner_->set_release(news.build, present);
   bool moved = false;
   for (int stage = 0; stage < stages; ++stage) {
     const bool open = runner_->allows(news.build, stage);
@@ -131,10 +131,10 @@
       decided.push_back(*order);
   } while (tell_steps());
   if (runner_)
-    runner_->pull();
+    runner_->run_due_actions();
   try {
     keep(false);
-  } catch (const journal::Failed& bad) {
+  } catch (const journal::JournalError& bad) {
     log_.error("nothing is told or ordered: the journal takes nothing", {{"why", bad.what()}});
     untold_.insert(untold_.end(), decided.begin(), decided.end());
     look_ = loop_.in(500ms, [this] { pull(); });
@@ -196,7 +196,7 @@
     asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
   } catch (const settings::ValidationError& bad) {
     asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
-  } catch (const journal::Failed& bad) {
+  } catch (const journal::JournalError& bad) {
     asked.exchange->answer(http::text_response(503, std::string(bad.what()) + "\n"));
   }
 }
@@ -206,7 +206,7 @@
     const http::Request& request = asked.exchange->request;
     const std::string who(request.headers.get("X-Who"));
     const int build =
-        runner_->take_plan(request.body, "plan", who.empty() ? asked.caller.name : who);
+        runner_->accept_plan(request.body, "plan", who.empty() ? asked.caller.name : who);
     tell_steps();
     pull();
     asked.exchange->answer(http::json_response(
@@ -215,7 +215,7 @@
 }
 
 void Controller::steps_status(const Asked& asked) {
-  with_steps(asked, [&] { asked.exchange->answer(http::json_response(200, runner_->status())); });
+  with_steps(asked, [&] { asked.exchange->answer(http::json_response(200, runner_->status_json())); });
 }
 
 void Controller::steps_verify(const Asked& asked) {
@@ -235,7 +235,7 @@
         asked.exchange->request.path().substr(std::string_view("/v1/steps/").size()));
     std::string refused;
     if (what == "pause" || what == "resume") {
-      refused = runner_->pause(what == "pause", who, why);
+      runner_->set_paused(what == "pause", who, why);
     } else {
       const int build = json::integer(document, "build");
       const std::string step = json::text(document, "step");
@@ -243,7 +243,7 @@
                                 : runner_->skip(build, step, who, why);
     }
     pull();
-    asked.exchange->answer(refused.empty() ? http::json_response(200, runner_->status())
+    asked.exchange->answer(refused.empty() ? http::json_response(200, runner_->status_json())
                                            : http::text_response(409, refused + "\n"));
   });
 }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -147,8 +147,7 @@
   std::unique_ptr<migration::Runner> runner_{};
   std::map<std::pair<int, int>, bool> gates_{};  // by build and stage, as last told to the core
   std::string kept_{};
-  std::optional<std::pair<std::string, std::string>>
-      pending_state_{};  // to be written with the objects
+  std::optional<journal::StateValue> pending_state_{};  // to be written with the objects
   releases::Catalog catalog_;
   objects::Store
       told_objects_;  // as lists and watches have it: the catalog's store, later by the lag
--- a/src/controller/releases.cpp
+++ b/src/controller/releases.cpp
@@ -79,7 +79,7 @@
     exchange->answer(problem(422, "the body makes no sense", bad.what()));
   } catch (const objects::BadSelector& bad) {
     exchange->answer(problem(400, "the selector makes no sense", bad.what()));
-  } catch (const journal::Failed& bad) {
+  } catch (const journal::JournalError& bad) {
     exchange->answer(problem(503, "the journal takes nothing", bad.what()));
   }
 }
@@ -110,10 +110,10 @@
 void Controller::restore_objects() {
   series_ = fresh_id();
   if (journal_) {
-    if (auto series = journal_->get("series"))
+    if (auto series = journal_->state("series"))
       series_ = *series;
     else
-      journal_->put("series", series_);
+      journal_->set_state("series", series_);
     std::map<std::string, releases::Release> all;
     for (auto& [name, body] : journal_->objects())
       all[name] = releases::decoded(body);
@@ -177,7 +177,7 @@
     status.machines_up += machine.phase == rollout::MachinePhase::up;
   }
   if (runner_)
-    for (auto& [id, phase, state] : runner_->steps_of(release.build))
+    for (auto& [id, phase, state] : runner_->step_summaries(release.build))
       status.steps.push_back({id, phase, state});
   const auto& stages = settings_.rollout.stages;
   std::string missing;
@@ -191,9 +191,10 @@
     else if (stage == running && status.phase != "pending")
       state = "sent back";
     else if (present && status.phase == "trial" && stage == running + 1) {
-      const bool ready =
-          !runner_ || runner_->allows(release.build, stage, missing.empty() ? &missing : nullptr);
-      state = ready ? "next" : "waiting for steps";
+      const auto reason = runner_ ? runner_->blocking_reason(release.build, stage) : std::nullopt;
+      if (reason && missing.empty())
+        missing = *reason;
+      state = reason ? "waiting for steps" : "next";
     }
     status.stages.push_back({stages[stage], settings_.rollout.caps[stage], state});
   }
@@ -280,7 +281,7 @@
     loop_.cancel(soon_);
   if (journal_ && moved) {
     // State and objects in one: a reader of either never sees the one without the other.
-    pending_state_.emplace("rollout", rollout::encoded(kept));
+    pending_state_ = journal::StateValue{"rollout", rollout::encoded(kept)};
   }
   commit(std::move(drafts));
   kept_ = text;
@@ -300,7 +301,7 @@
     try {
       if (trouble_ == Trouble::none)
         keep(true);
-    } catch (const journal::Failed& bad) {
+    } catch (const journal::JournalError& bad) {
       log_.error("objects are not told: the journal takes nothing", {{"why", bad.what()}});
     }
   });
@@ -470,7 +471,7 @@
         throw Refused{
             problem(400, "the request makes no sense", "Idempotency-Key is longer than 255 bytes")};
       key = journal::RequestKey{asked.caller.name + "/" + given, sha256(request.body), ""};
-      const auto before = journal_ ? journal_->request(key->key) : std::nullopt;
+      const auto before = journal_ ? journal_->find_request_key(key->key) : std::nullopt;
       if (before && before->digest != key->digest)
         throw Refused{problem(422, "the key was used for another request",
                               "Idempotency-Key " + given + " came with another body")};
@@ -715,7 +716,7 @@
     const auto body = releases::strict(asked.exchange->request.body);
     const int requests = json::integer(body, "txns"), unsuccessful = json::integer(body, "poorly");
     if (runner_ && settings_.throttle)
-      runner_->client_outcomes(requests, unsuccessful);
+      runner_->on_client_outcomes(requests, unsuccessful);
     asked.exchange->answer(http::json_response(200, "{}"));
   });
 }
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -342,7 +342,7 @@
     return;
   }
   if (!offer.plan.empty())
-    controller_->runner()->take_plan(offer.plan, "plan", "day");
+    controller_->runner()->accept_plan(offer.plan, "plan", "day");
   controller_->offer(offer.build.number, "day");
 }
 
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -1,97 +1,130 @@
-// What the runner of steps must not forget, in SQLite (WAL, synchronous=FULL): each intent before
-// it acts, each outcome after; plans; the lease of the one runner, with a fencing token that only
-// grows; and the state of the controller. Nothing here decides.
+/// The durable state of the controller, in one SQLite database (WAL, synchronous=FULL).
+///
+/// It holds the journal of migration steps, the plans, the lease of the migration runner, the API's
+/// objects with their recent changes, and named values. It stores; it decides nothing.
 #pragma once
 #include <cstdint>
 #include <map>
 #include <optional>
 #include <stdexcept>
 #include <string>
-#include <utility>
 #include <vector>
 
 struct sqlite3;
 
 namespace robinhoist::journal {
 
-// The journal can't be read or written, is of no known kind, or of a newer version; what() says
-// which.
-struct Failed : std::runtime_error {
+/// The journal cannot be read or written, is no journal, or is of a newer version. what() names the
+/// cause.
+struct JournalError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
+/// The kinds of entries, as stored in Entry::what.
+namespace entry_kind {
+inline constexpr const char* intent = "intent";
+inline constexpr const char* run_result = "ended";
+inline constexpr const char* probe_result = "looked";
+inline constexpr const char* skip = "skipped";
+}  // namespace entry_kind
+
+/// One line of the journal of steps. The fields are the columns of its table.
 struct Entry {
-  std::int64_t id = 0, at_ms = 0;  // since 1970
+  std::int64_t id = 0;
+  std::int64_t at_ms = 0;  ///< Since 1970.
   int build = 0;
-  std::string step{}, what{};  // intent, ended, looked, skipped
-  std::string direction{};     // apply, undo
-  std::string outcome{};       // of ended: a result; of looked: yes, no, unknown
-  std::int64_t after = 0, token = 0;
+  std::string step{};
+  std::string what{};       ///< One of entry_kind.
+  std::string direction{};  ///< apply, undo
+  std::string outcome{};    ///< Of a run: its result; of a probe: yes, no, unknown.
+  std::int64_t after = 0;   ///< The cursor of a data step.
+  std::int64_t token = 0;   ///< Of the lease.
   int attempt = 0;
-  std::string digest{}, who{}, why{};
+  std::string digest{};
+  std::string who{};
+  std::string why{};
 };
 
-// A change of an object of the API. What it was before is kept too, for those that watch by labels.
+/// A change of one of the API's objects. The body before it is kept for watches with a selector.
 struct ObjectChange {
   std::int64_t version = 0;
-  int change = 0;  // as objects::Change
-  std::string name{}, body{}, before{};
+  int change = 0;  ///< As objects::Change.
+  std::string name{};
+  std::string body{};
+  std::string before{};
 };
 
-// A request that must not make a second object: what it asked for, and what it made.
+/// The idempotency key of a request that created an object.
 struct RequestKey {
-  std::string key{}, digest{}, name{};
+  std::string key{};
+  std::string digest{};  ///< Of the request's body.
+  std::string name{};    ///< Of the object that it created.
+};
+
+/// A named value.
+struct StateValue {
+  std::string key{};
+  std::string value{};
 };
 
+/// Not thread-safe. All functions but the destructor throw JournalError. Whatever a function writes
+/// is durable when it returns.
 class Journal {
  public:
+  /// Opens a file, creates it, or upgrades it from an older version.
   explicit Journal(const std::string& file);
   ~Journal();
   Journal(const Journal&) = delete;
   Journal& operator=(const Journal&) = delete;
 
-  void write(const Entry& entry);  // durable when it returns
+  void append(const Entry& entry);
+  /// The entries of a build, oldest first.
   std::vector<Entry> entries(int build) const;
+  /// The last entries of all builds, newest first.
   std::vector<Entry> latest(std::size_t count) const;
-  // The digests of steps that were applied, by "build/id".
-  std::map<std::string, std::string> applied() const;
-
-  void keep_plan(int build, const std::string& text, const std::string& who);
-  std::map<int, std::string> plans() const;  // by build
-
-  // The token of the lease that `who` now holds; nothing while another's is running. Times in ms
-  // since 1970. A lease that ends implausibly late, for a clock has jumped, does not count.
-  std::optional<std::int64_t> take_lease(const std::string& who, std::int64_t now_ms,
-                                         std::int64_t for_ms);
-  bool renew_lease(const std::string& who, std::int64_t token, std::int64_t now_ms,
-                   std::int64_t for_ms);
-
-  // Changes of objects, the key of the request that made one, and a state: all or nothing, durable
-  // when it returns. Keys older than `keys_for_ms` are forgotten, and all but the last `keep`
-  // changes let go.
+  /// The digests of the steps that were applied, by "build/id". Steps that are known to have
+  /// changed nothing, or that were rolled back, are left out: they may be edited.
+  std::map<std::string, std::string> applied_digests() const;
+
+  void save_plan(int build, const std::string& text, const std::string& who);
+  std::map<int, std::string> plans() const;  ///< Texts by build.
+
+  /// Acquires the lease and returns its token, which only grows; nothing while another holder's
+  /// lease runs. Times are in ms since 1970. A lease that ends implausibly late, because a clock
+  /// has jumped, is ignored.
+  std::optional<std::int64_t> acquire_lease(const std::string& holder, std::int64_t now_ms,
+                                            std::int64_t length_ms);
+  /// False when the lease is not held with that token any more.
+  bool renew_lease(const std::string& holder, std::int64_t token, std::int64_t now_ms,
+                   std::int64_t length_ms);
+
+  /// Changes of objects with the key of the request that made them and a value, written as one.
   struct Commit {
     std::vector<ObjectChange> changes{};
     std::optional<RequestKey> key{};
-    std::optional<std::pair<std::string, std::string>> state{};
+    std::optional<StateValue> state{};
   };
-  void commit(const Commit& commit, std::size_t keep, std::int64_t keys_for_ms);
-  std::map<std::string, std::string> objects() const;  // bodies by name
-  std::vector<ObjectChange> changes() const;           // those kept, oldest first
-  std::int64_t object_version() const;                 // of the last change ever
-  std::optional<RequestKey> request(const std::string& key) const;
-
-  void put(const std::string& key, const std::string& value);
-  std::optional<std::string> get(const std::string& key) const;
-  // Many writes as one, durable at the end: for imports and measurements, not for steps.
-  void batch(bool begin);
-  // For tests: the journal may grow to so many pages more.
-  void limit_pages(int more);
+  /// All but the last `max_changes` changes are dropped, and keys older than `key_lifetime_ms`.
+  void commit(const Commit& commit, std::size_t max_changes, std::int64_t key_lifetime_ms);
+  std::map<std::string, std::string> objects() const;  ///< Bodies by name.
+  std::vector<ObjectChange> changes() const;           ///< Oldest first.
+  std::int64_t object_version() const;                 ///< Of the last change.
+  std::optional<RequestKey> find_request_key(const std::string& key) const;
+
+  void set_state(const std::string& key, const std::string& value);
+  std::optional<std::string> state(const std::string& key) const;
+
+  /// Imports and measurements write many entries in one transaction, durable at its end.
+  void begin_batch();
+  void end_batch();
+  /// For tests: lets the file grow by at most so many pages from now.
+  void limit_growth(int pages);
 
  private:
-  void run(const std::string& sql) const;
-  void migrate(int from);
-  sqlite3* db_ = nullptr;
-  std::string file_;
+  void execute(const std::string& sql) const;
+  void write_change(const ObjectChange& change);
+
+  sqlite3* database_ = nullptr;
 };
 
 }  // namespace robinhoist::journal
--- a/src/migration/plan_state_machine.cpp
+++ b/src/migration/plan_state_machine.cpp
@@ -5,350 +5,436 @@
 
 namespace robinhoist::migration {
 namespace {
+
 using namespace std::chrono_literals;
-// A data step backs off while more than this part of the requests do poorly: its pause between
-// batches doubles, and shrinks by a quarter with each word that all is well.
+
+/// Above this share of unsuccessful requests the pause between batches doubles; below it shrinks
+/// by a quarter.
 constexpr double max_unsuccessful_share = 0.02;
+/// Reports of fewer requests are ignored.
 constexpr long min_requests = 20;
-constexpr std::size_t pace_most = 16;
-constexpr Duration throttle_least = 20ms, throttle_most = 5s;
+constexpr std::size_t max_batch_samples = 16;
+constexpr Duration min_batch_pause = 20ms;
+constexpr Duration max_batch_pause = 5s;
+
+bool is_earlier(TimePoint time, const std::optional<TimePoint>& other) {
+  return !other || time < *other;
+}
+
 }  // namespace
 
 PlanStateMachine::PlanStateMachine(Plan plan)
     : plan_(std::move(plan)), progress_(plan_.steps.size()) {}
 
-int PlanStateMachine::step(const std::string& id) const {
+int PlanStateMachine::find_step(const std::string& id) const {
   for (std::size_t i = 0; i < plan_.steps.size(); ++i)
     if (plan_.steps[i].id == id)
       return static_cast<int>(i);
   return -1;
 }
 
-// A step that a stage needs runs while the stage before it goes on.
-bool PlanStateMachine::wanted(int i) const {
-  if (!release_.offered || release_.going_back || release_.withdrawn)
+/// A migrate step is due while the stage before the one that needs it runs.
+bool PlanStateMachine::is_due(int index) const {
+  if (!release_.offered || release_.rolling_back || release_.rolled_back)
     return false;
-  const Step& step = plan_.steps[i];
+  const Step& step = plan_.steps[index];
   if (step.phase == Phase::contract)
-    return release_.final;
+    return release_.finalized;
   return step.phase == Phase::expand || release_.stage >= step.before_stage - 1;
 }
 
-bool PlanStateMachine::finished(int i) const {
-  const Progress& progress = progress_[i];
+bool PlanStateMachine::is_finished(int index) const {
+  const Progress& progress = progress_[index];
   if (progress.skipped)
     return true;
-  return progress.fact == StepState::applied && (plan_.steps[i].check.empty() || progress.verified);
+  const bool has_check = !plan_.steps[index].check_query.empty();
+  return progress.state == StepState::applied && (!has_check || progress.verified);
 }
 
-bool PlanStateMachine::to_undo(int i) const {
-  const Step& step = plan_.steps[i];
-  const Progress& progress = progress_[i];
-  if (step.phase == Phase::contract || progress.skipped || !step.undo_on_back)
+bool PlanStateMachine::needs_rollback(int index) const {
+  const Step& step = plan_.steps[index];
+  const Progress& progress = progress_[index];
+  if (step.phase == Phase::contract || progress.skipped || !step.rollback_with_release)
     return false;
-  return progress.fact == StepState::applied || progress.fact == StepState::maybe_applied ||
-         progress.fact == StepState::maybe_undone ||
-         (progress.fact == StepState::not_applied && progress.after > 0);
+  switch (progress.state) {
+    case StepState::applied:
+    case StepState::maybe_applied:
+    case StepState::maybe_rolled_back:
+      return true;
+    case StepState::not_applied:
+      return progress.cursor > 0;  // Some batches have run.
+    case StepState::rolled_back:
+      break;
+  }
+  return false;
 }
 
-std::optional<Action> PlanStateMachine::run(int i, Direction direction) {
+std::optional<Action> PlanStateMachine::start_run(int index, Direction direction) {
   busy_ = true;
-  const bool all =
-      direction == Direction::undo && progress_[i].whole && plan_.steps[i].undo_in_batches;
-  return Action{ActionKind::run,
-                i,
-                direction,
-                progress_[i].tries + 1,
-                all ? beyond_all_keys : progress_[i].after,
-                ""};
+  const Progress& progress = progress_[index];
+  const bool rolls_back_all = direction == Direction::rollback && progress.fully_applied &&
+                              plan_.steps[index].rollback_in_batches;
+  return Action{.kind = ActionKind::run,
+                .step = index,
+                .direction = direction,
+                .attempt = progress.failures + 1,
+                .cursor = rolls_back_all ? beyond_all_keys : progress.cursor};
 }
 
-// It may have run: that is looked into, never simply run again.
-std::optional<Action> PlanStateMachine::resolve(int i, Direction direction) {
-  const Step& step = plan_.steps[i];
-  Progress& progress = progress_[i];
-  if (step.transactional || !step.check.empty()) {
+/// A step that may have run is probed; it is run again only when it is idempotent.
+std::optional<Action> PlanStateMachine::resolve_unknown(int index, Direction direction) {
+  const Step& step = plan_.steps[index];
+  Progress& progress = progress_[index];
+  Action action{.kind = ActionKind::wait_for_operator,
+                .step = index,
+                .direction = direction,
+                .attempt = progress.failures};
+  if (step.transactional || !step.check_query.empty()) {
     busy_ = true;
-    return Action{step.transactional ? ActionKind::look_for_mark : ActionKind::check,
-                  i,
-                  direction,
-                  progress.tries,
-                  0,
-                  ""};
+    action.kind = step.transactional ? ActionKind::query_marker : ActionKind::run_check;
+    return action;
   }
   if (step.idempotent)
-    return run(i, direction);
-  progress.stuck = progress.asked = true;
-  progress.why = "it may have run, nothing can tell, and it must not run twice";
-  return Action{ActionKind::ask_operator, i, direction, progress.tries, 0, progress.why};
+    return start_run(index, direction);
+  progress.blocked = true;
+  progress.undecidable = true;
+  progress.reason = "it may have run, nothing can tell, and it must not run twice";
+  action.reason = progress.reason;
+  return action;
 }
 
-std::optional<Action> PlanStateMachine::forward(int i, TimePoint now) {
-  Progress& progress = progress_[i];
-  if (progress.stuck || now < progress.retry_at)
+std::optional<Action> PlanStateMachine::next_apply_action(int index, TimePoint now) {
+  const Progress& progress = progress_[index];
+  if (progress.blocked || now < progress.retry_at)
     return {};
-  switch (progress.fact) {
+  const bool continues_batches = plan_.steps[index].kind == StepKind::data && progress.cursor > 0;
+  switch (progress.state) {
     case StepState::not_applied:
-    case StepState::undone:
-      if (plan_.steps[i].kind == StepKind::data && progress.after > 0 && now < batch_at_)
+    case StepState::rolled_back:
+      if (continues_batches && now < next_batch_at_)
         return {};
-      return run(i, Direction::apply);
+      return start_run(index, Direction::apply);
     case StepState::maybe_applied:
-      return resolve(i, Direction::apply);
-    case StepState::maybe_undone:
-      return resolve(i, Direction::undo);
+      return resolve_unknown(index, Direction::apply);
+    case StepState::maybe_rolled_back:
+      return resolve_unknown(index, Direction::rollback);
     case StepState::applied:
       break;
   }
   busy_ = true;
-  return Action{ActionKind::verify, i, Direction::apply, progress.tries, 0, ""};
+  return Action{.kind = ActionKind::verify, .step = index, .attempt = progress.failures};
 }
 
-std::optional<Action> PlanStateMachine::backward(int i, TimePoint now) {
-  Progress& progress = progress_[i];
-  if (progress.stuck || now < progress.retry_at)
+std::optional<Action> PlanStateMachine::next_rollback_action(int index, TimePoint now) {
+  const Progress& progress = progress_[index];
+  if (progress.blocked || now < progress.retry_at)
     return {};
-  if (progress.fact == StepState::maybe_applied)
-    return resolve(i, Direction::apply);
-  if (progress.fact == StepState::maybe_undone)
-    return resolve(i, Direction::undo);
-  if (plan_.steps[i].undo_in_batches && !progress.whole && now < batch_at_)
+  if (progress.state == StepState::maybe_applied)
+    return resolve_unknown(index, Direction::apply);
+  if (progress.state == StepState::maybe_rolled_back)
+    return resolve_unknown(index, Direction::rollback);
+  const bool continues_batches = plan_.steps[index].rollback_in_batches && !progress.fully_applied;
+  if (continues_batches && now < next_batch_at_)
     return {};
-  return run(i, Direction::undo);
+  return start_run(index, Direction::rollback);
 }
 
-std::optional<Action> PlanStateMachine::next(TimePoint now) {
-  // One at a time, and none while another runner may hold the lease.
-  if (busy_ || paused_ || !leased_)
+std::optional<Action> PlanStateMachine::next_action(TimePoint now) {
+  if (busy_ || paused_ || !lease_held_)
     return {};
   const int count = static_cast<int>(plan_.steps.size());
-  if (release_.withdrawn) {
-    for (int i = count - 1; i >= 0; --i)
-      if (to_undo(i))
-        return backward(i, now);
+  if (release_.rolled_back) {
+    for (int index = count - 1; index >= 0; --index)
+      if (needs_rollback(index))
+        return next_rollback_action(index, now);
     return {};
   }
-  // Strictly in order: what is not wanted yet, or stands still, holds up all that follows.
-  for (int i = 0; i < count && wanted(i); ++i)
-    if (!finished(i))
-      return forward(i, now);
+  // Strictly in order: a step that is not due, or that waits, holds up all that follow.
+  for (int index = 0; index < count && is_due(index); ++index)
+    if (!is_finished(index))
+      return next_apply_action(index, now);
   return {};
 }
 
-std::optional<TimePoint> PlanStateMachine::next_look() const {
-  std::optional<TimePoint> at;
-  for (const Progress& progress : progress_)
-    if (!progress.stuck && progress.retry_at > TimePoint{} && (!at || progress.retry_at < *at))
-      at = progress.retry_at;
-  if (batch_at_ > TimePoint{} && (!at || batch_at_ < *at))
-    at = batch_at_;
-  return at;
+std::optional<TimePoint> PlanStateMachine::next_check_at() const {
+  std::optional<TimePoint> earliest;
+  for (const Progress& progress : progress_) {
+    const bool waits_for_retry = !progress.blocked && progress.retry_at > TimePoint{};
+    if (waits_for_retry && is_earlier(progress.retry_at, earliest))
+      earliest = progress.retry_at;
+  }
+  if (next_batch_at_ > TimePoint{} && is_earlier(next_batch_at_, earliest))
+    earliest = next_batch_at_;
+  return earliest;
 }
 
-void PlanStateMachine::again(Progress& progress, const Step& step, TimePoint now) {
-  ++progress.tries;
-  Duration pause = step.pause_least;
-  for (int i = 1; i < progress.tries && pause < step.pause_most; ++i)
-    pause *= 2;
-  // Spread by the step's own digest: the same events give the same pauses, and not all steps the
-  // same.
-  const int part = step.digest.empty() ? 0 : step.digest[progress.tries % step.digest.size()] % 16;
-  pause = std::min(pause, step.pause_most);
-  progress.retry_at = now + pause / 2 + pause * part / 32;
+void PlanStateMachine::schedule_retry(Progress& progress, const Step& step, TimePoint now) {
+  ++progress.failures;
+  Duration delay = step.min_retry_delay;
+  for (int i = 1; i < progress.failures && delay < step.max_retry_delay; ++i)
+    delay *= 2;
+  delay = std::min(delay, step.max_retry_delay);
+  // The jitter comes from the step's digest: the same events give the same delays, and different
+  // steps different ones.
+  const std::string& digest = step.digest;
+  const int jitter = digest.empty() ? 0 : digest[progress.failures % digest.size()] % 16;
+  progress.retry_at = now + delay / 2 + delay * jitter / 32;
 }
 
-void PlanStateMachine::ended(int i, Direction direction, StepResult result, std::int64_t after,
-                             const std::string& why, TimePoint now) {
+void PlanStateMachine::add_batch_sample(Progress& progress, std::int64_t cursor, TimePoint now) {
+  auto& samples = progress.recent_batches;
+  // Batches of an apply and of a rollback have no pace in common.
+  if (samples.size() > 1) {
+    const bool was_ascending = samples[1].cursor > samples[0].cursor;
+    const bool is_ascending = cursor > samples.back().cursor;
+    if (was_ascending != is_ascending)
+      samples.clear();
+  }
+  samples.push_back({now, cursor});
+  if (samples.size() > max_batch_samples)
+    samples.pop_front();
+}
+
+void PlanStateMachine::on_run_result(int index, Direction direction, StepResult result,
+                                     std::int64_t cursor, const std::string& reason,
+                                     TimePoint now) {
   busy_ = false;
-  Progress& progress = progress_[i];
-  const Step& step = plan_.steps[i];
-  progress.why = why;
-  replay_ended(i, direction, result, after);
+  Progress& progress = progress_[index];
+  const Step& step = plan_.steps[index];
+  progress.reason = reason;
+  replay_run_result(index, direction, result, cursor);
   switch (result) {
     case StepResult::done:
     case StepResult::more:
-      progress.tries = 0;
+      progress.failures = 0;
       progress.retry_at = TimePoint{};
-      batch_at_ = now + throttle_;
-      // A pace is one of one direction.
-      if (progress.pace.size() > 1 &&
-          (progress.pace[1].after > progress.pace[0].after) != (after > progress.pace.back().after))
-        progress.pace.clear();
-      progress.pace.push_back({now, after});
-      if (progress.pace.size() > pace_most)
-        progress.pace.pop_front();
+      next_batch_at_ = now + batch_pause_;
+      add_batch_sample(progress, cursor, now);
       break;
     case StepResult::not_run:
+      schedule_retry(progress, step, now);
+      if (progress.failures >= step.max_attempts)
+        progress.blocked = true;
+      break;
     case StepResult::unknown:
-      again(progress, step, now);
-      if (result == StepResult::not_run && progress.tries >= step.tries)
-        progress.stuck = true;
+      schedule_retry(progress, step, now);
       break;
     case StepResult::fenced:
-      leased_ = false;
+      lease_held_ = false;
       break;
   }
 }
 
-void PlanStateMachine::looked(int i, ProbeResult applied, std::int64_t after,
-                              const std::string& why, TimePoint now) {
+void PlanStateMachine::on_probe_result(int index, ProbeResult applied, std::int64_t cursor,
+                                       const std::string& reason, TimePoint now) {
   busy_ = false;
-  Progress& progress = progress_[i];
-  progress.why = why;
-  const bool verifying = progress.fact == StepState::applied;
-  replay_looked(i, applied, after);
+  Progress& progress = progress_[index];
+  progress.reason = reason;
+  const bool was_verification = progress.state == StepState::applied;
+  replay_probe_result(index, applied, cursor);
   if (applied == ProbeResult::unknown) {
-    again(progress, plan_.steps[i], now);
-  } else if (verifying && applied == ProbeResult::no) {
-    progress.stuck = true;
-    progress.why = "it was applied, but its check says that it is not";
+    schedule_retry(progress, plan_.steps[index], now);
+  } else if (was_verification && applied == ProbeResult::no) {
+    progress.blocked = true;
+    progress.reason = "it was applied, but its check says that it is not";
   } else {
     progress.retry_at = TimePoint{};
   }
 }
 
-void PlanStateMachine::replay_intent(int i, Direction direction) {
-  Progress& progress = progress_[i];
-  progress.fact =
-      direction == Direction::apply ? StepState::maybe_applied : StepState::maybe_undone;
+void PlanStateMachine::replay_intent(int index, Direction direction) {
+  Progress& progress = progress_[index];
+  progress.state =
+      direction == Direction::apply ? StepState::maybe_applied : StepState::maybe_rolled_back;
   progress.verified = false;
 }
 
-void PlanStateMachine::replay_ended(int i, Direction direction, StepResult result,
-                                    std::int64_t after) {
-  Progress& progress = progress_[i];
-  const bool apply = direction == Direction::apply;
+void PlanStateMachine::replay_run_result(int index, Direction direction, StepResult result,
+                                         std::int64_t cursor) {
+  Progress& progress = progress_[index];
+  const bool is_apply = direction == Direction::apply;
   switch (result) {
     case StepResult::done:
-      progress.fact = apply ? StepState::applied : StepState::undone;
-      progress.whole = apply;
-      progress.after = apply ? after : 0;
+      progress.state = is_apply ? StepState::applied : StepState::rolled_back;
+      progress.fully_applied = is_apply;
+      progress.cursor = is_apply ? cursor : 0;
       progress.verified = false;
       break;
     case StepResult::more:
-      progress.fact = StepState::not_applied;
-      progress.whole = false;
-      progress.after = after;
+      progress.state = StepState::not_applied;
+      progress.fully_applied = false;
+      progress.cursor = cursor;
       break;
     case StepResult::not_run:
-    case StepResult::fenced:
-      // An undo that changed nothing leaves what was there: all of the step, or the part that a
-      // back cut off.
-      progress.fact = !apply && progress.whole ? StepState::applied : StepState::not_applied;
+    case StepResult::fenced: {
+      // A rollback that changed nothing leaves what was there: the whole step, or those batches
+      // that had run when the release rolled back.
+      const bool stays_applied = !is_apply && progress.fully_applied;
+      progress.state = stays_applied ? StepState::applied : StepState::not_applied;
       break;
+    }
     case StepResult::unknown:
-      progress.fact = apply ? StepState::maybe_applied : StepState::maybe_undone;
+      progress.state = is_apply ? StepState::maybe_applied : StepState::maybe_rolled_back;
       break;
   }
 }
 
-void PlanStateMachine::replay_looked(int i, ProbeResult applied, std::int64_t after) {
-  Progress& progress = progress_[i];
+void PlanStateMachine::replay_probe_result(int index, ProbeResult applied, std::int64_t cursor) {
+  Progress& progress = progress_[index];
   if (applied == ProbeResult::unknown)
     return;
-  if (progress.fact == StepState::applied) {
+  if (progress.state == StepState::applied) {
     progress.verified = applied == ProbeResult::yes;
     return;
   }
-  const bool undone = progress.fact == StepState::maybe_undone;
+  const bool was_rollback = progress.state == StepState::maybe_rolled_back;
   if (applied == ProbeResult::yes) {
-    progress.fact = undone && !progress.whole ? StepState::not_applied : StepState::applied;
-    progress.whole |= !undone;
-  } else {
-    // Not whole, but with a cursor: the part that was there before the undo is there still.
-    progress.fact = undone && after == 0 ? StepState::undone : StepState::not_applied;
-    progress.whole = false;
-    progress.after = after;
+    const bool only_part = was_rollback && !progress.fully_applied;
+    progress.state = only_part ? StepState::not_applied : StepState::applied;
+    progress.fully_applied |= !was_rollback;
+    return;
   }
+  // With a cursor, the batches that were there before the rollback are there still.
+  progress.state = was_rollback && cursor == 0 ? StepState::rolled_back : StepState::not_applied;
+  progress.fully_applied = false;
+  progress.cursor = cursor;
 }
 
-void PlanStateMachine::client_outcomes(long requests, long unsuccessful, TimePoint now) {
+void PlanStateMachine::on_client_outcomes(long requests, long failed, TimePoint now) {
   if (requests < min_requests)
     return;
-  if (static_cast<double>(unsuccessful) > max_unsuccessful_share * static_cast<double>(requests))
-    throttle_ = std::min(throttle_most, std::max(throttle_least, 2 * throttle_));
-  else
-    throttle_ = throttle_ * 3 / 4 < throttle_least / 2 ? Duration{} : throttle_ * 3 / 4;
-  batch_at_ = std::min(std::max(batch_at_, now), now + throttle_);
+  const double max_failed = max_unsuccessful_share * static_cast<double>(requests);
+  if (static_cast<double>(failed) > max_failed) {
+    batch_pause_ = std::min(max_batch_pause, std::max(min_batch_pause, 2 * batch_pause_));
+  } else {
+    const Duration shorter = batch_pause_ * 3 / 4;
+    batch_pause_ = shorter < min_batch_pause / 2 ? Duration{} : shorter;
+  }
+  next_batch_at_ = std::min(std::max(next_batch_at_, now), now + batch_pause_);
 }
 
-std::optional<Estimate> PlanStateMachine::estimate(int i) const {
-  const Progress& progress = progress_[i];
-  if (plan_.steps[i].kind != StepKind::data || progress.fact == StepState::applied ||
-      progress.after <= 0 || progress.last < progress.after)
+std::optional<Estimate> PlanStateMachine::estimate(int index) const {
+  const Progress& progress = progress_[index];
+  const bool is_under_way = plan_.steps[index].kind == StepKind::data &&
+                            progress.state != StepState::applied && progress.cursor > 0;
+  if (!is_under_way || progress.max_key < progress.cursor)
     return {};
-  Estimate estimate{static_cast<double>(progress.after) / static_cast<double>(progress.last)};
-  if (progress.pace.size() < 2)
+  Estimate estimate{static_cast<double>(progress.cursor) / static_cast<double>(progress.max_key)};
+  if (progress.recent_batches.size() < 2)
     return estimate;
-  const auto& from = progress.pace.front();
-  const auto& to = progress.pace.back();
-  const std::int64_t left = to.after > from.after ? progress.last - to.after : to.after;
-  const double keys = std::abs(static_cast<double>(to.after - from.after));
-  if (keys > 0)
-    estimate.left = Duration(static_cast<std::int64_t>(
-        static_cast<double>((to.at - from.at).count()) * static_cast<double>(left) / keys));
+  const Progress::BatchSample& first = progress.recent_batches.front();
+  const Progress::BatchSample& last = progress.recent_batches.back();
+  const bool is_ascending = last.cursor > first.cursor;
+  const std::int64_t keys_left = is_ascending ? progress.max_key - last.cursor : last.cursor;
+  const double keys_done = std::abs(static_cast<double>(last.cursor - first.cursor));
+  if (keys_done > 0) {
+    const auto elapsed_us = static_cast<double>((last.ended_at - first.ended_at).count());
+    const double left_us = elapsed_us * static_cast<double>(keys_left) / keys_done;
+    estimate.time_left = Duration(static_cast<std::int64_t>(left_us));
+  }
   return estimate;
 }
 
-bool PlanStateMachine::retry(int i) {
-  Progress& progress = progress_[i];
-  if (!progress.stuck && progress.retry_at == TimePoint{})
+bool PlanStateMachine::retry(int index) {
+  Progress& progress = progress_[index];
+  if (!progress.blocked && progress.retry_at == TimePoint{})
     return false;
-  if (progress.asked && progress.fact == StepState::maybe_applied)
-    progress.fact = StepState::not_applied;
-  if (progress.asked && progress.fact == StepState::maybe_undone)
-    progress.fact = progress.whole ? StepState::applied : StepState::not_applied;
-  progress.stuck = progress.asked = false;
-  progress.tries = 0;
+  if (progress.undecidable && progress.state == StepState::maybe_applied)
+    progress.state = StepState::not_applied;
+  if (progress.undecidable && progress.state == StepState::maybe_rolled_back)
+    progress.state = progress.fully_applied ? StepState::applied : StepState::not_applied;
+  progress.blocked = false;
+  progress.undecidable = false;
+  progress.failures = 0;
   progress.retry_at = TimePoint{};
   return true;
 }
 
-void PlanStateMachine::skip_now(int i) {
-  Progress& progress = progress_[i];
+void PlanStateMachine::mark_skipped(int index) {
+  Progress& progress = progress_[index];
   progress.skipped = true;
-  progress.stuck = progress.asked = false;
+  progress.blocked = false;
+  progress.undecidable = false;
   progress.retry_at = TimePoint{};
 }
 
-bool PlanStateMachine::skip(int i) {
-  if (busy_ || (release_.withdrawn ? !to_undo(i) : finished(i)))
+bool PlanStateMachine::skip(int index) {
+  const bool is_done = release_.rolled_back ? !needs_rollback(index) : is_finished(index);
+  if (busy_ || is_done)
     return false;
-  skip_now(i);
+  mark_skipped(index);
   return true;
 }
 
-bool PlanStateMachine::allows(int stage, std::string* why) const {
+std::optional<std::string> PlanStateMachine::blocking_reason(int stage) const {
   for (std::size_t i = 0; i < plan_.steps.size(); ++i) {
     const Step& step = plan_.steps[i];
-    const bool needed =
+    const bool is_needed =
         step.phase == Phase::expand || (step.phase == Phase::migrate && step.before_stage <= stage);
-    if (!needed || finished(static_cast<int>(i)))
-      continue;
-    if (why)
-      *why = "step " + step.id + " is not done (" + to_string(progress_[i].fact) + ")";
-    return false;
+    if (is_needed && !is_finished(static_cast<int>(i)))
+      return "step " + step.id + " is not done (" + to_string(progress_[i].state) + ")";
   }
-  return true;
+  return {};
 }
 
-bool PlanStateMachine::succeeded() const {
-  for (int i = 0; i < static_cast<int>(plan_.steps.size()); ++i) {
-    if (release_.withdrawn ? to_undo(i) : wanted(i) && !finished(i))
+bool PlanStateMachine::is_complete() const {
+  for (int index = 0; index < static_cast<int>(plan_.steps.size()); ++index) {
+    const bool has_work =
+        release_.rolled_back ? needs_rollback(index) : is_due(index) && !is_finished(index);
+    if (has_work)
       return false;
   }
   return true;
 }
 
-const char* to_string(StepState fact) {
-  static const char* const words[] = {"not applied", "may be applied", "applied", "may be undone",
-                                      "undone"};
-  return words[static_cast<int>(fact)];
+// The texts below stand in the journal and in the API's JSON; readers depend on them.
+
+const char* to_string(StepState state) {
+  switch (state) {
+    case StepState::not_applied:
+      return "not applied";
+    case StepState::maybe_applied:
+      return "may be applied";
+    case StepState::applied:
+      return "applied";
+    case StepState::maybe_rolled_back:
+      return "may be undone";
+    case StepState::rolled_back:
+      break;
+  }
+  return "undone";
 }
 
 const char* to_string(StepResult result) {
-  static const char* const words[] = {"done", "more", "not-run", "unknown", "fenced"};
-  return words[static_cast<int>(result)];
+  switch (result) {
+    case StepResult::done:
+      return "done";
+    case StepResult::more:
+      return "more";
+    case StepResult::not_run:
+      return "not-run";
+    case StepResult::unknown:
+      return "unknown";
+    case StepResult::fenced:
+      break;
+  }
+  return "fenced";
+}
+
+const char* to_string(ProbeResult result) {
+  switch (result) {
+    case ProbeResult::yes:
+      return "yes";
+    case ProbeResult::no:
+      return "no";
+    case ProbeResult::unknown:
+      break;
+  }
+  return "unknown";
+}
+
+const char* to_string(Direction direction) {
+  return direction == Direction::apply ? "apply" : "undo";
 }
 
 }  // namespace robinhoist::migration
--- a/src/migration/runner.h
+++ b/src/migration/runner.h
@@ -1,15 +1,21 @@
-// Carries out what the cores of steps decide: writes down, calls the target, writes down, and keeps
-// the lease. Plans run one after the other: a later release's steps wait until an earlier one has
-// nothing left to do.
+/// Runs the steps of migration plans: journals each intent, calls the target, journals the result.
+///
+/// Plans run one after the other: the steps of a later release wait until an earlier plan has
+/// nothing left to do. What runs next is decided by PlanStateMachine.
 #pragma once
-#include <deque>
+#include <cstdint>
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
+#include <vector>
 
 #include "journal/journal.h"
 #include "log/logger.h"
+#include "migration/lease.h"
 #include "migration/plan_state_machine.h"
+#include "migration/status.h"
+#include "migration/step_journal.h"
 #include "migration/target.h"
 #include "net/loop.h"
 #include "time/time_types.h"
@@ -17,79 +23,94 @@
 namespace robinhoist::migration {
 
 struct RunnerSettings {
-  std::string who{};  // holder of the lease
-  Duration lease{};   // its length; renewed at a third of it
-  int stages = 1;
-  Duration journal_again = std::chrono::milliseconds(500);  // after it took nothing
-  // Called at each point between two writes, for tests that end the process there.
-  std::function<void(const char* point)> point{};
+  std::string holder{};     ///< Names this process in the lease and in the journal.
+  Duration lease_length{};  ///< It is renewed after a third of it.
+  int stages = 1;           ///< Of the rollout.
+  Duration journal_retry_delay = std::chrono::milliseconds(500);
+  /// Called between any two writes; tests end the runner there.
+  std::function<void(const char* point)> on_crash_point{};
 };
 
+/// All functions run on the loop's thread. The loop, the journal, the target and the logger must
+/// outlive the runner.
 class Runner {
  public:
+  /// Loads the plans of the journal and rebuilds their state. Throws journal::JournalError, or
+  /// settings::ValidationError when a stored plan does not fit the settings any more.
   Runner(net::Loop& loop, const RunnerSettings& settings, journal::Journal& journal, Target& target,
          const log::Logger& log);
   ~Runner();
+  Runner(const Runner&) = delete;
+  Runner& operator=(const Runner&) = delete;
 
-  // Takes a plan, new or edited; throws settings::ValidationError with all that is wrong with it.
-  int take_plan(const std::string& text, const std::string& name, const std::string& who);
-  // Where a build's release stands; builds without a plan are let pass.
-  void release(int build, const ReleaseState& release);
-  bool allows(int build, int stage, std::string* why = nullptr) const;
-  // The operator's words; empty when done, else why not.
-  std::string pause(bool on, const std::string& who, const std::string& why);
-  std::string retry(int build, const std::string& step, const std::string& who,
-                    const std::string& why);
-  std::string skip(int build, const std::string& step, const std::string& who,
-                   const std::string& why);
-  void client_outcomes(long requests, long unsuccessful);
-  // Asks the target again about every step that was applied, by its check, else by its mark;
-  // nothing is changed. JSON, once all have been asked.
-  void verify(std::function<void(const std::string&)> done);
-  void pull();
-  // Called after each change that may move a gate.
-  std::function<void()> changed{};
+  /// Takes a new plan, or an edited one of the same build, and returns its build. Throws
+  /// settings::ValidationError with all that is wrong with it, journal::JournalError when it cannot
+  /// be stored.
+  int accept_plan(const std::string& text, const std::string& name,
+                  const std::string& operator_name);
+  void set_release(int build, const ReleaseState& release);
+  void on_client_outcomes(long requests, long failed);
+  /// Runs what is due, and calls on_changed.
+  void run_due_actions();
 
-  std::string status() const;  // JSON
-  bool succeeded() const;
-  bool stuck() const;
+  /// Why a stage of a build may not take traffic yet; nothing when it may. Builds without a plan
+  /// only wait for the plans of earlier ones.
+  std::optional<std::string> blocking_reason(int build, int stage) const;
+  bool allows(int build, int stage) const { return !blocking_reason(build, stage); }
+
+  /// The operator's commands. retry() and skip() return why they were rejected; empty when done.
+  void set_paused(bool paused, const std::string& operator_name, const std::string& reason);
+  std::string retry(int build, const std::string& step, const std::string& operator_name,
+                    const std::string& reason);
+  std::string skip(int build, const std::string& step, const std::string& operator_name,
+                   const std::string& reason);
+
+  /// Asks the target whether the applied steps still are; `done` gets the result as JSON.
+  void verify(std::function<void(const std::string& json)> done);
+
+  std::string status_json() const;
+  std::vector<StepSummary> step_summaries(int build) const;
   bool has_plan(int build) const { return find(build) != nullptr; }
-  // Of a build's plan, in order: id, phase, state in words.
-  struct StepSummary {
-    std::string id, phase, state;
-  };
-  std::vector<StepSummary> steps_of(int build) const;
+  /// Whether no plan has anything left to do.
+  bool is_complete() const;
+  /// Whether any step waits for the operator.
+  bool is_blocked() const;
+
+  /// Called after each change that may let a stage take traffic, or stop it from doing so.
+  std::function<void()> on_changed{};
 
  private:
-  struct Run {
-    PlanStateMachine core;
-    std::string text;
-    TimePoint began{};
+  struct PlanRun {
+    PlanStateMachine machine;
+    TimePoint action_started_at{};
   };
-  struct Verification;
-  Run* find(int build) const;
-  void verify_next(const std::shared_ptr<Verification>& verification);
-  std::unique_ptr<Run> rebuilt(const Plan& plan, const std::string& text) const;
-  void act(Run& run, const Action& todo);
-  void write(const Run& run, const Step& step, const char* what, Direction direction,
-             const std::string& outcome, std::int64_t after, int attempt, const std::string& why,
-             const std::string& who = "");
+
+  PlanRun* find(int build) const;
+  std::unique_ptr<PlanRun> rebuild(const Plan& plan) const;
+  void check_applied_steps_remain(const Plan& plan, const settings::SexpReader& reader) const;
+  void store(std::unique_ptr<PlanRun> run);
   void keep_lease();
-  void at(const char* point) const;
-  void failed(const std::string& why);
+  void run_next_plan();
+  void execute(PlanRun& run, const Action& action);
+  void start_step(PlanRun& run, const Action& action);
+  void probe_step(const PlanRun& run, const Action& action);
+  void on_run_outcome(int build, const Action& action, const RunOutcome& outcome);
+  void on_probe_outcome(int build, const Action& action, const ProbeOutcome& outcome);
+  void log_action(const PlanRun& run, const Action& action) const;
+  void on_journal_error(const std::string& reason);
+  void crash_point(const char* point) const;
 
   net::Loop& loop_;
   RunnerSettings settings_;
   journal::Journal& journal_;
   Target& target_;
   const log::Logger& log_;
-  std::vector<std::unique_ptr<Run>> runs_{};  // by build, oldest first
-  std::int64_t token_ = 0;
-  TimePoint lease_until_{};
-  net::Loop::Timer lease_timer_ = net::Loop::no_timer, look_ = net::Loop::no_timer;
-  std::deque<journal::Entry> unwritten_{};  // outcomes that the journal has not taken yet
-  std::string broken_{};                    // why the journal takes nothing
-  bool pulling_ = false;
+  Lease lease_;
+  StepJournal step_journal_;
+  std::vector<std::unique_ptr<PlanRun>> runs_{};  ///< By build, oldest first.
+  net::Loop::Timer lease_timer_ = net::Loop::no_timer;
+  net::Loop::Timer action_timer_ = net::Loop::no_timer;
+  bool running_actions_ = false;  ///< run_due_actions() is on the stack.
 };
 
 }  // namespace robinhoist::migration
--- a/src/migration/target.cpp
+++ b/src/migration/target.cpp
@@ -8,121 +8,160 @@
 
 using namespace std::chrono_literals;
 
-http::ConnectionPoolSettings settings() {
-  http::ConnectionPoolSettings to;
-  to.max_connections = 4;
-  to.connect_timeout = 2s;
-  return to;
+constexpr const char* run_path = "/v1/steps/run";
+constexpr const char* marker_path = "/v1/steps/mark";
+constexpr const char* query_path = "/v1/query";
+
+constexpr int status_ok = 200;
+constexpr int status_fenced = 409;
+constexpr int status_changed_nothing = 422;
+
+http::ConnectionPoolSettings pool_settings() {
+  http::ConnectionPoolSettings settings;
+  settings.max_connections = 4;
+  settings.connect_timeout = 2s;
+  return settings;
 }
 
-std::string mark_of(const Plan& plan, const Step& step) {
-  return std::to_string(plan.build) + "/" + step.id;
+std::string marker_of(int build, const Step& step) {
+  return std::to_string(build) + "/" + step.id;
 }
 
-http::Request post(const char* target, std::string body) {
+http::Request post(const char* path, std::string body) {
   http::Request request;
   request.method = "POST";
-  request.target = target;
+  request.target = path;
   request.headers.add("Content-Type", "application/json");
   request.body = std::move(body);
   return request;
 }
 
-std::string why_of(http::CallResult how, const http::Response& response) {
-  if (how == http::CallResult::answered)
+std::string failure_text(http::CallResult result, const http::Response& response) {
+  if (result == http::CallResult::answered)
     return "status " + std::to_string(response.status) + ": " + response.body;
-  static const char* const words[] = {
+  static const char* const texts[] = {
       "", "not reached", "connection broke", "garbled answer", "no answer in time", "called off"};
-  return words[static_cast<int>(how)];
+  return texts[static_cast<int>(result)];
 }
 
-}  // namespace
-
-Target::Target(net::Loop& loop, const std::string& address)
-    : caller_(loop, Poco::Net::SocketAddress(address), settings()) {}
-
-void Target::run(const Plan& plan, const Step& step, Direction direction, std::int64_t after,
-                 std::int64_t token, Ran ran) {
-  const bool apply = direction == Direction::apply;
+std::string run_body(int build, const Step& step, Direction direction, std::int64_t cursor,
+                     std::int64_t token) {
+  const bool is_apply = direction == Direction::apply;
   json::Writer body;
   body.begin_object()
       .put("token", static_cast<long>(token))
-      .put("mark", mark_of(plan, step))
-      .put("digest", step.digest);
-  body.put("undo", !apply)
-      .put("statement", apply ? step.apply : step.undo)
+      .put("mark", marker_of(build, step))
+      .put("digest", step.digest)
+      .put("undo", !is_apply)
+      .put("statement", is_apply ? step.apply_statement : step.rollback_statement)
       .put("transactional", step.transactional);
-  if (step.kind == StepKind::data && (apply || step.undo_in_batches))
+  if (step.kind == StepKind::data && (is_apply || step.rollback_in_batches))
     body.put("table", step.table)
-        .put("key", step.key)
-        .put("batch", step.batch)
-        .put("after", static_cast<long>(after));
-  body.put("lock_ms", static_cast<double>(step.lock_timeout.count()) / 1e3).end_object();
-  caller_.call(post("/v1/steps/run", body.text()), step.timeout,
-               [ran](http::CallResult how, http::Response&& response) {
-                 const std::string why = why_of(how, response);
-                 if (how == http::CallResult::connect_failed)
-                   return ran({.result = StepResult::not_run, .why = why});
-                 if (how != http::CallResult::answered)
-                   return ran({.result = StepResult::unknown, .why = why});
-                 if (response.status == 409)
-                   return ran({.result = StepResult::fenced, .why = why});
-                 if (response.status == 422)
-                   return ran({.result = StepResult::not_run, .why = why});
-                 try {
-                   if (response.status != 200)
-                     return ran({.result = StepResult::unknown, .why = why});
-                   auto document = json::parse_object(response.body);
-                   const StepResult result = json::enumerator<StepResult>(
-                       document, "result",
-                       {{"done", StepResult::done}, {"more", StepResult::more}});
-                   ran({result, static_cast<std::int64_t>(json::number_or(document, "after", 0)),
-                        static_cast<std::int64_t>(json::number_or(document, "last", 0)), ""});
-                 } catch (const json::DecodeError& bad) {
-                   ran({.result = StepResult::unknown, .why = bad.what()});
-                 }
-               });
+        .put("key", step.key_column)
+        .put("batch", step.batch_rows)
+        .put("after", static_cast<long>(cursor));
+  body.put_ms("lock_ms", step.lock_timeout).end_object();
+  return body.text();
+}
+
+RunOutcome parse_run_outcome(const std::string& body) {
+  auto document = json::parse_object(body);
+  const auto result = json::enumerator<StepResult>(
+      document, "result", {{"done", StepResult::done}, {"more", StepResult::more}});
+  return {.result = result,
+          .cursor = static_cast<std::int64_t>(json::number_or(document, "after", 0)),
+          .max_key = static_cast<std::int64_t>(json::number_or(document, "last", 0))};
+}
+
+RunOutcome run_outcome(http::CallResult result, const http::Response& response) {
+  const std::string reason = failure_text(result, response);
+  if (result == http::CallResult::connect_failed)
+    return {.result = StepResult::not_run, .reason = reason};
+  if (result != http::CallResult::answered)
+    return {.result = StepResult::unknown, .reason = reason};
+  switch (response.status) {
+    case status_ok:
+      break;
+    case status_fenced:
+      return {.result = StepResult::fenced, .reason = reason};
+    case status_changed_nothing:
+      return {.result = StepResult::not_run, .reason = reason};
+    default:
+      return {.result = StepResult::unknown, .reason = reason};
+  }
+  try {
+    return parse_run_outcome(response.body);
+  } catch (const json::DecodeError& error) {
+    return {.result = StepResult::unknown, .reason = error.what()};
+  }
+}
+
+ProbeOutcome marker_outcome(http::CallResult result, const http::Response& response) {
+  if (result != http::CallResult::answered || response.status != status_ok)
+    return {.applied = ProbeResult::unknown, .reason = failure_text(result, response)};
+  try {
+    auto document = json::parse_object(response.body);
+    const bool is_applied = json::boolean(document, "applied");
+    return {.applied = is_applied ? ProbeResult::yes : ProbeResult::no,
+            .cursor = static_cast<std::int64_t>(json::number(document, "after"))};
+  } catch (const json::DecodeError& error) {
+    return {.applied = ProbeResult::unknown, .reason = error.what()};
+  }
+}
+
+ProbeOutcome check_outcome(http::CallResult result, const http::Response& response) {
+  const bool is_answer =
+      result == http::CallResult::answered &&
+      (response.status == status_ok || response.status == status_changed_nothing);
+  if (!is_answer)
+    return {.applied = ProbeResult::unknown, .reason = failure_text(result, response)};
+  // A query that cannot be run, because a table is missing, says that the step is not applied.
+  if (response.status == status_changed_nothing)
+    return {.applied = ProbeResult::no, .reason = response.body};
+  try {
+    auto document = json::parse_object(response.body);
+    const bool is_applied = json::number_or(document, "value", 0) != 0;
+    return {.applied = is_applied ? ProbeResult::yes : ProbeResult::no};
+  } catch (const json::DecodeError& error) {
+    return {.applied = ProbeResult::unknown, .reason = error.what()};
+  }
 }
 
-void Target::mark(const Plan& plan, const Step& step, std::int64_t token, Looked looked) {
-  auto body = json::Writer()
-                  .begin_object()
-                  .put("token", static_cast<long>(token))
-                  .put("mark", mark_of(plan, step))
-                  .end_object()
-                  .text();
-  caller_.call(post("/v1/steps/mark", body), step.timeout,
-               [looked](http::CallResult how, http::Response&& response) {
-                 try {
-                   if (how != http::CallResult::answered || response.status != 200)
-                     return looked(ProbeResult::unknown, 0, why_of(how, response));
-                   auto document = json::parse_object(response.body);
-                   looked(json::boolean(document, "applied") ? ProbeResult::yes : ProbeResult::no,
-                          static_cast<std::int64_t>(json::number(document, "after")), "");
-                 } catch (const json::DecodeError& bad) {
-                   looked(ProbeResult::unknown, 0, bad.what());
-                 }
-               });
+}  // namespace
+
+Target::Target(net::Loop& loop, const std::string& address)
+    : connections_(loop, Poco::Net::SocketAddress(address), pool_settings()) {}
+
+void Target::run(int build, const Step& step, Direction direction, std::int64_t cursor,
+                 std::int64_t token, RunHandler handler) {
+  const std::string body = run_body(build, step, direction, cursor, token);
+  connections_.call(
+      post(run_path, body), step.timeout,
+      [handler = std::move(handler)](http::CallResult result, const http::Response& response) {
+        handler(run_outcome(result, response));
+      });
 }
 
-void Target::check(const Step& step, Looked looked) {
-  auto body = json::Writer().begin_object().put("statement", step.check).end_object().text();
-  caller_.call(
-      post("/v1/query", body), step.timeout,
-      [looked](http::CallResult how, http::Response&& response) {
-        try {
-          if (how != http::CallResult::answered ||
-              (response.status != 200 && response.status != 422))
-            return looked(ProbeResult::unknown, 0, why_of(how, response));
-          // A check that can't even be asked, for a table is missing, says no.
-          if (response.status == 422)
-            return looked(ProbeResult::no, 0, response.body);
-          auto document = json::parse_object(response.body);
-          looked(json::number_or(document, "value", 0) != 0 ? ProbeResult::yes : ProbeResult::no, 0,
-                 "");
-        } catch (const json::DecodeError& bad) {
-          looked(ProbeResult::unknown, 0, bad.what());
-        }
+void Target::query_marker(int build, const Step& step, std::int64_t token, ProbeHandler handler) {
+  json::Writer body;
+  body.begin_object()
+      .put("token", static_cast<long>(token))
+      .put("mark", marker_of(build, step))
+      .end_object();
+  connections_.call(
+      post(marker_path, body.text()), step.timeout,
+      [handler = std::move(handler)](http::CallResult result, const http::Response& response) {
+        handler(marker_outcome(result, response));
+      });
+}
+
+void Target::run_check(const Step& step, ProbeHandler handler) {
+  json::Writer body;
+  body.begin_object().put("statement", step.check_query).end_object();
+  connections_.call(
+      post(query_path, body.text()), step.timeout,
+      [handler = std::move(handler)](http::CallResult result, const http::Response& response) {
+        handler(check_outcome(result, response));
       });
 }
 
--- a/tests/steps_test.cpp
+++ b/tests/steps_test.cpp
@@ -40,11 +40,11 @@
   PlanStateMachine& it() {
     if (!core) {
       core = std::make_unique<PlanStateMachine>(plan_of("(plan (release 2) " + text + ")"));
-      core->lease(true);
+      core->set_lease_held(true);
     }
     return *core;
   }
-  void tell() { it().release(at); }
+  void tell() { it().set_release(at); }
 
   void step(const Words& w) {
     const auto words = [&](std::size_t from) {
@@ -60,63 +60,64 @@
     } else if (w[0] == "wave") {
       at.stage = std::stoi(w[1]), tell();
     } else if (w[0] == "back") {
-      at.going_back = true, tell();
+      at.rolling_back = true, tell();
     } else if (w[0] == "withdrawn") {
-      at.withdrawn = true, tell();
+      at.rolled_back = true, tell();
     } else if (w[0] == "final") {
-      at.final = true, tell();
+      at.finalized = true, tell();
     } else if (w[0] == "lease") {
-      it().lease(w[1] == "held");
+      it().set_lease_held(w[1] == "held");
     } else if (w[0] == "pause") {
-      it().pause(w[1] == "on");
+      it().set_paused(w[1] == "on");
     } else if (w[0] == "run") {
       now += Duration(std::stol(w[1]) * 1000);
     } else if (w[0] == "patients") {
-      it().client_outcomes(std::stol(w[1]), std::stol(w[2]), now);
+      it().on_client_outcomes(std::stol(w[1]), std::stol(w[2]), now);
     } else if (w[0] == "retry" || w[0] == "skip") {
-      const int i = it().step(w[1]);
+      const int i = it().find_step(w[1]);
       EXPECT_EQ(w[0] == "retry" ? it().retry(i) : it().skip(i), w[2] == "yes");
     } else if (w[0] == "does") {  // does nothing | ACT STEP [undo] [after N]
-      todo = it().next(now);
+      todo = it().next_action(now);
       const char* const acts[] = {"run", "looks", "checks", "verifies", "asks"};
       if (w[1] == "nothing") {
-        EXPECT_FALSE(todo) << acts[static_cast<int>(todo->act)] << " "
+        EXPECT_FALSE(todo) << acts[static_cast<int>(todo->kind)] << " "
                            << it().plan().steps[todo->step].id;
         return;
       }
       ASSERT_TRUE(todo);
-      EXPECT_EQ(acts[static_cast<int>(todo->act)], w[1]);
+      EXPECT_EQ(acts[static_cast<int>(todo->kind)], w[1]);
       EXPECT_EQ(it().plan().steps[todo->step].id, w[2]);
-      EXPECT_EQ(todo->direction == Direction::undo, w.size() > 3 && w[3] == "undo");
+      EXPECT_EQ(todo->direction == Direction::rollback, w.size() > 3 && w[3] == "undo");
       if (w.size() > 4 && w[w.size() - 2] == "after") {
-        EXPECT_EQ(todo->after, std::stol(w.back()));
+        EXPECT_EQ(todo->cursor, std::stol(w.back()));
       }
-      if (todo->act == ActionKind::run)
+      if (todo->kind == ActionKind::run)
         it().replay_intent(todo->step, todo->direction);
     } else if (w[0] == "ends") {
       for (StepResult result : {StepResult::done, StepResult::more, StepResult::not_run,
                                 StepResult::unknown, StepResult::fenced})
         if (w[1] == to_string(result))
-          return it().ended(todo->step, todo->direction, result, w.size() > 2 ? std::stol(w[2]) : 0,
-                            "", now);
+          return it().on_run_result(todo->step, todo->direction, result,
+                                    w.size() > 2 ? std::stol(w[2]) : 0, "", now);
       throw std::runtime_error("no such result");
     } else if (w[0] == "says") {
-      it().looked(todo->step,
-                  w[1] == "yes"  ? ProbeResult::yes
-                  : w[1] == "no" ? ProbeResult::no
-                                 : ProbeResult::unknown,
-                  w.size() > 2 ? std::stol(w[2]) : 0, "", now);
+      it().on_probe_result(todo->step,
+                           w[1] == "yes"  ? ProbeResult::yes
+                           : w[1] == "no" ? ProbeResult::no
+                                          : ProbeResult::unknown,
+                           w.size() > 2 ? std::stol(w[2]) : 0, "", now);
     } else if (w[0] == "allows") {
       EXPECT_EQ(it().allows(std::stoi(w[1])), w[2] == "yes");
     } else if (w[0] == "reaches") {
-      it().reaches(it().step(w[1]), std::stol(w[2]));
+      it().set_max_key(it().find_step(w[1]), std::stol(w[2]));
     } else if (w[0] == "left") {
-      const auto estimate = it().estimate(it().step(w[1]));
-      const std::string left =
-          estimate && estimate->left ? std::to_string(estimate->left->count() / 1000) : "none";
+      const auto estimate = it().estimate(it().find_step(w[1]));
+      const std::string left = estimate && estimate->time_left
+                                   ? std::to_string(estimate->time_left->count() / 1000)
+                                   : "none";
       EXPECT_EQ(left, w[2]);
     } else if (w[0] == "stuck") {
-      EXPECT_TRUE(it().progress()[it().step(w[1])].stuck);
+      EXPECT_TRUE(it().progress()[it().find_step(w[1])].blocked);
     } else {
       throw std::runtime_error("no such line");
     }
@@ -174,17 +175,17 @@
     std::string key;
     for (const PlanStateMachine* one : {&core, &durable})
       for (const Progress& p : one->progress())
-        key += std::to_string(static_cast<int>(p.fact)) + (p.whole ? "w" : "") +
-               (p.verified ? "v" : "") + (p.stuck ? "s" : "") + (p.asked ? "a" : "") +
-               (p.skipped ? "k" : "") + std::to_string(p.tries) + ",";
+        key += std::to_string(static_cast<int>(p.state)) + (p.fully_applied ? "w" : "") +
+               (p.verified ? "v" : "") + (p.blocked ? "s" : "") + (p.undecidable ? "a" : "") +
+               (p.skipped ? "k" : "") + std::to_string(p.failures) + ",";
     for (std::size_t i = 0; i < truth.size(); ++i)
       key += std::string(truth[i] ? "T" : "f") + (marked[i] ? "M" : "n");
     if (todo)
-      key += std::to_string(static_cast<int>(todo->act)) + "." + std::to_string(todo->step) +
+      key += std::to_string(static_cast<int>(todo->kind)) + "." + std::to_string(todo->step) +
              std::to_string(static_cast<int>(todo->direction));
     key += "r" + std::to_string(release.stage) + (release.offered ? "o" : "") +
-           (release.going_back ? "b" : "") + (release.withdrawn ? "w" : "") +
-           (release.final ? "f" : "");
+           (release.rolling_back ? "b" : "") + (release.rolled_back ? "w" : "") +
+           (release.finalized ? "f" : "");
     return key + "c" + std::to_string(crashes) + "f" + std::to_string(faults);
   }
 };
@@ -210,15 +211,15 @@
   };
   Model first{PlanStateMachine(plan), PlanStateMachine(plan), std::vector<bool>(count, false),
               std::vector<bool>(count, false)};
-  first.core.lease(true);
+  first.core.set_lease_held(true);
   add(first);
   auto crash = [&](Model model) {
     if (model.crashes >= 2)
       return;
     ++model.crashes;
     model.core = model.durable;
-    model.core.lease(true);
-    model.core.release(model.release);
+    model.core.set_lease_held(true);
+    model.core.set_release(model.release);
     model.todo.reset();
     add(std::move(model));
   };
@@ -232,9 +233,9 @@
     for (int j = 0; apply && j < i; ++j)
       if (!model.truth[j] && !model.core.progress()[j].skipped)
         fail(step.id + " ran before " + plan.steps[j].id);
-    if (step.phase == Phase::contract && !model.release.final)
+    if (step.phase == Phase::contract && !model.release.finalized)
       fail("contract while back is possible");
-    if (!apply && !model.release.withdrawn)
+    if (!apply && !model.release.rolled_back)
       fail(step.id + " undone while machines serve");
     model.truth[i] = apply;
     if (step.transactional)
@@ -249,7 +250,7 @@
         const Step& step = plan.steps[i];
         const bool needed = step.phase == Phase::expand ||
                             (step.phase == Phase::migrate && step.before_stage <= stage);
-        if (needed && !model.release.withdrawn && !model.truth[i] &&
+        if (needed && !model.release.rolled_back && !model.truth[i] &&
             !model.core.progress()[i].skipped)
           fail("wave " + std::to_string(stage) + " runs without " + step.id);
       }
@@ -257,11 +258,11 @@
     if (model.todo) {
       const int i = model.todo->step;
       const Direction direction = model.todo->direction;
-      const ActionKind act = model.todo->act;
+      const ActionKind act = model.todo->kind;
       if (act == ActionKind::run) {
         auto ends = [&](Model next, StepResult result) {
-          next.core.ended(i, direction, result, 0, "", TimePoint{});
-          next.durable.replay_ended(i, direction, result, 0);
+          next.core.on_run_result(i, direction, result, 0, "", TimePoint{});
+          next.durable.replay_run_result(i, direction, result, 0);
           next.todo.reset();
           add(std::move(next));
         };
@@ -279,13 +280,13 @@
         }
       } else {
         auto says = [&](Model next, ProbeResult answer) {
-          next.core.looked(i, answer, 0, "", TimePoint{});
+          next.core.on_probe_result(i, answer, 0, "", TimePoint{});
           if (answer != ProbeResult::unknown)
-            next.durable.replay_looked(i, answer, 0);
+            next.durable.replay_probe_result(i, answer, 0);
           next.todo.reset();
           add(std::move(next));
         };
-        const bool there = act == ActionKind::look_for_mark ? model.marked[i] : model.truth[i];
+        const bool there = act == ActionKind::query_marker ? model.marked[i] : model.truth[i];
         says(model, there ? ProbeResult::yes : ProbeResult::no);
         if (model.faults < 2) {
           Model lost = model;
@@ -295,10 +296,10 @@
       }
     } else {
       Model next = model;
-      const std::optional<Action> todo = next.core.next(late);
-      if (todo && todo->act != ActionKind::ask_operator) {
+      const std::optional<Action> todo = next.core.next_action(late);
+      if (todo && todo->kind != ActionKind::wait_for_operator) {
         next.todo = todo;
-        if (todo->act == ActionKind::run) {
+        if (todo->kind == ActionKind::run) {
           next.core.replay_intent(todo->step, todo->direction);
           if (bug != Bug::no_intent)
             next.durable.replay_intent(todo->step, todo->direction);
@@ -308,13 +309,13 @@
         // Always a way forward, or an operator's word that is asked for.
         bool stuck = false;
         for (const Progress& p : next.core.progress())
-          stuck |= p.stuck;
-        if (!next.core.succeeded() && !stuck)
+          stuck |= p.blocked;
+        if (!next.core.is_complete() && !stuck)
           fail("nothing to do, and not settled");
         if (stuck) {
           for (std::size_t i = 0; i < count; ++i) {
             Model helped = next;
-            if (!helped.core.progress()[i].stuck || helped.faults >= 2)
+            if (!helped.core.progress()[i].blocked || helped.faults >= 2)
               continue;
             ++helped.faults;
             // An operator says 'again' only after having made sure that it is not there.
@@ -332,7 +333,7 @@
     auto move = [&](ReleaseState to) {
       moved = model;
       moved.release = to;
-      moved.core.release(to);
+      moved.core.set_release(to);
       add(moved);
     };
     ReleaseState r = model.release;
@@ -341,24 +342,24 @@
       move(r);
       continue;
     }
-    if (!r.going_back && !r.withdrawn && !r.final) {
+    if (!r.rolling_back && !r.rolled_back && !r.finalized) {
       ReleaseState on = r;
       if (r.stage + 1 < 3 && model.core.allows(r.stage + 1)) {
         ++on.stage;
         move(on);
       } else if (r.stage == 2) {
-        on.final = true;
+        on.finalized = true;
         move(on);
       }
       ReleaseState back = r;
       if (bug == Bug::back_while_serving)
-        back.withdrawn = true, back.going_back = false;
+        back.rolled_back = true, back.rolling_back = false;
       else
-        back.going_back = true;
+        back.rolling_back = true;
       move(back);
     }
-    if (r.going_back && !r.withdrawn) {
-      r.withdrawn = true;
+    if (r.rolling_back && !r.rolled_back) {
+      r.rolled_back = true;
       move(r);
     }
   }
@@ -449,7 +450,7 @@
     journal.reset();
     try {
       journal = std::make_unique<journal::Journal>((folder / "journal").string());
-    } catch (const journal::Failed&) {
+    } catch (const journal::JournalError&) {
       // As a supervisor would.
       ++refused;
       loop.in(2ms, [this] { start(); });
@@ -457,11 +458,11 @@
     }
     target = std::make_unique<Target>(loop, "127.0.0.1:" + std::to_string(database->port()));
     RunnerSettings settings;
-    settings.who = "me";
-    settings.lease = 10s;
+    settings.holder = "me";
+    settings.lease_length = 10s;
     settings.stages = 3;
-    settings.journal_again = 5ms;
-    settings.point = [this](const char*) {
+    settings.journal_retry_delay = 5ms;
+    settings.on_crash_point = [this](const char*) {
       if (points++ != crash_at)
         return;
       crash_at = -1;
@@ -476,21 +477,21 @@
     runner = std::make_unique<Runner>(loop, settings, *journal, *target, log);
     try {
       if (!runner->has_plan(2))
-        runner->take_plan(crash_plan, "plan", "test");
-    } catch (const journal::Failed&) {
+        runner->accept_plan(crash_plan, "plan", "test");
+    } catch (const journal::JournalError&) {
       runner.reset();
       ++refused;
       loop.in(2ms, [this] { start(); });
       return;
     }
-    runner->release(2, at);
-    runner->pull();
+    runner->set_release(2, at);
+    runner->run_due_actions();
   }
   void move(const ReleaseState& to) {
     at = to;
     if (runner && !dead) {
-      runner->release(2, at);
-      runner->pull();
+      runner->set_release(2, at);
+      runner->run_due_actions();
     }
   }
   template <class Until>
@@ -538,16 +539,16 @@
     }
   });
   if (!back) {
-    if (!stage.wait([&] { return stage.runner->allows(2, 1) && stage.runner->succeeded(); }))
+    if (!stage.wait([&] { return stage.runner->allows(2, 1) && stage.runner->is_complete(); }))
       return "never allows wave 1";
   } else {
     stage.loop.call([&] {
       try {
-        stage.move({.stage = 0, .offered = true, .going_back = true, .withdrawn = true});
+        stage.move({.stage = 0, .offered = true, .rolling_back = true, .rolled_back = true});
       } catch (const Ended&) {
       }
     });
-    if (!stage.wait([&] { return stage.runner->succeeded(); }))
+    if (!stage.wait([&] { return stage.runner->is_complete(); }))
       return "never settles its way back";
   }
   std::string wrong;
@@ -652,17 +653,17 @@
       (fs::temp_directory_path() / ("robinhoist-lease-" + std::to_string(::getpid()))).string();
   fs::remove(file);
   journal::Journal a(file), b(file);
-  const auto first = a.take_lease("a", 1000, 500);
+  const auto first = a.acquire_lease("a", 1000, 500);
   ASSERT_TRUE(first);
-  EXPECT_FALSE(b.take_lease("b", 1400, 500));
-  const auto second = b.take_lease("b", 1600, 500);
+  EXPECT_FALSE(b.acquire_lease("b", 1400, 500));
+  const auto second = b.acquire_lease("b", 1600, 500);
   ASSERT_TRUE(second);
   EXPECT_GT(*second, *first);
   EXPECT_FALSE(a.renew_lease("a", *first, 1700, 500));
   EXPECT_TRUE(b.renew_lease("b", *second, 1700, 500));
   // A clock that jumped far ahead and back does not block the lease for ever.
   b.renew_lease("b", *second, 900000, 500);
-  EXPECT_TRUE(a.take_lease("a", 2000, 500));
+  EXPECT_TRUE(a.acquire_lease("a", 2000, 500));
   fs::remove(file);
 }
 
@@ -673,7 +674,7 @@
     try {
       journal::Journal journal(file);
       ADD_FAILURE() << "taken, though " << words;
-    } catch (const journal::Failed& bad) {
+    } catch (const journal::JournalError& bad) {
       EXPECT_NE(std::string(bad.what()).find(words), std::string::npos) << bad.what();
     }
     fs::remove(file);
@@ -684,11 +685,11 @@
   net::Loop loop;
   { standin::Database other(loop, http::ServerSettings{}, file, nullptr); }
   refused("a database of something else");
-  { journal::Journal(file).put("k", "v"); }
+  { journal::Journal(file).set_state("k", "v"); }
   journal::Entry entry;
   entry.step = "s";
   for (int i = 0; i < 200; ++i)
-    journal::Journal(file).write(entry);
+    journal::Journal(file).append(entry);
   {
     // Torn: a page in the middle is gone.
     std::fstream torn(file, std::ios::in | std::ios::out | std::ios::binary);
@@ -709,7 +710,7 @@
     const std::string plan = crash_plan;
     const auto refused = [&](std::string text, const char* words) {
       try {
-        stage.runner->take_plan(text, "plan", "test");
+        stage.runner->accept_plan(text, "plan", "test");
         ADD_FAILURE() << "taken, though " << words;
       } catch (const settings::ValidationError& bad) {
         EXPECT_NE(std::string(bad.what()).find(words), std::string::npos) << bad.what();
@@ -722,8 +723,8 @@
     refused(fewer, "step counter has been applied and is missing now");
     // What has not run yet may be written anew.
     std::string later = plan;
-    EXPECT_EQ(stage.runner->take_plan(later.replace(later.find("(batch 4)"), 9, "(batch 5)"),
-                                      "plan", "test"),
+    EXPECT_EQ(stage.runner->accept_plan(later.replace(later.find("(batch 4)"), 9, "(batch 5)"),
+                                        "plan", "test"),
               2);
     stage.move({.stage = 0, .offered = true});
   });
@@ -769,7 +770,7 @@
   try {
     journal::Journal journal(file);
     ADD_FAILURE() << "a newer version was taken";
-  } catch (const journal::Failed& bad) {
+  } catch (const journal::JournalError& bad) {
     EXPECT_NE(std::string(bad.what()).find("of version 9, newer than"), std::string::npos)
         << bad.what();
   }
@@ -781,15 +782,15 @@
       (fs::temp_directory_path() / ("robinhoist-full-" + std::to_string(::getpid()))).string();
   fs::remove(file);
   journal::Journal journal(file);
-  journal.limit_pages(2);
+  journal.limit_growth(2);
   journal::Entry entry;
   entry.build = 2;
   entry.why = std::string(3000, 'x');
   std::size_t written = 0;
   try {
     for (;; ++written)
-      journal.write(entry);
-  } catch (const journal::Failed& bad) {
+      journal.append(entry);
+  } catch (const journal::JournalError& bad) {
     EXPECT_NE(std::string(bad.what()).find("full"), std::string::npos) << bad.what();
   }
   EXPECT_EQ(journal.entries(2).size(), written);
