--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -1,236 +1,126 @@
 #include "deployment/deployment.h"
 
 #include <algorithm>
-#include <set>
 
 namespace robinhoist::deployment {
 namespace {
 
-using namespace std::chrono_literals;
-using settings::Form;
-
-NamedRequestClass read_request_class(Form form) {
-  NamedRequestClass named;
-  named.name = form.own_word(0, "a name");
-  RequestClass& request_class = named.request_class;
-  request_class.latency_objective = form.span("sla", 1ms, 10min);
-  request_class.deadline = form.span("expiry", 1ms, 10min);
-  request_class.priority_weight = form.number("revenue", 0, 1e6, 1.0);
-  request_class.late_weight_share = form.number("late-share", 0, 1, 0.0);
-  request_class.idempotency =
-      form.enumerator<Idempotency>("effect", {{"inquiry", Idempotency::idempotent},
-                                              {"referenced", Idempotency::idempotent_with_key},
-                                              {"once-only", Idempotency::non_idempotent}});
-  request_class.dedup_scope = form.enumerator<DedupScope>(
-      "group", {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}},
-      DedupScope::all);
-  request_class.dedup_window = form.span("memory", 0ms, 24h, 0ms);
-  request_class.stream = false;
-  if (request_class.deadline < request_class.latency_objective)
-    form.problem("expiry", "is shorter than the SLA time");
-  if (request_class.idempotency == Idempotency::idempotent_with_key &&
-      request_class.dedup_window == Duration{})
-    form.problem(
-        "memory is missing: a referenced product needs the time for which nodes drop its repeats");
-  if (request_class.idempotency != Idempotency::idempotent_with_key && form.has("memory"))
-    form.problem("memory", "has a meaning for a referenced product only");
-  for (Form& match : form.each("match", 1)) {
-    Match one{match.own_word(0, "a method"), match.own_word(1, "a path"), false};
-    if (!one.path.empty() && one.path.back() == '*') {
-      one.prefix = true;
-      one.path.pop_back();
-    }
-    if (one.path.empty() || one.path[0] != '/')
-      match.problem("the path must begin with /");
-    if (match.own_words() != 2)
-      match.problem("holds more than a method and a path");
-    match.finish();
-    named.matches.push_back(one);
-  }
-  form.finish();
-  return named;
+// Position of the first that fits; -1: none does.
+template <class T, class Predicate>
+int position_of(const std::vector<T>& among, const Predicate& fits) {
+  const auto found = std::find_if(among.begin(), among.end(), fits);
+  return found == among.end() ? -1 : static_cast<int>(found - among.begin());
 }
 
-void read_rules(Form form, Deployment& to) {
-  to.drain_grace = form.span("drain-grace", 1ms, 10min);
-  to.cold_from = form.number("cold-from", 0.01, 1);
-  to.cold_for = form.span("cold-for", 0ms, 10min);
-  to.fall_multiple = form.number("fall-multiple", 1, 1000);
-  to.fall_window = form.span("fall-window", 1ms, 10min);
-  to.window = form.span("exposure-window", 1ms, 10min);
-  to.free = form.number("exposure-free", 0, 1000);
-  to.by_request_class =
-      form.enumerator<bool>("exposure-counts", {{"all", false}, {"each-product", true}}, false);
-  to.one_way = form.truth("one-way", false);
-  to.safe_only_stages = form.whole("safe-only-waves", 0, 100, 0);
-  to.max_attempts = form.whole("max-submissions", 1, 100, 5);
-  to.hedging = form.truth("second-copies", true);
-  to.advice = form.truth("advice", true);
-  to.max_pause = form.span("max-pause", 0ms, 10min, 2s);
-  form.finish();
+// How many votes it takes to promote; a clock needs none.
+int votes_to_promote(const Deployment& deployment) {
+  switch (deployment.rollout.promotion_mode) {
+    case PromotionMode::clock:
+      return 0;
+    case PromotionMode::first_vote:
+      return 1;
+    case PromotionMode::count:
+      return rollout::Rollout::needed(deployment.rollout.votes_to_promote, deployment.proxies);
+  }
+  return 0;
 }
 
-void read_rollout(Form form, Deployment& to) {
-  rollout::Settings& rollout = to.rollout;
-  rollout.stages = form.numbers("waves", 0.0001, 1, 1);
-  rollout.caps = form.numbers("caps", 0, 1, 1);
-  if (!rollout.stages.empty()) {
-    if (!std::is_sorted(rollout.stages.begin(), rollout.stages.end()))
-      form.problem("waves", "must not fall from one wave to the next");
-    if (rollout.stages.back() < 1)
-      form.problem("waves", "the last must be 1, the whole fleet");
-  }
-  if (rollout.stages.size() != rollout.caps.size())
-    form.problem("caps", std::to_string(rollout.caps.size()) + " given for " +
-                             std::to_string(rollout.stages.size()) + " waves");
-  rollout.promotion_mode =
-      form.enumerator<PromotionMode>("gate", {{"first-vote", PromotionMode::first_vote},
-                                              {"count", PromotionMode::count},
-                                              {"clock", PromotionMode::clock}});
-  rollout.bake = form.span("bake", 0ms, 24h);
-  rollout.step = form.span("step", 0ms, 24h, 0ms);
-  if (rollout.promotion_mode == PromotionMode::clock && rollout.step == Duration{})
-    form.problem("step is missing: the clock needs it");
-  rollout.settle = form.span("settle", 0ms, 1h, 1s);
-  rollout.launch_most = form.span("launch-within", 1ms, 24h, 8s);
-  rollout.drain = form.span("drain", 0ms, 24h);
-  if (rollout.drain < to.drain_grace)
-    form.problem("drain", "is shorter than the drain-grace of the rules: work would be cut off");
-  rollout.back_for = form.span("back-for", 0ms, 8760h, 0ms);
-  rollout.vote_lifetime = form.span("vote-life", 1ms, 1h);
-  rollout.votes_to_promote = form.number("advance-share", 0, 1, 0.0);
-  rollout.votes_to_hold = form.number("hold-share", 0, 1, 0.1);
-  rollout.votes_to_roll_back = form.number("back-share", 0, 1);
-  rollout.votes_per_s = form.number("votes-per-s", 0.1, 1e6);
-  rollout.in_place = form.enumerator<bool>("style", {{"beside", false}, {"in-place", true}}, false);
-  to.vote_timeout = form.span("vote-timeout", 1ms, 1min, 1s);
-  to.wrong_answer_report_share = form.number("reports-share", 0, 1, 0.0);
-  form.finish();
+// How many votes it takes to hold; only a clock is held.
+int votes_to_hold(const Deployment& deployment) {
+  if (deployment.rollout.promotion_mode != PromotionMode::clock)
+    return 0;
+  return rollout::Rollout::needed(deployment.rollout.votes_to_hold, deployment.proxies);
 }
 
 }  // namespace
 
-Deployment read(Form form) {
-  Deployment to;
-  std::set<std::string> names;
-  for (Form& request_class : form.each("product", 1)) {
-    to.request_classes.push_back(read_request_class(request_class));
-    if (!names.insert(to.request_classes.back().name).second)
-      request_class.problem("a second product of that name");
-  }
-  names.clear();
-  for (Form& tenant : form.each("tenant")) {
-    NamedTenant named;
-    named.name = tenant.own_word(0, "a name");
-    named.tenant.share = tenant.number("share", 0, 1, 1.0);
-    named.tenant.allowance_per_s = tenant.number("allowance", 0, 1e9);
-    tenant.finish();
-    if (!names.insert(named.name).second)
-      tenant.problem("a second tenant of that name");
-    to.tenants.push_back(named);
-  }
-  Form zones = form.sub("zones");
-  for (std::size_t i = 0; i < zones.own_words(); ++i)
-    to.zones.push_back(zones.own_word(i, "a zone"));
-  if (to.zones.empty()) {
-    form.problem("zones", "names none");
-    to.zones.push_back("");
-  }
-  to.proxies = form.whole("umpires", 1, 100000);
-  to.sized = form.truth("sized-nodes", false);
-  to.over_quota_weight = form.number("over-share-revenue", 0, 1, 1.0);
-  to.reports = form.enumerator<LoadReportSource>(
-      "load-reports", {{"none", LoadReportSource::none}, {"answers", LoadReportSource::answers}},
-      LoadReportSource::answers);
-  read_rules(form.sub("rules"), to);
-  read_rollout(form.sub("rollout"), to);
-  form.finish();
-  return to;
+bool Match::accepts(std::string_view request_method, std::string_view request_path) const {
+  if (method != request_method)
+    return false;
+  return prefix ? request_path.substr(0, path.size()) == path : request_path == path;
 }
 
 int Deployment::match_request_class(std::string_view method, std::string_view path) const {
-  for (std::size_t p = 0; p < request_classes.size(); ++p)
-    for (const Match& match : request_classes[p].matches)
-      if (match.method == method &&
-          (match.prefix ? path.substr(0, match.path.size()) == match.path : path == match.path))
-        return static_cast<int>(p);
-  return -1;
+  return position_of(request_classes, [&](const NamedRequestClass& named) {
+    return std::any_of(named.matches.begin(), named.matches.end(),
+                       [&](const Match& match) { return match.accepts(method, path); });
+  });
 }
 
-int Deployment::request_class(const std::string& name) const {
-  for (std::size_t p = 0; p < request_classes.size(); ++p)
-    if (request_classes[p].name == name)
-      return static_cast<int>(p);
-  return -1;
+int Deployment::request_class(std::string_view name) const {
+  return position_of(request_classes,
+                     [&](const NamedRequestClass& named) { return named.name == name; });
 }
 
 int Deployment::tenant(std::string_view name) const {
-  for (std::size_t t = 0; t < tenants.size(); ++t)
-    if (tenants[t].name == name)
-      return static_cast<int>(t);
-  return -1;
+  return position_of(tenants, [&](const NamedTenant& named) { return named.name == name; });
 }
 
 int Deployment::zone(std::string_view name) const {
-  auto at = std::find(zones.begin(), zones.end(), name);
-  return at == zones.end() ? -1 : static_cast<int>(at - zones.begin());
+  return position_of(zones, [&](const std::string& zone) { return zone == name; });
 }
 
-EndpointSettings endpoint_settings(const Deployment& d, int zone, int number) {
-  EndpointSettings to{};
-  to.zone = zone;
-  to.cold_for = d.cold_for;
-  to.fall_window = d.fall_window;
-  to.cold_from = d.cold_from;
-  to.fall_multiple = d.fall_multiple;
-  to.must_ask = false;  // the list's source watches by itself
-  to.sized = d.sized;
-  to.probes = false;
-  to.reports = d.reports;
-  to.me = number;
-  to.proxies = d.proxies;
-  return to;
+EndpointSettings endpoint_settings(const Deployment& deployment, int zone, int number) {
+  EndpointSettings settings{};
+  settings.zone = zone;
+  settings.cold_for = deployment.warm_up_time;
+  settings.fall_window = deployment.collapse_window;
+  settings.cold_from = deployment.initial_warm_up_factor;
+  settings.fall_multiple = deployment.collapse_multiple;
+  settings.must_ask = false;  // the list's source watches by itself
+  settings.sized = deployment.uses_sizes;
+  settings.probes = false;
+  settings.reports = deployment.load_reports;
+  settings.me = number;
+  settings.proxies = deployment.proxies;
+  return settings;
 }
 
-CanaryQuotaSettings canary_quota_settings(const Deployment& d) {
-  return {d.window,           d.free,        d.by_request_class, d.one_way, d.rollout.in_place,
-          d.safe_only_stages, d.rollout.caps};
+CanaryQuotaSettings canary_quota_settings(const Deployment& deployment) {
+  CanaryQuotaSettings settings{};
+  settings.window = deployment.quota_window;
+  settings.free_requests = deployment.free_requests;
+  settings.by_request_class = deployment.by_request_class;
+  settings.one_way = deployment.one_way;
+  settings.in_place = deployment.rollout.in_place;
+  settings.safe_only_stages = deployment.safe_only_stages;
+  settings.caps = deployment.rollout.caps;
+  return settings;
 }
 
-AnalysisSettings analysis_settings(const Deployment& d) {
-  auto votes = [&](double share) { return rollout::Rollout::needed(share, d.proxies); };
-  return {d.rollout.promotion_mode,
-          d.rollout.bake,
-          d.rollout.step,
-          d.rollout.vote_lifetime,
-          d.vote_timeout,
-          d.rollout.votes_per_s,
-          d.wrong_answer_report_share,
-          d.proxies,
-          d.rollout.promotion_mode == PromotionMode::clock ? 0
-          : d.rollout.promotion_mode == PromotionMode::first_vote
-              ? 1
-              : votes(d.rollout.votes_to_promote),
-          d.rollout.promotion_mode == PromotionMode::clock ? votes(d.rollout.votes_to_hold) : 0,
-          votes(d.rollout.votes_to_roll_back)};
+AnalysisSettings analysis_settings(const Deployment& deployment) {
+  AnalysisSettings settings{};
+  settings.promotion_mode = deployment.rollout.promotion_mode;
+  settings.bake = deployment.rollout.bake;
+  settings.step = deployment.rollout.step;
+  settings.vote_lifetime = deployment.rollout.vote_lifetime;
+  settings.call_timeout = deployment.vote_timeout;
+  settings.votes_per_s = deployment.rollout.votes_per_s;
+  settings.wrong_answer_report_share = deployment.wrong_answer_report_share;
+  settings.proxies = deployment.proxies;
+  settings.votes_to_promote = votes_to_promote(deployment);
+  settings.votes_to_hold = votes_to_hold(deployment);
+  settings.votes_to_roll_back =
+      rollout::Rollout::needed(deployment.rollout.votes_to_roll_back, deployment.proxies);
+  return settings;
 }
 
-RequestSettings request_settings(const Deployment& d, Duration tick) {
-  RequestSettings to{};
-  for (auto& request_class : d.request_classes)
-    to.request_classes.push_back(request_class.request_class);
-  for (auto& tenant : d.tenants)
-    to.tenants.push_back(tenant.tenant);
-  to.max_attempts = d.max_attempts;
-  to.proxies = d.proxies;
-  to.hedging = d.hedging;
-  to.cancelling = true;
-  to.advice = d.advice;
-  to.max_pause = d.max_pause;
-  to.slack = Duration{};
-  to.tick = tick;
-  to.over_quota_weight = d.over_quota_weight;
-  return to;
+RequestSettings request_settings(const Deployment& deployment, Duration tick) {
+  RequestSettings settings{};
+  for (const NamedRequestClass& named : deployment.request_classes)
+    settings.request_classes.push_back(named.request_class);
+  for (const NamedTenant& named : deployment.tenants)
+    settings.tenants.push_back(named.tenant);
+  settings.max_attempts = deployment.max_attempts;
+  settings.proxies = deployment.proxies;
+  settings.hedging = deployment.hedging;
+  settings.cancelling = true;
+  settings.advice = deployment.retry_after;
+  settings.max_pause = deployment.retry_delay;
+  settings.slack = Duration{};
+  settings.tick = tick;
+  settings.over_quota_weight = deployment.over_quota_weight;
+  return settings;
 }
 
 }  // namespace robinhoist::deployment
--- /dev/null
+++ b/src/deployment/reader.cpp
@@ -0,0 +1,191 @@
+/// Reads a deployment from its form in a settings file, key by key, and reports what is at odds.
+#include <algorithm>
+#include <set>
+
+#include "deployment/deployment.h"
+#include "deployment/setting_keys.h"
+
+namespace robinhoist::deployment {
+namespace {
+
+using namespace std::chrono_literals;
+using settings::Form;
+
+constexpr Duration max_time = 10min;
+constexpr Duration max_release_time = 24h;
+constexpr Duration max_rollback_window = 8760h;  // a year
+
+// (match METHOD PATH), where a star at the end of the path stands for any rest.
+Match read_match(Form& form) {
+  Match match{form.own_word(0, "a method"), form.own_word(1, "a path"), false};
+  if (!match.path.empty() && match.path.back() == '*') {
+    match.prefix = true;
+    match.path.pop_back();
+  }
+  if (match.path.empty() || match.path[0] != '/')
+    form.problem("the path must begin with /");
+  if (form.own_words() != 2)
+    form.problem("holds more than a method and a path");
+  form.finish();
+  return match;
+}
+
+void check_request_class(const Form& form, const RequestClass& request_class) {
+  if (request_class.deadline < request_class.latency_objective)
+    form.problem(key::deadline, "is shorter than the SLA time");
+  const bool with_key = request_class.idempotency == Idempotency::idempotent_with_key;
+  if (with_key && request_class.dedup_window == Duration{})
+    form.problem(
+        "memory is missing: a referenced product needs the time for which nodes drop its repeats");
+  if (!with_key && form.has(key::dedup_window))
+    form.problem(key::dedup_window, "has a meaning for a referenced product only");
+}
+
+NamedRequestClass read_request_class(Form form) {
+  NamedRequestClass named;
+  named.name = form.own_word(0, "a name");
+  RequestClass& request_class = named.request_class;
+  request_class.latency_objective = form.span(key::latency_objective, 1ms, max_time);
+  request_class.deadline = form.span(key::deadline, 1ms, max_time);
+  request_class.priority_weight = form.number(key::priority_weight, 0, 1e6, 1.0);
+  request_class.late_weight_share = form.number(key::late_weight_share, 0, 1, 0.0);
+  request_class.idempotency = form.enumerator<Idempotency>(
+      key::idempotency, {{word::idempotent, Idempotency::idempotent},
+                         {word::idempotent_with_key, Idempotency::idempotent_with_key},
+                         {word::non_idempotent, Idempotency::non_idempotent}});
+  request_class.dedup_scope = form.enumerator<DedupScope>(key::dedup_scope,
+                                                          {{word::scope_all, DedupScope::all},
+                                                           {word::scope_zone, DedupScope::zone},
+                                                           {word::scope_cell, DedupScope::cell}},
+                                                          DedupScope::all);
+  request_class.dedup_window = form.span(key::dedup_window, 0ms, max_release_time, 0ms);
+  request_class.stream = false;
+  check_request_class(form, request_class);
+  for (Form& match : form.each(key::match, 1))
+    named.matches.push_back(read_match(match));
+  form.finish();
+  return named;
+}
+
+NamedTenant read_tenant(Form& form) {
+  NamedTenant named;
+  named.name = form.own_word(0, "a name");
+  named.tenant.share = form.number(key::tenant_share, 0, 1, 1.0);
+  named.tenant.allowance_per_s = form.number(key::tenant_allowance, 0, 1e9);
+  form.finish();
+  return named;
+}
+
+void read_rules(Form form, Deployment& deployment) {
+  deployment.drain_grace = form.span(key::drain_grace, 1ms, max_time);
+  deployment.initial_warm_up_factor = form.number(key::initial_warm_up_factor, 0.01, 1);
+  deployment.warm_up_time = form.span(key::warm_up_time, 0ms, max_time);
+  deployment.collapse_multiple = form.number(key::collapse_multiple, 1, 1000);
+  deployment.collapse_window = form.span(key::collapse_window, 1ms, max_time);
+  deployment.quota_window = form.span(key::quota_window, 1ms, max_time);
+  deployment.free_requests = form.number(key::free_requests, 0, 1000);
+  deployment.by_request_class = form.enumerator<bool>(
+      key::by_request_class, {{word::count_all, false}, {word::count_by_request_class, true}},
+      false);
+  deployment.one_way = form.truth(key::one_way, false);
+  deployment.safe_only_stages = form.whole(key::safe_only_stages, 0, 100, 0);
+  deployment.max_attempts = form.whole(key::max_attempts, 1, 100, 5);
+  deployment.hedging = form.truth(key::hedging, true);
+  deployment.retry_after = form.truth(key::retry_after, true);
+  deployment.retry_delay = form.span(key::retry_delay, 0ms, max_time, 2s);
+  form.finish();
+}
+
+void check_stages(const Form& form, const rollout::Settings& rollout) {
+  if (!rollout.stages.empty()) {
+    if (!std::is_sorted(rollout.stages.begin(), rollout.stages.end()))
+      form.problem(key::stages, "must not fall from one wave to the next");
+    if (rollout.stages.back() < 1)
+      form.problem(key::stages, "the last must be 1, the whole fleet");
+  }
+  if (rollout.stages.size() != rollout.caps.size())
+    form.problem(key::caps, std::to_string(rollout.caps.size()) + " given for " +
+                                std::to_string(rollout.stages.size()) + " waves");
+}
+
+void read_rollout(Form form, Deployment& deployment) {
+  rollout::Settings& rollout = deployment.rollout;
+  rollout.stages = form.numbers(key::stages, 0.0001, 1, 1);
+  rollout.caps = form.numbers(key::caps, 0, 1, 1);
+  check_stages(form, rollout);
+  rollout.promotion_mode = form.enumerator<PromotionMode>(
+      key::promotion_mode, {{word::first_vote, PromotionMode::first_vote},
+                            {word::count, PromotionMode::count},
+                            {word::clock, PromotionMode::clock}});
+  rollout.bake = form.span(key::bake, 0ms, max_release_time);
+  rollout.step = form.span(key::step, 0ms, max_release_time, 0ms);
+  if (rollout.promotion_mode == PromotionMode::clock && rollout.step == Duration{})
+    form.problem("step is missing: the clock needs it");
+  rollout.settle = form.span(key::settle, 0ms, 1h, 1s);
+  rollout.launch_most = form.span(key::launch_within, 1ms, max_release_time, 8s);
+  rollout.drain = form.span(key::drain, 0ms, max_release_time);
+  if (rollout.drain < deployment.drain_grace)
+    form.problem(key::drain, "is shorter than the drain-grace of the rules: work would be cut off");
+  rollout.back_for = form.span(key::rollback_window, 0ms, max_rollback_window, 0ms);
+  rollout.vote_lifetime = form.span(key::vote_lifetime, 1ms, 1h);
+  rollout.votes_to_promote = form.number(key::promote_share, 0, 1, 0.0);
+  rollout.votes_to_hold = form.number(key::hold_share, 0, 1, 0.1);
+  rollout.votes_to_roll_back = form.number(key::roll_back_share, 0, 1);
+  rollout.votes_per_s = form.number(key::votes_per_s, 0.1, 1e6);
+  rollout.in_place =
+      form.enumerator<bool>(key::style, {{word::beside, false}, {word::in_place, true}}, false);
+  deployment.vote_timeout = form.span(key::vote_timeout, 1ms, 1min, 1s);
+  deployment.wrong_answer_report_share = form.number(key::wrong_answer_report_share, 0, 1, 0.0);
+  form.finish();
+}
+
+void read_request_classes(Form& form, Deployment& deployment) {
+  std::set<std::string> names;
+  for (Form& request_class : form.each(key::request_class, 1)) {
+    deployment.request_classes.push_back(read_request_class(request_class));
+    if (!names.insert(deployment.request_classes.back().name).second)
+      request_class.problem("a second product of that name");
+  }
+}
+
+void read_tenants(Form& form, Deployment& deployment) {
+  std::set<std::string> names;
+  for (Form& tenant : form.each(key::tenant)) {
+    deployment.tenants.push_back(read_tenant(tenant));
+    if (!names.insert(deployment.tenants.back().name).second)
+      tenant.problem("a second tenant of that name");
+  }
+}
+
+void read_zones(Form& form, Deployment& deployment) {
+  Form zones = form.sub(key::zones);
+  for (std::size_t i = 0; i < zones.own_words(); ++i)
+    deployment.zones.push_back(zones.own_word(i, "a zone"));
+  if (deployment.zones.empty()) {
+    form.problem(key::zones, "names none");
+    deployment.zones.emplace_back();
+  }
+}
+
+}  // namespace
+
+Deployment read(Form form) {
+  Deployment deployment;
+  read_request_classes(form, deployment);
+  read_tenants(form, deployment);
+  read_zones(form, deployment);
+  deployment.proxies = form.whole(key::proxies, 1, 100000);
+  deployment.uses_sizes = form.truth(key::uses_sizes, false);
+  deployment.over_quota_weight = form.number(key::over_quota_weight, 0, 1, 1.0);
+  deployment.load_reports =
+      form.enumerator<LoadReportSource>(key::load_reports,
+                                        {{word::reports_none, LoadReportSource::none},
+                                         {word::reports_with_answers, LoadReportSource::answers}},
+                                        LoadReportSource::answers);
+  read_rules(form.sub(key::rules), deployment);
+  read_rollout(form.sub(key::rollout), deployment);
+  form.finish();
+  return deployment;
+}
+
+}  // namespace robinhoist::deployment
--- a/src/machine/forms.cpp
+++ b/src/machine/forms.cpp
@@ -12,10 +12,10 @@
   to.speed = form.number("speed", 0.01, 100, 1.0);
   to.crowding = form.number("crowding", 0, 1, 0.0);
   form.finish();
-  to.cold_from = deployment.cold_from;
-  to.cold_for = deployment.cold_for;
-  to.fall_multiple = deployment.fall_multiple;
-  to.fall_window = deployment.fall_window;
+  to.cold_from = deployment.initial_warm_up_factor;
+  to.cold_for = deployment.warm_up_time;
+  to.fall_multiple = deployment.collapse_multiple;
+  to.fall_window = deployment.collapse_window;
   return to;
 }
 
