--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -1,165 +1,212 @@
 #include "module_settings/module_settings.h"
 
 #include <algorithm>
+#include <utility>
+
+#include "module_settings/wire_names.h"
 
 namespace robinhoist::module_settings {
 namespace {
 
-using namespace json;
+using json::BadInput;
+using json::Json;
+
+BadInput bad_setting(const char* name, const char* problem) {
+  return BadInput(std::string("setting ") + name + " " + problem);
+}
 
-double positive(const Json& object, const char* field) {
-  double value = number(object, field);
+double positive(const Json& object, const char* name) {
+  const double value = json::number(object, name);
   if (!(value > 0))
-    throw BadInput(std::string("setting ") + field + " must be above 0");
+    throw bad_setting(name, "must be above 0");
   return value;
 }
 
-double not_negative(const Json& object, const char* field) {
-  double value = number(object, field);
+double not_negative(const Json& object, const char* name) {
+  const double value = json::number(object, name);
   if (!(value >= 0))
-    throw BadInput(std::string("setting ") + field + " must not be below 0");
+    throw bad_setting(name, "must not be below 0");
   return value;
 }
 
-void request_settings(const Json& params, ModuleSettings& to) {
-  RequestSettings& settings = to.requests;
-  for (const Json& entry : array(params, "classes").GetArray()) {
+Duration positive_ms(const Json& object, const char* name) {
+  return json::span(positive(object, name));
+}
+
+Duration not_negative_ms(const Json& object, const char* name) {
+  return json::span(not_negative(object, name));
+}
+
+RequestClass decode_request_class(const Json& entry) {
+  RequestClass request_class{};
+  request_class.latency_objective = positive_ms(entry, field::latency_objective_ms);
+  request_class.deadline = positive_ms(entry, field::deadline_ms);
+  request_class.dedup_window = not_negative_ms(entry, field::dedup_window_ms);
+  request_class.idempotency =
+      json::enumerator<Idempotency>(entry, field::idempotency,
+                                    {{"free", Idempotency::idempotent},
+                                     {"guarded", Idempotency::idempotent_with_key},
+                                     {"single_shot", Idempotency::non_idempotent}});
+  request_class.dedup_scope = json::enumerator<DedupScope>(
+      entry, field::dedup_scope,
+      {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
+  request_class.priority_weight = not_negative(entry, field::priority_weight);
+  request_class.late_weight_share = not_negative(entry, field::late_weight_share);
+  request_class.stream = json::truth(entry, field::stream);
+  return request_class;
+}
+
+void decode_request_classes(const Json& object, ModuleSettings& settings) {
+  for (const Json& entry : json::array(object, field::request_classes).GetArray()) {
     if (!entry.IsObject())
-      mistyped("classes", "an array of objects");
-    RequestClass request_class{};
-    request_class.latency_objective = span(positive(entry, "goal_time_ms"));
-    request_class.deadline = span(positive(entry, "deadline_ms"));
-    request_class.dedup_window = span(not_negative(entry, "dedup_window_ms"));
-    request_class.idempotency =
-        enumerator<Idempotency>(entry, "effect",
-                                {{"free", Idempotency::idempotent},
-                                 {"guarded", Idempotency::idempotent_with_key},
-                                 {"single_shot", Idempotency::non_idempotent}});
-    request_class.dedup_scope = enumerator<DedupScope>(
-        entry, "group",
-        {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
-    request_class.priority_weight = not_negative(entry, "worth");
-    request_class.late_weight_share = not_negative(entry, "late_share");
-    request_class.stream = truth(entry, "streaming");
-    settings.request_classes.push_back(request_class);
-    to.request_classes.push_back(text_or(entry, "name", ""));
+      json::mistyped(field::request_classes, "an array of objects");
+    settings.requests.request_classes.push_back(decode_request_class(entry));
+    settings.request_classes.push_back(json::text_or(entry, field::name, ""));
   }
-  if (settings.request_classes.empty())
-    throw BadInput("setting classes is empty");
-  for (const Json& entry : array(params, "tenants").GetArray()) {
+  if (settings.requests.request_classes.empty())
+    throw bad_setting(field::request_classes, "is empty");
+}
+
+void decode_tenants(const Json& object, ModuleSettings& settings) {
+  for (const Json& entry : json::array(object, field::tenants).GetArray()) {
     if (!entry.IsObject())
-      mistyped("tenants", "an array of objects");
-    settings.tenants.push_back(
-        {not_negative(entry, "fraction"), not_negative(entry, "allowance_per_s")});
-    to.tenants.push_back(text_or(entry, "name", ""));
+      json::mistyped(field::tenants, "an array of objects");
+    Tenant tenant{};
+    tenant.share = not_negative(entry, field::tenant_share);
+    tenant.allowance_per_s = not_negative(entry, field::tenant_allowance_per_s);
+    settings.requests.tenants.push_back(tenant);
+    settings.tenants.push_back(json::text_or(entry, field::name, ""));
   }
-  const Json& bounds = inner(params, "bounds");
-  settings.max_attempts = whole(bounds, "max_attempts", 1);
-  settings.proxies = whole(params, "balancers", 1);
-  settings.hedging = truth(bounds, "second_copies");
-  settings.cancelling = truth(bounds, "cancelling");
-  settings.advice = truth(bounds, "retry_after");
-  settings.max_pause = span(not_negative(bounds, "max_retry_after_ms"));
-  settings.slack = span(not_negative(inner(params, "safety"), "answer_slack_ms"));
-  settings.tick = span(positive(params, "tick_ms"));
-  settings.over_quota_weight = not_negative(params, "over_share_worth");
-}
-
-EndpointSettings endpoint_settings(const Json& params) {
-  const Json& safety = inner(params, "safety");
+}
+
+void decode_zones(const Json& object, ModuleSettings& settings) {
+  if (!json::present(object, field::zones))
+    return;
+  for (const Json& zone : json::array(object, field::zones).GetArray()) {
+    if (!zone.IsString())
+      json::mistyped(field::zones, "an array of names");
+    settings.zones.emplace_back(zone.GetString(), zone.GetStringLength());
+  }
+}
+
+// All but the request classes and tenants.
+void decode_request_limits(const Json& object, RequestSettings& settings) {
+  const Json& bounds = json::inner(object, field::bounds);
+  settings.max_attempts = json::whole(bounds, field::max_attempts, 1);
+  settings.proxies = json::whole(object, field::proxies, 1);
+  settings.hedging = json::truth(bounds, field::hedging);
+  settings.cancelling = json::truth(bounds, field::cancelling);
+  settings.advice = json::truth(bounds, field::retry_after);
+  settings.max_pause = not_negative_ms(bounds, field::max_retry_after_ms);
+  settings.slack = not_negative_ms(json::inner(object, field::safety), field::answer_slack_ms);
+  settings.tick = positive_ms(object, field::tick_ms);
+  settings.over_quota_weight = not_negative(object, field::over_quota_weight);
+}
+
+EndpointSettings decode_endpoint_settings(const Json& object) {
+  const Json& safety = json::inner(object, field::safety);
   EndpointSettings settings{};
-  settings.zone = whole(params, "zone");
-  settings.me = whole(params, "me");
-  settings.proxies = whole(params, "balancers", 1);
-  settings.cold_for = duration_of(safety, "cold_ms");
-  settings.fall_window = span(positive(safety, "fall_ms"));
-  settings.ask_within = span(not_negative(safety, "ask_within_ms"));
-  settings.cold_from = positive(safety, "cold_from");
+  settings.zone = json::whole(object, field::zone);
+  settings.me = json::whole(object, field::proxy_index);
+  settings.proxies = json::whole(object, field::proxies, 1);
+  settings.cold_for = json::duration_of(safety, field::warm_up_time_ms);
+  settings.fall_window = positive_ms(safety, field::collapse_window_ms);
+  settings.ask_within = not_negative_ms(safety, field::poll_within_ms);
+  settings.cold_from = positive(safety, field::initial_warm_up_factor);
   if (settings.cold_from > 1)
-    throw BadInput("setting cold_from must not be above 1");
-  settings.fall_multiple = positive(safety, "fall_multiple");
+    throw bad_setting(field::initial_warm_up_factor, "must not be above 1");
+  settings.fall_multiple = positive(safety, field::collapse_multiple);
   settings.must_ask =
-      enumerator<bool>(params, "registry_mode", {{"automatic", false}, {"subscribe", true}});
-  settings.sized = enumerator<bool>(
-      params, "weights", {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
-  settings.probes = truth(inner(params, "bounds"), "probes");
-  settings.reports = enumerator<LoadReportSource>(inner(params, "load_report"), "source",
-                                                  {{"piggyback", LoadReportSource::answers},
-                                                   {"pull", LoadReportSource::probes},
-                                                   {"silent", LoadReportSource::none}});
+      json::enumerator<bool>(object, field::list_mode, {{"automatic", false}, {"subscribe", true}});
+  settings.sized = json::enumerator<bool>(
+      object, field::sizes,
+      {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
+  settings.probes = json::truth(json::inner(object, field::bounds), field::probes);
+  settings.reports = json::enumerator<LoadReportSource>(json::inner(object, field::load_report),
+                                                        field::load_report_source,
+                                                        {{"piggyback", LoadReportSource::answers},
+                                                         {"pull", LoadReportSource::probes},
+                                                         {"silent", LoadReportSource::none}});
   return settings;
 }
 
-CanaryQuotaSettings canary_quota_settings(const Json& info) {
+CanaryQuotaSettings decode_canary_quota(const Json& release) {
   CanaryQuotaSettings settings{};
-  settings.window = span(positive(info, "window_ms"));
-  settings.free_requests = not_negative(info, "free");
+  settings.window = positive_ms(release, field::quota_window_ms);
+  settings.free_requests = not_negative(release, field::free_requests);
   settings.by_request_class =
-      enumerator<bool>(info, "counts", {{"all", false}, {"each_class", true}});
-  settings.one_way = truth(info, "one_way");
-  settings.in_place =
-      enumerator<bool>(info, "replace_mode", {{"parallel", false}, {"replace", true}});
-  settings.safe_only_stages = whole(info, "safe_only_stages");
-  for (const Json& cap : array(info, "caps").GetArray()) {
+      json::enumerator<bool>(release, field::quota_counts, {{"all", false}, {"each_class", true}});
+  settings.one_way = json::truth(release, field::one_way);
+  settings.in_place = json::enumerator<bool>(release, field::replace_mode,
+                                             {{"parallel", false}, {"replace", true}});
+  settings.safe_only_stages = json::whole(release, field::safe_only_stages);
+  for (const Json& cap : json::array(release, field::caps).GetArray()) {
     if (!cap.IsNumber() || cap.GetDouble() < 0)
-      mistyped("caps", "an array of numbers from 0");
+      json::mistyped(field::caps, "an array of numbers from 0");
     settings.caps.push_back(cap.GetDouble());
   }
   return settings;
 }
 
-AnalysisSettings analysis_settings(const Json& params, const Json& info) {
+AnalysisSettings decode_analysis(const Json& object, const Json& release) {
   AnalysisSettings settings{};
-  settings.promotion_mode = enumerator<PromotionMode>(info, "gate_mode",
-                                                      {{"first_voice", PromotionMode::first_vote},
-                                                       {"by_count", PromotionMode::count},
-                                                       {"automatic", PromotionMode::clock}});
-  settings.bake = span(not_negative(info, "bake_ms"));
-  settings.step = span(not_negative(info, "moves_after_ms"));
-  settings.vote_lifetime = span(positive(info, "vote_stands_ms"));
-  settings.call_timeout = span(positive(info, "call_timeout_ms"));
-  settings.votes_per_s = not_negative(info, "calls_per_s");
-  settings.wrong_answer_report_share = not_negative(info, "flag_share");
-  settings.proxies = whole(params, "balancers", 1);
-  settings.votes_to_promote = whole(info, "to_advance");
-  settings.votes_to_hold = whole(info, "hold_votes");
-  settings.votes_to_roll_back = whole(info, "votes_to_revert");
+  settings.promotion_mode =
+      json::enumerator<PromotionMode>(release, field::promotion_mode,
+                                      {{"first_voice", PromotionMode::first_vote},
+                                       {"by_count", PromotionMode::count},
+                                       {"automatic", PromotionMode::clock}});
+  settings.bake = not_negative_ms(release, field::bake_ms);
+  settings.step = not_negative_ms(release, field::step_ms);
+  settings.vote_lifetime = positive_ms(release, field::vote_lifetime_ms);
+  settings.call_timeout = positive_ms(release, field::call_timeout_ms);
+  settings.votes_per_s = not_negative(release, field::votes_per_s);
+  settings.wrong_answer_report_share = not_negative(release, field::wrong_answer_report_share);
+  settings.proxies = json::whole(object, field::proxies, 1);
+  settings.votes_to_promote = json::whole(release, field::votes_to_promote);
+  settings.votes_to_hold = json::whole(release, field::votes_to_hold);
+  settings.votes_to_roll_back = json::whole(release, field::votes_to_roll_back);
   return settings;
 }
 
+int index_of(const std::vector<std::string>& names, std::string_view name) {
+  const auto found = std::find(names.begin(), names.end(), name);
+  return found == names.end() ? -1 : static_cast<int>(found - names.begin());
+}
+
 }  // namespace
 
-int ModuleSettings::index(const std::vector<std::string>& among, std::string_view name) {
-  auto at = std::find(among.begin(), among.end(), name);
-  return at == among.end() ? -1 : static_cast<int>(at - among.begin());
+int ModuleSettings::request_class(std::string_view name) const {
+  return index_of(request_classes, name);
+}
+
+int ModuleSettings::zone(std::string_view name) const {
+  return index_of(zones, name);
 }
 
 ModuleSettings decode(const Json& object) {
-  ModuleSettings to;
-  const Json& info = inner(object, "family_info");
-  request_settings(object, to);
-  to.endpoints = endpoint_settings(object);
-  to.canary_quota = canary_quota_settings(info);
-  to.analysis = analysis_settings(object, info);
-  const Json& bounds = inner(object, "bounds");
-  to.connect_timeout = span(number_or(bounds, "connect_timeout_ms", 0));
-  to.keep_idle = span(number_or(bounds, "keepalive_ms", 0));
-  if (present(object, "failure_domains"))
-    for (const Json& zone : array(object, "failure_domains").GetArray()) {
-      if (!zone.IsString())
-        mistyped("failure_domains", "an array of names");
-      to.zones.emplace_back(zone.GetString(), zone.GetStringLength());
-    }
-  return to;
-}
-
-std::optional<double>* load_field(LoadReport& load, std::string_view name) {
-  const std::pair<const char*, std::optional<double>*> places[] = {
-      {"busy_reqs", &load.held},    {"pending", &load.waiting},     {"cpu_share", &load.busy},
-      {"svc_ms", &load.service_ms}, {"served_ps", &load.served_ps}, {"failed_ps", &load.failed_ps}};
-  for (auto& [word, place] : places)
-    if (name == word)
-      return place;
+  ModuleSettings settings;
+  const Json& release = json::inner(object, field::release);
+  decode_request_classes(object, settings);
+  decode_tenants(object, settings);
+  decode_request_limits(object, settings.requests);
+  settings.endpoints = decode_endpoint_settings(object);
+  settings.canary_quota = decode_canary_quota(release);
+  settings.analysis = decode_analysis(object, release);
+  const Json& bounds = json::inner(object, field::bounds);
+  settings.connect_timeout = json::span(json::number_or(bounds, field::connect_timeout_ms, 0));
+  settings.keep_idle = json::span(json::number_or(bounds, field::idle_timeout_ms, 0));
+  decode_zones(object, settings);
+  return settings;
+}
+
+std::optional<double>* load_field(LoadReport& report, std::string_view name) {
+  const std::pair<const char*, std::optional<double>*> values[] = {
+      {load::in_flight, &report.held},         {load::queued, &report.waiting},
+      {load::utilization, &report.busy},       {load::service_ms, &report.service_ms},
+      {load::served_per_s, &report.served_ps}, {load::failed_per_s, &report.failed_ps}};
+  for (const auto& [known, value] : values)
+    if (name == known)
+      return value;
   return nullptr;
 }
 
--- a/src/module_settings/module_settings.h
+++ b/src/module_settings/module_settings.h
@@ -1,9 +1,12 @@
-// What an proxy is told about its deployment at its start: the module's settings, part by part, and
-// the names behind the indices. One piece of code decodes the operators' object, for their
-// simulator's wire and for their platform alike. Nothing here decides; figures come with the input
-// alone.
+/// What a proxy instance is told about its deployment at its start: the decision module's settings,
+/// and the names behind its indices.
+///
+/// One decoder reads the operators' settings object, for their simulator's wire and for their
+/// platform alike.
 #pragma once
+#include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "json/fields.h"
@@ -14,26 +17,29 @@
 
 namespace robinhoist::module_settings {
 
+/// The settings of one proxy instance.
 struct ModuleSettings {
   EndpointSettings endpoints{};
   CanaryQuotaSettings canary_quota{};
   AnalysisSettings analysis{};
   RequestSettings requests{};
-  std::vector<std::string> request_classes{}, tenants{}, zones{};  // by index
-  Duration connect_timeout{},
-      keep_idle{};  // for a connection to come up; an idle one is closed by its endpoint
-
-  int request_class(std::string_view name) const { return index(request_classes, name); }
-  int zone(std::string_view name) const { return index(zones, name); }
-
- private:
-  static int index(const std::vector<std::string>& among, std::string_view name);
+  std::vector<std::string> request_classes{};  ///< names, by index
+  std::vector<std::string> tenants{};          ///< names, by index
+  std::vector<std::string> zones{};            ///< names, by index
+  Duration connect_timeout{};                  ///< for a connection to an endpoint to come up
+  Duration keep_idle{};  ///< after which an endpoint closes an idle connection
+
+  /// Index of the request class or zone with this name; -1: there is none.
+  int request_class(std::string_view name) const;
+  int zone(std::string_view name) const;
 };
 
-// Of the object that an instance gets; BadInput names the field and what is wrong with it.
+/// Reads the settings object. Throws json::BadInput, which names the field and what is wrong with
+/// it.
 ModuleSettings decode(const json::Json& object);
 
-// Where a value of a load report belongs, by the words of `load_report`; null: not one of them.
-std::optional<double>* load_field(LoadReport& load, std::string_view name);
+/// The value of a load report with this name, to be read or set; null: no value has that name. The
+/// pointer is into `report`.
+std::optional<double>* load_field(LoadReport& report, std::string_view name);
 
 }  // namespace robinhoist::module_settings
