--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -142,7 +142,8 @@
   if (end == load::End::succeeded && response.body.find("\"right\":false") != std::string::npos)
     right = false;
   const std::string node(response.headers.get("Robinhoist-Node"));
-  auto pause = settings::number_of(std::string(response.headers.get("Robinhoist-Retry-After-Ms")));
+  auto pause =
+      settings::parse_number(std::string(response.headers.get("Robinhoist-Retry-After-Ms")));
   const std::string proxy = "umpire-" + std::to_string(one.proxy);
   record::tried(
       record_,
@@ -161,8 +162,8 @@
        .status = response.status,
        .why = response.headers.get("Robinhoist-Why"),
        .endpoint = node,
-       .build =
-           settings::number_of(std::string(response.headers.get("Robinhoist-Build"))).value_or(-1),
+       .build = settings::parse_number(std::string(response.headers.get("Robinhoist-Build")))
+                    .value_or(-1),
        .right = right});
   if (end == load::End::succeeded) {
     const double random = std::uniform_real_distribution<double>(0, 1)(random_);
@@ -179,18 +180,18 @@
   http::Request request;
   request.method = "POST";
   request.target = "/wrong";
-  request.body = json::Out().open().put("node", node).close().text();
+  request.body = json::Writer().begin_object().put("node", node).end_object().text();
   admins_[proxy]->call(request, 2s, [](http::CallResult, http::Response&&) {});
 }
 
 void Clients::note_unasked() {
   for (std::size_t u = 0; u < fronts_.size(); ++u)
     if (fronts_[u]->unsolicited() > 0)
-      record_.line(json::Out()
-                       .open()
+      record_.line(json::Writer()
+                       .begin_object()
                        .put("unasked", fronts_[u]->unsolicited())
                        .put("umpire", "umpire-" + std::to_string(u))
-                       .close()
+                       .end_object()
                        .text());
 }
 
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -12,7 +12,7 @@
 #include "policy/release.h"
 #include "policy/request.h"
 #include "rollout/rollout.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 #include "time/time_types.h"
 
 namespace robinhoist::deployment {
@@ -83,7 +83,7 @@
 
 /// Reads the keys of a (deployment ...) form. Problems are left with the form, whose finish()
 /// throws them together.
-Deployment read(settings::Form form);
+Deployment read(settings::SexpReader form);
 
 /// The decision module's settings for the proxy with this number, which stands in this zone.
 EndpointSettings endpoint_settings(const Deployment& deployment, int zone, int number);
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -8,36 +8,36 @@
 namespace robinhoist::module_settings {
 namespace {
 
-using json::BadInput;
-using json::Json;
+using json::DecodeError;
+using json::Value;
 
-BadInput bad_setting(const char* name, const char* problem) {
-  return BadInput(std::string("setting ") + name + " " + problem);
+DecodeError bad_setting(const char* name, const char* problem) {
+  return DecodeError(std::string("setting ") + name + " " + problem);
 }
 
-double positive(const Json& object, const char* name) {
+double positive(const Value& object, const char* name) {
   const double value = json::number(object, name);
   if (!(value > 0))
     throw bad_setting(name, "must be above 0");
   return value;
 }
 
-double not_negative(const Json& object, const char* name) {
+double not_negative(const Value& object, const char* name) {
   const double value = json::number(object, name);
   if (!(value >= 0))
     throw bad_setting(name, "must not be below 0");
   return value;
 }
 
-Duration positive_ms(const Json& object, const char* name) {
-  return json::span(positive(object, name));
+Duration positive_ms(const Value& object, const char* name) {
+  return json::duration_from_ms(positive(object, name));
 }
 
-Duration not_negative_ms(const Json& object, const char* name) {
-  return json::span(not_negative(object, name));
+Duration not_negative_ms(const Value& object, const char* name) {
+  return json::duration_from_ms(not_negative(object, name));
 }
 
-RequestClass decode_request_class(const Json& entry) {
+RequestClass decode_request_class(const Value& entry) {
   RequestClass request_class{};
   request_class.latency_objective = positive_ms(entry, field::latency_objective_ms);
   request_class.deadline = positive_ms(entry, field::deadline_ms);
@@ -52,14 +52,14 @@
       {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
   request_class.priority_weight = not_negative(entry, field::priority_weight);
   request_class.late_weight_share = not_negative(entry, field::late_weight_share);
-  request_class.stream = json::truth(entry, field::stream);
+  request_class.stream = json::boolean(entry, field::stream);
   return request_class;
 }
 
-void decode_request_classes(const Json& object, ModuleSettings& settings) {
-  for (const Json& entry : json::array(object, field::request_classes).GetArray()) {
+void decode_request_classes(const Value& object, ModuleSettings& settings) {
+  for (const Value& entry : json::array(object, field::request_classes).GetArray()) {
     if (!entry.IsObject())
-      json::mistyped(field::request_classes, "an array of objects");
+      json::throw_wrong_type(field::request_classes, "an array of objects");
     settings.requests.request_classes.push_back(decode_request_class(entry));
     settings.request_classes.push_back(json::text_or(entry, field::name, ""));
   }
@@ -67,10 +67,10 @@
     throw bad_setting(field::request_classes, "is empty");
 }
 
-void decode_tenants(const Json& object, ModuleSettings& settings) {
-  for (const Json& entry : json::array(object, field::tenants).GetArray()) {
+void decode_tenants(const Value& object, ModuleSettings& settings) {
+  for (const Value& entry : json::array(object, field::tenants).GetArray()) {
     if (!entry.IsObject())
-      json::mistyped(field::tenants, "an array of objects");
+      json::throw_wrong_type(field::tenants, "an array of objects");
     Tenant tenant{};
     tenant.share = not_negative(entry, field::tenant_share);
     tenant.allowance_per_s = not_negative(entry, field::tenant_allowance_per_s);
@@ -79,37 +79,38 @@
   }
 }
 
-void decode_zones(const Json& object, ModuleSettings& settings) {
-  if (!json::present(object, field::zones))
+void decode_zones(const Value& object, ModuleSettings& settings) {
+  if (!json::has_value(object, field::zones))
     return;
-  for (const Json& zone : json::array(object, field::zones).GetArray()) {
+  for (const Value& zone : json::array(object, field::zones).GetArray()) {
     if (!zone.IsString())
-      json::mistyped(field::zones, "an array of names");
+      json::throw_wrong_type(field::zones, "an array of names");
     settings.zones.emplace_back(zone.GetString(), zone.GetStringLength());
   }
 }
 
 // All but the request classes and tenants.
-void decode_request_limits(const Json& object, RequestSettings& settings) {
-  const Json& bounds = json::inner(object, field::bounds);
-  settings.max_attempts = json::whole(bounds, field::max_attempts, 1);
-  settings.proxies = json::whole(object, field::proxies, 1);
-  settings.hedging = json::truth(bounds, field::hedging);
-  settings.cancelling = json::truth(bounds, field::cancelling);
-  settings.advice = json::truth(bounds, field::retry_after);
+void decode_request_limits(const Value& object, RequestSettings& settings) {
+  const Value& bounds = json::nested_object(object, field::bounds);
+  settings.max_attempts = json::integer(bounds, field::max_attempts, 1);
+  settings.proxies = json::integer(object, field::proxies, 1);
+  settings.hedging = json::boolean(bounds, field::hedging);
+  settings.cancelling = json::boolean(bounds, field::cancelling);
+  settings.advice = json::boolean(bounds, field::retry_after);
   settings.max_pause = not_negative_ms(bounds, field::max_retry_after_ms);
-  settings.slack = not_negative_ms(json::inner(object, field::safety), field::answer_slack_ms);
+  settings.slack =
+      not_negative_ms(json::nested_object(object, field::safety), field::answer_slack_ms);
   settings.tick = positive_ms(object, field::tick_ms);
   settings.over_quota_weight = not_negative(object, field::over_quota_weight);
 }
 
-EndpointSettings decode_endpoint_settings(const Json& object) {
-  const Json& safety = json::inner(object, field::safety);
+EndpointSettings decode_endpoint_settings(const Value& object) {
+  const Value& safety = json::nested_object(object, field::safety);
   EndpointSettings settings{};
-  settings.zone = json::whole(object, field::zone);
-  settings.me = json::whole(object, field::proxy_index);
-  settings.proxies = json::whole(object, field::proxies, 1);
-  settings.cold_for = json::duration_of(safety, field::warm_up_time_ms);
+  settings.zone = json::integer(object, field::zone);
+  settings.me = json::integer(object, field::proxy_index);
+  settings.proxies = json::integer(object, field::proxies, 1);
+  settings.cold_for = json::duration(safety, field::warm_up_time_ms);
   settings.fall_window = positive_ms(safety, field::collapse_window_ms);
   settings.ask_within = not_negative_ms(safety, field::poll_within_ms);
   settings.cold_from = positive(safety, field::initial_warm_up_factor);
@@ -121,34 +122,34 @@
   settings.sized = json::enumerator<bool>(
       object, field::sizes,
       {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
-  settings.probes = json::truth(json::inner(object, field::bounds), field::probes);
-  settings.reports = json::enumerator<LoadReportSource>(json::inner(object, field::load_report),
-                                                        field::load_report_source,
-                                                        {{"piggyback", LoadReportSource::answers},
-                                                         {"pull", LoadReportSource::probes},
-                                                         {"silent", LoadReportSource::none}});
+  settings.probes = json::boolean(json::nested_object(object, field::bounds), field::probes);
+  settings.reports = json::enumerator<LoadReportSource>(
+      json::nested_object(object, field::load_report), field::load_report_source,
+      {{"piggyback", LoadReportSource::answers},
+       {"pull", LoadReportSource::probes},
+       {"silent", LoadReportSource::none}});
   return settings;
 }
 
-CanaryQuotaSettings decode_canary_quota(const Json& release) {
+CanaryQuotaSettings decode_canary_quota(const Value& release) {
   CanaryQuotaSettings settings{};
   settings.window = positive_ms(release, field::quota_window_ms);
   settings.free_requests = not_negative(release, field::free_requests);
   settings.by_request_class =
       json::enumerator<bool>(release, field::quota_counts, {{"all", false}, {"each_class", true}});
-  settings.one_way = json::truth(release, field::one_way);
+  settings.one_way = json::boolean(release, field::one_way);
   settings.in_place = json::enumerator<bool>(release, field::replace_mode,
                                              {{"parallel", false}, {"replace", true}});
-  settings.safe_only_stages = json::whole(release, field::safe_only_stages);
-  for (const Json& cap : json::array(release, field::caps).GetArray()) {
+  settings.safe_only_stages = json::integer(release, field::safe_only_stages);
+  for (const Value& cap : json::array(release, field::caps).GetArray()) {
     if (!cap.IsNumber() || cap.GetDouble() < 0)
-      json::mistyped(field::caps, "an array of numbers from 0");
+      json::throw_wrong_type(field::caps, "an array of numbers from 0");
     settings.caps.push_back(cap.GetDouble());
   }
   return settings;
 }
 
-AnalysisSettings decode_analysis(const Json& object, const Json& release) {
+AnalysisSettings decode_analysis(const Value& object, const Value& release) {
   AnalysisSettings settings{};
   settings.promotion_mode =
       json::enumerator<PromotionMode>(release, field::promotion_mode,
@@ -161,10 +162,10 @@
   settings.call_timeout = positive_ms(release, field::call_timeout_ms);
   settings.votes_per_s = not_negative(release, field::votes_per_s);
   settings.wrong_answer_report_share = not_negative(release, field::wrong_answer_report_share);
-  settings.proxies = json::whole(object, field::proxies, 1);
-  settings.votes_to_promote = json::whole(release, field::votes_to_promote);
-  settings.votes_to_hold = json::whole(release, field::votes_to_hold);
-  settings.votes_to_roll_back = json::whole(release, field::votes_to_roll_back);
+  settings.proxies = json::integer(object, field::proxies, 1);
+  settings.votes_to_promote = json::integer(release, field::votes_to_promote);
+  settings.votes_to_hold = json::integer(release, field::votes_to_hold);
+  settings.votes_to_roll_back = json::integer(release, field::votes_to_roll_back);
   return settings;
 }
 
@@ -183,18 +184,19 @@
   return index_of(zones, name);
 }
 
-ModuleSettings decode(const Json& object) {
+ModuleSettings decode(const Value& object) {
   ModuleSettings settings;
-  const Json& release = json::inner(object, field::release);
+  const Value& release = json::nested_object(object, field::release);
   decode_request_classes(object, settings);
   decode_tenants(object, settings);
   decode_request_limits(object, settings.requests);
   settings.endpoints = decode_endpoint_settings(object);
   settings.canary_quota = decode_canary_quota(release);
   settings.analysis = decode_analysis(object, release);
-  const Json& bounds = json::inner(object, field::bounds);
-  settings.connect_timeout = json::span(json::number_or(bounds, field::connect_timeout_ms, 0));
-  settings.keep_idle = json::span(json::number_or(bounds, field::idle_timeout_ms, 0));
+  const Value& bounds = json::nested_object(object, field::bounds);
+  settings.connect_timeout =
+      json::duration_from_ms(json::number_or(bounds, field::connect_timeout_ms, 0));
+  settings.keep_idle = json::duration_from_ms(json::number_or(bounds, field::idle_timeout_ms, 0));
   decode_zones(object, settings);
   return settings;
 }
--- a/src/module_settings/module_settings.h
+++ b/src/module_settings/module_settings.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "policy/endpoint.h"
 #include "policy/release.h"
 #include "policy/request.h"
@@ -34,9 +34,9 @@
   int zone(std::string_view name) const;
 };
 
-/// Reads the settings object. Throws json::BadInput, which names the field and what is wrong with
-/// it.
-ModuleSettings decode(const json::Json& object);
+/// Reads the settings object. Throws json::DecodeError, which names the field and what is wrong
+/// with it.
+ModuleSettings decode(const json::Value& object);
 
 /// The value of a load report with this name, to be read or set; null: no value has that name. The
 /// pointer is into `report`.
--- a/src/proxy/sources.cpp
+++ b/src/proxy/sources.cpp
@@ -4,7 +4,8 @@
 
 #include <algorithm>
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "rollout/names.h"
 
 namespace robinhoist::proxy {
@@ -28,7 +29,7 @@
 }
 }  // namespace
 
-Poll::Poll(net::Loop& loop, const std::string& from, unsigned salt, const log::Log& log)
+Poll::Poll(net::Loop& loop, const std::string& from, unsigned salt, const log::Logger& log)
     : loop_(loop),
       caller_(loop, Poco::Net::SocketAddress(from), few_connections()),
       backoff_(pause_least, pause_most, salt),
@@ -67,13 +68,14 @@
             log_.info("news comes again", {{"from", caller_.peer().toString()}});
         }
         if (fine)
-          backoff_.worked();
-        timer_ = loop_.in(fine ? Duration(0) : backoff_.failed(), [this] { ask(); });
+          backoff_.reset();
+        timer_ = loop_.in(fine ? Duration(0) : backoff_.next_delay(), [this] { ask(); });
       });
 }
 
 HttpEndpointSource::HttpEndpointSource(net::Loop& loop, const std::string& from,
-                                       const std::string& proxy, unsigned salt, const log::Log& log)
+                                       const std::string& proxy, unsigned salt,
+                                       const log::Logger& log)
     : engine_(proxy), poll_(loop, from, salt, log) {}
 
 void HttpEndpointSource::start(Heard heard) {
@@ -86,7 +88,7 @@
         registry::Update news;
         try {
           news = registry::decoded(response.body);
-        } catch (const json::BadInput&) {
+        } catch (const json::DecodeError&) {
           return false;
         }
         if (news.series == series_ && news.version < version_)
@@ -107,7 +109,7 @@
 }
 
 WatchReleaseSource::WatchReleaseSource(net::Loop& loop, const Settings& settings,
-                                       const log::Log& log)
+                                       const log::Logger& log)
     : loop_(loop),
       settings_(settings),
       log_(log),
@@ -177,7 +179,7 @@
   if (failing_)
     log_.info("releases are heard of again", {{"from", stream_.peer().toString()}});
   failing_ = false;
-  backoff_.worked();
+  backoff_.reset();
   if (auto news = follower_.news(loop_.now())) {
     newest_ = news->name;
     heard_(news->release);
@@ -195,21 +197,21 @@
               {{"from", stream_.peer().toString()}, {"status", log::text(status)}});
   failing_ = failing_ || status != 200;
   loop_.cancel(again_);
-  again_ = loop_.in(backoff_.failed(), [this] { watch(); });
+  again_ = loop_.in(backoff_.next_delay(), [this] { watch(); });
 }
 
 void WatchReleaseSource::beat() {
   loop_.cancel(beat_);
-  json::Out body;
-  body.open().put("session", session_);
+  json::Writer body;
+  body.begin_object().put("session", session_);
   if (acknowledged_)
-    body.open("acknowledged")
+    body.begin_object("acknowledged")
         .put("build", acknowledged_->release.build)
         .put("stage", acknowledged_->release.stage)
         .put("cap", acknowledged_->release.cap)
         .put("version", static_cast<long>(acknowledged_->version))
-        .close();
-  caller_.call(post("/v1/umpires/" + settings_.proxy + "/heartbeat", body.close().text()),
+        .end_object();
+  caller_.call(post("/v1/umpires/" + settings_.proxy + "/heartbeat", body.end_object().text()),
                beat_within, [this](http::CallResult how, http::Response&& response) {
                  if (how != http::CallResult::answered)
                    return;
@@ -221,9 +223,9 @@
                    return;
                  try {
                    beat_every_ =
-                       std::clamp(json::duration_of(json::object_of(response.body), "leaseMs") / 3,
+                       std::clamp(json::duration(json::parse_object(response.body), "leaseMs") / 3,
                                   beat_least, beat_most);
-                 } catch (const json::BadInput&) {
+                 } catch (const json::DecodeError&) {
                    // The next tells it again.
                  }
                });
@@ -236,13 +238,13 @@
     loop_.in(Duration(0), [answered] { answered(Outcome::obsolete); });
     return;
   }
-  const std::string body = json::Out()
-                               .open()
+  const std::string body = json::Writer()
+                               .begin_object()
                                .put("umpire", settings_.proxy)
                                .put("session", session_)
                                .put("stage", stage)
                                .put("verdict", rollout::to_string(verdict))
-                               .close()
+                               .end_object()
                                .text();
   caller_.call(post("/v1/releases/" + newest_ + "/votes", body), settings_.vote_within,
                [answered](http::CallResult how, http::Response&& response) {
@@ -261,12 +263,12 @@
 
 void WatchReleaseSource::client_outcomes(long requests, long unsuccessful) {
   // The next word makes up for a lost one.
-  caller_.call(post("/v1/patients", json::Out()
-                                        .open()
+  caller_.call(post("/v1/patients", json::Writer()
+                                        .begin_object()
                                         .put("umpire", settings_.proxy)
                                         .put("txns", requests)
                                         .put("poorly", unsuccessful)
-                                        .close()
+                                        .end_object()
                                         .text()),
                1s, [](http::CallResult, http::Response&&) {});
 }
--- a/src/simulator_adapter/adapter.h
+++ b/src/simulator_adapter/adapter.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "simulator_adapter/instance.h"
 #include "simulator_adapter/messages.h"
 
@@ -26,30 +26,30 @@
   std::optional<std::string> read(const std::string& line);
 
  private:
-  using EventHandler = void (Adapter::*)(Instance&, const json::Json&);
+  using EventHandler = void (Adapter::*)(Instance&, const json::Value&);
 
-  void begin_batch(const json::Json& fields);
+  void begin_batch(const json::Value& fields);
   std::string end_batch();
   /// Handles a message within a batch.
-  void handle(const std::string& message, const json::Json& fields);
-  void handle_event(const std::string& message, Instance& instance, const json::Json& fields);
-  void start_instance(const std::string& name, const json::Json& fields);
+  void handle(const std::string& message, const json::Value& fields);
+  void handle_event(const std::string& message, Instance& instance, const json::Value& fields);
+  void start_instance(const std::string& name, const json::Value& fields);
   void stop_instance(const std::string& name);
   Instance& find_instance(const std::string& name);
   void mark_for_reply(const std::string& name);
 
   // Events for one instance.
-  void endpoints_updated(Instance& instance, const json::Json& fields);
-  void request_arrived(Instance& instance, const json::Json& fields);
-  void stream_began(Instance& instance, const json::Json& fields);
-  void attempt_ended(Instance& instance, const json::Json& fields);
-  void client_disconnected(Instance& instance, const json::Json& fields);
-  void timer_expired(Instance& instance, const json::Json& fields);
-  void probe_ended(Instance& instance, const json::Json& fields);
-  void gossip(Instance& instance, const json::Json& fields);
-  void release_updated(Instance& instance, const json::Json& fields);
-  void metrics(Instance& instance, const json::Json& fields);
-  void wrong_answer(Instance& instance, const json::Json& fields);
+  void endpoints_updated(Instance& instance, const json::Value& fields);
+  void request_arrived(Instance& instance, const json::Value& fields);
+  void stream_began(Instance& instance, const json::Value& fields);
+  void attempt_ended(Instance& instance, const json::Value& fields);
+  void client_disconnected(Instance& instance, const json::Value& fields);
+  void timer_expired(Instance& instance, const json::Value& fields);
+  void probe_ended(Instance& instance, const json::Value& fields);
+  void gossip(Instance& instance, const json::Value& fields);
+  void release_updated(Instance& instance, const json::Value& fields);
+  void metrics(Instance& instance, const json::Value& fields);
+  void wrong_answer(Instance& instance, const json::Value& fields);
 
   struct Slot {
     std::unique_ptr<Instance> instance{};
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -4,11 +4,12 @@
 #include <iterator>
 #include <utility>
 
+#include "json/writer.h"
 #include "simulator_adapter/wire_names.h"
 
 namespace robinhoist::simulator_adapter {
 
-using json::Json;
+using json::Value;
 namespace field = wire::field;
 
 namespace {
@@ -28,25 +29,25 @@
   return hash;
 }
 
-EndpointInfo decode_endpoint(const Json& entry) {
+EndpointInfo decode_endpoint(const Value& entry) {
   EndpointInfo info{};
-  info.zone = json::whole(entry, field::zone);
-  info.cell = json::whole(entry, field::cell);
-  info.build = json::whole(entry, field::build, 0, max_build);
+  info.zone = json::integer(entry, field::zone);
+  info.cell = json::integer(entry, field::cell);
+  info.build = json::integer(entry, field::build, 0, max_build);
   info.phase = json::enumerator<EndpointPhase>(entry, field::endpoint_phase,
                                                {{"IN", EndpointPhase::ready},
                                                 {"LAME", EndpointPhase::draining},
                                                 {"OUT", EndpointPhase::removed}});
   info.size = json::number(entry, field::size);
-  info.started = TimePoint(json::span(json::number_or(entry, field::started_ms, 0)));
+  info.started = TimePoint(json::duration_from_ms(json::number_or(entry, field::started_ms, 0)));
   return info;
 }
 
-bool has_release(const Json& fields) {
+bool has_release(const Value& fields) {
   constexpr const char* required[] = {field::release_build, field::release_stage,
                                       field::release_phase, field::release_cap, field::since_ms};
   return std::all_of(std::begin(required), std::end(required),
-                     [&](const char* name) { return json::present(fields, name); });
+                     [&](const char* name) { return json::has_value(fields, name); });
 }
 
 const char* message_name(Action action) {
@@ -78,7 +79,7 @@
 }
 
 // What is peculiar to the action.
-void put_details(json::Out& out, const Decision& decision) {
+void put_details(json::Writer& out, const Decision& decision) {
   switch (decision.action) {
     case Action::forward:
       out.put_ms(field::timeout_ms, decision.span);
@@ -114,12 +115,12 @@
 
 }  // namespace
 
-EndpointBank decode_endpoint_bank(const Json& fields) {
+EndpointBank decode_endpoint_bank(const Value& fields) {
   EndpointBank bank{};
-  bank.number = json::whole(fields, field::bank, 0, bank_count - 1);
-  for (const Json& entry : json::array(fields, field::entries).GetArray()) {
+  bank.number = json::integer(fields, field::bank, 0, bank_count - 1);
+  for (const Value& entry : json::array(fields, field::entries).GetArray()) {
     if (!entry.IsObject())
-      json::mistyped(field::entries, "an array of objects");
+      json::throw_wrong_type(field::entries, "an array of objects");
     EndpointInfo info = decode_endpoint(entry);
     std::string name = json::text(entry, field::endpoint);
     info.order = digest(name);
@@ -129,7 +130,7 @@
   return bank;
 }
 
-EndpointsUpdated decode_endpoints_updated(const Json& fields) {
+EndpointsUpdated decode_endpoints_updated(const Value& fields) {
   EndpointsUpdated update{};
   update.kind =
       json::enumerator<EndpointUpdateKind>(fields, field::update_kind,
@@ -138,63 +139,63 @@
                                             {"SAVED", EndpointUpdateKind::cached},
                                             {"FAILED", EndpointUpdateKind::failed}});
   if (update.kind != EndpointUpdateKind::failed)
-    update.bank = json::whole(fields, field::bank, 0, bank_count - 1);
+    update.bank = json::integer(fields, field::bank, 0, bank_count - 1);
   return update;
 }
 
-InstanceStarted decode_instance_started(const Json& fields) {
-  const Json& salt = json::member(fields, field::salt);
+InstanceStarted decode_instance_started(const Value& fields) {
+  const Value& salt = json::member(fields, field::salt);
   if (!salt.IsUint64())
-    json::mistyped(field::salt, "a whole number");
-  return {salt.GetUint64(), module_settings::decode(json::inner(fields, field::settings))};
+    json::throw_wrong_type(field::salt, "a whole number");
+  return {salt.GetUint64(), module_settings::decode(json::nested_object(fields, field::settings))};
 }
 
-RequestArrived decode_request_arrived(const Json& fields, const RequestLimits& limits) {
+RequestArrived decode_request_arrived(const Value& fields, const RequestLimits& limits) {
   RequestArrived arrived{};
   arrived.name = json::text(fields, field::request);
   RequestInfo& info = arrived.info;
-  info.request_class = json::whole(fields, field::request_class, 0, limits.request_classes - 1);
+  info.request_class = json::integer(fields, field::request_class, 0, limits.request_classes - 1);
   const double tenant = json::number_or(fields, field::tenant, 0);
   if (tenant < 0 || (tenant > 0 && tenant >= limits.tenants))
-    json::mistyped(field::tenant, "a known tenant");
+    json::throw_wrong_type(field::tenant, "a known tenant");
   info.tenant = static_cast<int>(tenant);
-  info.deadline = TimePoint(json::duration_of(fields, field::deadline_ms));
+  info.deadline = TimePoint(json::duration(fields, field::deadline_ms));
   info.cost_hint_ms = json::number_or(fields, field::cost_hint_ms, 0);
   info.key = json::text_or(fields, field::key, "");
-  info.is_retry = json::truth(fields, field::is_retry);
+  info.is_retry = json::boolean(fields, field::is_retry);
   return arrived;
 }
 
-AttemptEnded decode_attempt_ended(const Json& fields) {
+AttemptEnded decode_attempt_ended(const Value& fields) {
   AttemptEnded ended{};
   ended.request = json::text(fields, field::request);
-  ended.attempt = json::whole(fields, field::attempt);
+  ended.attempt = json::integer(fields, field::attempt);
   ended.outcome = decode_outcome(fields);
-  ended.succeeded = json::truth(fields, field::succeeded);
+  ended.succeeded = json::boolean(fields, field::succeeded);
   ended.load = decode_load_report(fields);
   return ended;
 }
 
-ReleaseMessage decode_release(const Json& fields) {
+ReleaseMessage decode_release(const Value& fields) {
   ReleaseMessage message{};
   message.outcome = decode_outcome(fields);
-  message.answers_vote = json::whole(fields, field::reason, 0, 1) == reason_vote_answered;
+  message.answers_vote = json::integer(fields, field::reason, 0, 1) == reason_vote_answered;
   // A vote that failed brings no release, or only part of it.
   if (message.outcome != Outcome::ok && !has_release(fields))
     return message;
   ReleaseUpdate release{};
-  release.build = json::whole(fields, field::release_build, 0, max_build);
-  release.stage = json::whole(fields, field::release_stage);
+  release.build = json::integer(fields, field::release_build, 0, max_build);
+  release.stage = json::integer(fields, field::release_stage);
   release.phase =
-      static_cast<ReleasePhase>(json::whole(fields, field::release_phase, 0, last_release_phase));
+      static_cast<ReleasePhase>(json::integer(fields, field::release_phase, 0, last_release_phase));
   release.cap = json::number(fields, field::release_cap);
-  release.since = json::duration_of(fields, field::since_ms);
+  release.since = json::duration(fields, field::since_ms);
   if (message.outcome == Outcome::ok || message.outcome == Outcome::obsolete)
     message.release = release;
   return message;
 }
 
-Outcome decode_outcome(const Json& fields) {
+Outcome decode_outcome(const Value& fields) {
   static const std::pair<const char*, Outcome> names[] = {
       {"Ok", Outcome::ok},
       {"Failed", Outcome::error},
@@ -211,11 +212,11 @@
   return Outcome::unknown;
 }
 
-LoadReport decode_load_report(const Json& fields) {
+LoadReport decode_load_report(const Value& fields) {
   LoadReport load;
-  if (!json::present(fields, field::load_report))
+  if (!json::has_value(fields, field::load_report))
     return load;
-  const Json& report = json::inner(fields, field::load_report);
+  const Value& report = json::nested_object(fields, field::load_report);
   for (const auto& entry : report.GetObject()) {
     const char* name = entry.name.GetString();
     std::optional<double>* value = module_settings::load_field(load, name);
@@ -228,36 +229,36 @@
   return load;
 }
 
-void check_metrics(const Json& fields, int request_classes) {
-  json::whole(fields, field::release_build);
-  json::whole(fields, field::request_class, 0, request_classes - 1);
-  json::whole(fields, field::samples);
-  json::whole(fields, field::bad_samples);
+void check_metrics(const Value& fields, int request_classes) {
+  json::integer(fields, field::release_build);
+  json::integer(fields, field::request_class, 0, request_classes - 1);
+  json::integer(fields, field::samples);
+  json::integer(fields, field::bad_samples);
   json::number_or(fields, field::wait_ms, 0);
   json::number(fields, field::since_ms);
 }
 
 std::string encode(const Decision& decision, const DecisionNames& names) {
-  json::Out out;
-  out.open();
-  out.open(message_name(decision.action));
+  json::Writer out;
+  out.begin_object();
+  out.begin_object(message_name(decision.action));
   out.put(field::instance, names.instance);
   if (names.request)
     out.put(field::request, *names.request);
   if (names.endpoint)
     out.put(field::endpoint, *names.endpoint);
   put_details(out, decision);
-  out.close();
-  out.close();
+  out.end_object();
+  out.end_object();
   return out.text() + "\n";
 }
 
 std::string encode_end_of_reply() {
-  json::Out out;
-  out.open();
-  out.open(wire::decision::end_of_reply);
-  out.close();
-  out.close();
+  json::Writer out;
+  out.begin_object();
+  out.begin_object(wire::decision::end_of_reply);
+  out.end_object();
+  out.end_object();
   return out.text() + "\n";
 }
 
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -6,25 +6,25 @@
 #include <string>
 #include <string_view>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "policy/decision.h"
 #include "simulator_adapter/messages.h"
 
 namespace robinhoist::simulator_adapter {
 
-EndpointBank decode_endpoint_bank(const json::Json& fields);
-EndpointsUpdated decode_endpoints_updated(const json::Json& fields);
-InstanceStarted decode_instance_started(const json::Json& fields);
+EndpointBank decode_endpoint_bank(const json::Value& fields);
+EndpointsUpdated decode_endpoints_updated(const json::Value& fields);
+InstanceStarted decode_instance_started(const json::Value& fields);
 /// Request class and tenant must lie within the limits.
-RequestArrived decode_request_arrived(const json::Json& fields, const RequestLimits& limits);
-AttemptEnded decode_attempt_ended(const json::Json& fields);
-ReleaseMessage decode_release(const json::Json& fields);
+RequestArrived decode_request_arrived(const json::Value& fields, const RequestLimits& limits);
+AttemptEnded decode_attempt_ended(const json::Value& fields);
+ReleaseMessage decode_release(const json::Value& fields);
 /// An outcome with an unknown name is Outcome::unknown: the attempt may have run.
-Outcome decode_outcome(const json::Json& fields);
+Outcome decode_outcome(const json::Value& fields);
 /// Empty where there is none; values with unknown names or below zero are left out.
-LoadReport decode_load_report(const json::Json& fields);
+LoadReport decode_load_report(const json::Value& fields);
 /// Checks a message of metrics, which the decision module does not use (docs/design.md says why).
-void check_metrics(const json::Json& fields, int request_classes);
+void check_metrics(const json::Value& fields, int request_classes);
 
 /// Names that a decision carries on the wire.
 struct DecisionNames {
