--- a/src/platform/sources.cpp
+++ b/src/platform/sources.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "json/writer.h"
+
 namespace robinhoist::platform {
 namespace {
 
