--- a/fuzz/framing_fuzz.cpp
+++ b/fuzz/framing_fuzz.cpp
@@ -5,6 +5,7 @@
 #include <string>
 
 #include "http/message.h"
+#include "http/parser.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   namespace http = robinhoist::http;
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -94,7 +94,7 @@
 CanaryQuotaSettings canary_quota_settings(const Value& info) {
   CanaryQuotaSettings settings{};
   settings.window = duration_from_ms(positive(info, "window_ms"));
-  settings.free = not_negative(info, "free");
+  settings.free_requests = not_negative(info, "free");
   settings.by_request_class =
       enumerator<bool>(info, "counts", {{"all", false}, {"each_class", true}});
   settings.one_way = boolean(info, "one_way");
