--- a/fuzz/framing_fuzz.cpp
+++ b/fuzz/framing_fuzz.cpp
@@ -4,8 +4,8 @@
 #include <cstdint>
 #include <string>
 
-#include "http/parser.h"
 #include "http/message.h"
+#include "http/parser.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   namespace http = robinhoist::http;
