--- a/src/platform/process.cpp
+++ b/src/platform/process.cpp
@@ -165,20 +165,21 @@
   settings.salt = config.salt;
   http::ServerSettings& server = settings.server;
   server.listen = config.listen;
-  server.limits = {.header = max_header, .body = max_request_body};
-  server.most_clients = client_sockets;
-  server.make_room = true;
-  server.head_within = request_timeout;
-  server.first_within = first_request_timeout;
-  server.idle_for = client_idle_timeout;
+  server.limits = {.max_header_bytes = max_header, .max_body_bytes = max_request_body};
+  server.max_clients = client_sockets;
+  server.evict_idle = true;
+  server.request_timeout = request_timeout;
+  server.first_request_timeout = first_request_timeout;
+  server.idle_timeout = client_idle_timeout;
   server.stream_backlog = max_response;
-  http::CallerSettings& upstream = settings.upstream;
-  upstream.most_connections = endpoint_sockets;
-  upstream.budget = std::make_shared<http::Budget>(endpoint_sockets);
-  upstream.connect_within = config.module_settings.connect_within;
+  http::ConnectionPoolSettings& upstream = settings.upstream;
+  upstream.max_connections = endpoint_sockets;
+  upstream.budget = std::make_shared<http::ConnectionBudget>(endpoint_sockets);
+  upstream.connect_timeout = config.module_settings.connect_timeout;
   // Before the endpoint closes it.
-  upstream.keep_for = config.module_settings.keep_idle * 4 / 5;
-  upstream.limits = {.header = max_header, .body = max_response, .framed = true};
+  upstream.idle_timeout = config.module_settings.keep_idle * 4 / 5;
+  upstream.limits = {
+      .max_header_bytes = max_header, .max_body_bytes = max_response, .require_length = true};
   return settings;
 }
 
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -20,7 +20,7 @@
 std::optional<std::string_view> single_value(const http::Headers& headers, std::string_view name) {
   std::optional<std::string_view> found;
   for (const auto& [key, value] : headers.all()) {
-    if (!http::same_word(key, name))
+    if (!http::equals_ignoring_case(key, name))
       continue;
     if (found)
       return {};
@@ -88,9 +88,9 @@
   if (request.path() != wire_names::readiness_path)
     return {};
   if (request.method != "GET")
-    return http::text_answer(405, "ask by GET\n");
-  return ready ? http::text_answer(200, "routes\n")
-               : http::text_answer(503, "knows no nodes yet\n");
+    return http::text_response(405, "ask by GET\n");
+  return ready ? http::text_response(200, "routes\n")
+               : http::text_response(503, "knows no nodes yet\n");
 }
 
 proxy::ParsedRequest PlatformProtocol::read(http::Exchange& exchange, int request_id) const {
@@ -172,7 +172,7 @@
   forwarded.headers.set(wire_names::request_timeout, std::to_string(microseconds) + "u");
 }
 
-proxy::AttemptResult PlatformProtocol::classify(http::Ended how,
+proxy::AttemptResult PlatformProtocol::classify(http::CallResult how,
                                                 const http::Response& response) const {
   const bool not_started = (response.status == 503 || response.status == 504) &&
                            response.headers.get(wire_names::not_started) == "1";
@@ -194,7 +194,7 @@
 }
 
 http::Response PlatformProtocol::rejected_before_routing(const proxy::Rejection& rejection) const {
-  http::Response response = http::text_answer(rejection.status, rejection.reason + "\n");
+  http::Response response = http::text_response(rejection.status, rejection.reason + "\n");
   response.keep_alive = false;
   return response;
 }
@@ -204,7 +204,7 @@
   http::copy_end_to_end(from.headers, end_to_end);
   http::Response response;
   for (const auto& [name, value] : end_to_end.all())
-    if (!http::same_word(name, wire_names::server_load))
+    if (!http::equals_ignoring_case(name, wire_names::server_load))
       response.headers.add(name, value);
   response.body = std::move(from.body);
   return response;
@@ -212,7 +212,7 @@
 
 http::Response PlatformProtocol::rejected(Duration retry_after, const std::string& reason) const {
   http::Response response =
-      http::text_answer(503, "declined, it is safe to try again: " + reason + "\n");
+      http::text_response(503, "declined, it is safe to try again: " + reason + "\n");
   if (retry_after > Duration{}) {
     char seconds[32];
     std::snprintf(seconds, sizeof seconds, "%.3f", to_seconds(retry_after));
@@ -223,7 +223,7 @@
 
 http::Response PlatformProtocol::failed(bool timed_out, const std::string& reason) const {
   const int status = timed_out ? 504 : 502;
-  return http::text_answer(status, "voided, it may have been carried out: " + reason + "\n");
+  return http::text_response(status, "voided, it may have been carried out: " + reason + "\n");
 }
 
 }  // namespace robinhoist::platform
--- a/src/platform/protocol.h
+++ b/src/platform/protocol.h
@@ -21,7 +21,8 @@
   proxy::ParsedRequest read(http::Exchange& exchange, int request_id) const override;
   void prepare_attempt(http::Request& forwarded, std::size_t attempt,
                        Duration timeout) const override;
-  proxy::AttemptResult classify(http::Ended how, const http::Response& response) const override;
+  proxy::AttemptResult classify(http::CallResult how,
+                                const http::Response& response) const override;
   http::Response rejected_before_routing(const proxy::Rejection& rejection) const override;
   http::Response succeeded(http::Response&& from, const std::string& endpoint,
                            int build) const override;
--- a/src/platform/release_api.cpp
+++ b/src/platform/release_api.cpp
@@ -24,11 +24,11 @@
 constexpr int http_conflict = 409;
 constexpr int http_too_many_requests = 429;
 
-http::CallerSettings vote_connections() {
-  http::CallerSettings settings;
-  settings.most_connections = max_votes_in_flight;
-  settings.connect_within = 1s;
-  settings.keep_for = 0s;  // votes are rare, and the platform closes idle connections
+http::ConnectionPoolSettings vote_connections() {
+  http::ConnectionPoolSettings settings;
+  settings.max_connections = max_votes_in_flight;
+  settings.connect_timeout = 1s;
+  settings.idle_timeout = 0s;  // votes are rare, and the platform closes idle connections
   settings.limits = service_limits();
   return settings;
 }
@@ -57,10 +57,10 @@
 }
 
 // The result of a vote that was not accepted; nothing if it was.
-std::optional<Outcome> vote_failure(http::Ended how, const http::Response& response) {
-  if (how == http::Ended::unreached || how == http::Ended::withheld)
+std::optional<Outcome> vote_failure(http::CallResult how, const http::Response& response) {
+  if (how == http::CallResult::connect_failed || how == http::CallResult::not_sent)
     return Outcome::connect_failure;
-  if (how != http::Ended::answered)
+  if (how != http::CallResult::answered)
     return Outcome::timeout;
   switch (response.status) {
     case http_ok:
@@ -89,8 +89,8 @@
       vote_timeout_(vote_timeout),
       known_(known),
       known_since_(loop.now() - known.since),
-      caller_(std::make_unique<http::Caller>(loop, Poco::Net::SocketAddress(address),
-                                             vote_connections())),
+      connections_(std::make_unique<http::ConnectionPool>(loop, Poco::Net::SocketAddress(address),
+                                                          vote_connections())),
       watch_(loop, address, watch_settings(salt), log) {}
 
 void ReleaseApi::start(OnUpdate on_update) {
@@ -146,13 +146,13 @@
                      .put(wire_names::vote_verdict, wire_names::to_string(vote.verdict))
                      .close()
                      .text();
-  caller_->call(request, vote_timeout_,
-                [this, on_result](http::Ended how, http::Response&& response) {
-                  vote_ended(how, response, on_result);
-                });
+  connections_->call(request, vote_timeout_,
+                     [this, on_result](http::CallResult how, http::Response&& response) {
+                       vote_ended(how, response, on_result);
+                     });
 }
 
-void ReleaseApi::vote_ended(http::Ended how, const http::Response& response,
+void ReleaseApi::vote_ended(http::CallResult how, const http::Response& response,
                             const OnVoteResult& on_result) {
   if (const auto failure = vote_failure(how, response)) {
     on_result(*failure);
@@ -172,11 +172,12 @@
 void ReleaseApi::move(const std::string& address) {
   watch_.move(address);
   const Poco::Net::SocketAddress peer(address);
-  if (caller_->peer().toString() == peer.toString())
+  if (connections_->peer().toString() == peer.toString())
     return;
-  std::erase_if(former_callers_, [](const auto& caller) { return caller->busy() == 0; });
-  former_callers_.push_back(std::move(caller_));
-  caller_ = std::make_unique<http::Caller>(loop_, peer, vote_connections());
+  std::erase_if(former_connections_,
+                [](const auto& connections) { return connections->busy() == 0; });
+  former_connections_.push_back(std::move(connections_));
+  connections_ = std::make_unique<http::ConnectionPool>(loop_, peer, vote_connections());
 }
 
 }  // namespace robinhoist::platform
--- a/src/platform/release_api.h
+++ b/src/platform/release_api.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "platform/watch.h"
 #include "proxy/release_source.h"
 
@@ -31,7 +31,8 @@
 
  private:
   void read_event(const json::Json& event);
-  void vote_ended(http::Ended how, const http::Response& response, const OnVoteResult& on_result);
+  void vote_ended(http::CallResult how, const http::Response& response,
+                  const OnVoteResult& on_result);
   void accept(const ReleaseUpdate& release);
   bool is_outdated(const ReleaseUpdate& release, TimePoint since) const;
 
@@ -39,8 +40,8 @@
   Duration vote_timeout_;
   ReleaseUpdate known_;
   TimePoint known_since_;  // when the release entered that state
-  std::unique_ptr<http::Caller> caller_;
-  std::vector<std::unique_ptr<http::Caller>> former_callers_{};  // with votes in flight
+  std::unique_ptr<http::ConnectionPool> connections_;
+  std::vector<std::unique_ptr<http::ConnectionPool>> former_connections_{};  // with votes in flight
   Watch watch_;
   OnUpdate on_update_{};
   OnWrongAnswer on_wrong_answer_{};
--- a/src/platform/watch.cpp
+++ b/src/platform/watch.cpp
@@ -14,8 +14,10 @@
 
 }  // namespace
 
-http::Limits service_limits() {
-  return {.header = max_header_bytes, .body = max_object_bytes, .framed = true};
+http::MessageLimits service_limits() {
+  return {.max_header_bytes = max_header_bytes,
+          .max_body_bytes = max_object_bytes,
+          .require_length = true};
 }
 
 Watch::Watch(net::Loop& loop, const std::string& address, const Settings& settings,
@@ -56,7 +58,7 @@
   loop_.cancel(timer_);
   http::Request request;
   request.target = target_();
-  stream_ = std::make_unique<http::StreamCaller>(loop_, Poco::Net::SocketAddress(address_),
+  stream_ = std::make_unique<http::StreamClient>(loop_, Poco::Net::SocketAddress(address_),
                                                  service_limits());
   framer_ = json::Framer(max_object_bytes);
   stream_->start(
--- a/src/platform/watch.h
+++ b/src/platform/watch.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "http/stream_caller.h"
+#include "http/stream_client.h"
 #include "json/fields.h"
 #include "json/framing.h"
 #include "log/log.h"
@@ -18,13 +18,13 @@
 namespace robinhoist::platform {
 
 /// Limits of all connections to the platform's services.
-http::Limits service_limits();
+http::MessageLimits service_limits();
 
 class Watch {
  public:
   struct Settings {
     std::string what{};  ///< what is watched, for the log
-    http::StreamCaller::Silence silence{};
+    http::StreamClient::SilenceLimits silence{};
     Duration max_retry_delay{};
     unsigned salt = 1;
   };
@@ -56,7 +56,7 @@
   std::string address_;
   Settings settings_;
   const log::Log& log_;
-  std::unique_ptr<http::StreamCaller> stream_{};
+  std::unique_ptr<http::StreamClient> stream_{};
   retry::Backoff backoff_;
   Target target_{};
   OnObject on_object_{};
--- a/src/proxy/http_endpoint_source.cpp
+++ b/src/proxy/http_endpoint_source.cpp
@@ -21,7 +21,7 @@
     : loop_(loop),
       proxy_(std::move(proxy)),
       log_(log),
-      caller_(loop, Poco::Net::SocketAddress(address), api_client_settings()),
+      connections_(loop, Poco::Net::SocketAddress(address), api_client_settings()),
       backoff_(min_retry_delay, max_retry_delay, salt) {}
 
 HttpEndpointSource::~HttpEndpointSource() {
@@ -36,7 +36,7 @@
 void HttpEndpointSource::refresh() {
   series_.clear();
   version_ = 0;
-  caller_.cancel(call_);
+  connections_.cancel(call_);
   loop_.cancel(timer_);
   poll();
 }
@@ -46,13 +46,14 @@
   request.target = "/v1/nodes?umpire=" + proxy_ + "&series=" + series_ +
                    "&since=" + std::to_string(version_) +
                    "&wait_ms=" + std::to_string(poll_wait.count() / 1000);
-  call_ = caller_.call(request, poll_timeout, [this](http::Ended how, http::Response&& response) {
-    poll_ended(how, response);
-  });
+  call_ = connections_.call(
+      request, poll_timeout,
+      [this](http::CallResult how, http::Response&& response) { poll_ended(how, response); });
 }
 
-void HttpEndpointSource::poll_ended(http::Ended how, const http::Response& response) {
-  const bool succeeded = how == http::Ended::answered && response.status == 200 && accept(response);
+void HttpEndpointSource::poll_ended(http::CallResult how, const http::Response& response) {
+  const bool succeeded =
+      how == http::CallResult::answered && response.status == 200 && accept(response);
   set_failing(!succeeded, how, response);
   if (succeeded)
     backoff_.worked();
@@ -79,12 +80,12 @@
   return true;
 }
 
-void HttpEndpointSource::set_failing(bool failing, http::Ended how,
+void HttpEndpointSource::set_failing(bool failing, http::CallResult how,
                                      const http::Response& response) {
   if (failing == failing_)
     return;
   failing_ = failing;
-  const std::string address = caller_.peer().toString();
+  const std::string address = connections_.peer().toString();
   if (failing)
     log_.warn("endpoint registry unreachable", {{"address", address},
                                                 {"status", log::text(response.status)},
--- a/src/proxy/http_endpoint_source.h
+++ b/src/proxy/http_endpoint_source.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "log/log.h"
 #include "proxy/endpoint_source.h"
 #include "retry/backoff.h"
@@ -25,19 +25,19 @@
 
  private:
   void poll();
-  void poll_ended(http::Ended how, const http::Response& response);
+  void poll_ended(http::CallResult how, const http::Response& response);
   bool accept(const http::Response& response);
-  void set_failing(bool failing, http::Ended how, const http::Response& response);
+  void set_failing(bool failing, http::CallResult how, const http::Response& response);
 
   net::Loop& loop_;
   std::string proxy_;
   const log::Log& log_;
-  http::Caller caller_;
+  http::ConnectionPool connections_;
   retry::Backoff backoff_;
   OnUpdate on_update_{};
   std::string series_{};      // of the list that is known; empty: none
   std::int64_t version_ = 0;  // in that series
-  http::Caller::Id call_ = 0;
+  http::ConnectionPool::Id call_ = 0;
   net::Loop::Timer timer_ = net::Loop::no_timer;
   bool failing_ = false;
 };
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -152,7 +152,7 @@
   forwarded.headers.set(attempt_header, std::to_string(attempt));
 }
 
-AttemptResult HttpProtocol::classify(http::Ended how, const http::Response& response) const {
+AttemptResult HttpProtocol::classify(http::CallResult how, const http::Response& response) const {
   const bool proves_not_run =
       response.status == 503 && response.headers.has(settings_.headers.not_run);
   const Outcome server_error = proves_not_run ? Outcome::rejected : Outcome::error;
@@ -162,7 +162,7 @@
 }
 
 http::Response HttpProtocol::rejected_before_routing(const Rejection& rejection) const {
-  return with_outcome(http::text_answer(rejection.status, rejection.reason + "\n"),
+  return with_outcome(http::text_response(rejection.status, rejection.reason + "\n"),
                       wire_names::rejected_before_routing, "");
 }
 
@@ -178,7 +178,7 @@
 }
 
 http::Response HttpProtocol::rejected(Duration retry_after, const std::string& reason) const {
-  http::Response response = http::text_answer(503, "declined: it is safe to try again\n");
+  http::Response response = http::text_response(503, "declined: it is safe to try again\n");
   if (retry_after > Duration{}) {
     const auto whole_seconds = static_cast<long>(std::ceil(to_seconds(retry_after)));
     const auto whole_ms = static_cast<long>(to_millis(retry_after));
@@ -191,7 +191,7 @@
 http::Response HttpProtocol::failed(bool timed_out, const std::string& reason) const {
   const int status = timed_out ? 504 : 502;
   return with_outcome(
-      http::text_answer(status, "voided: it may or may not have been carried out\n"),
+      http::text_response(status, "voided: it may or may not have been carried out\n"),
       wire_names::failed, reason);
 }
 
--- a/src/proxy/in_flight_requests.h
+++ b/src/proxy/in_flight_requests.h
@@ -9,7 +9,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "http/server.h"
 #include "policy/request.h"
 #include "time/time_types.h"
@@ -21,7 +21,7 @@
 struct InFlightAttempt {
   int endpoint;
   int build;  ///< of the endpoint when it was chosen
-  http::Caller::Id call;
+  http::ConnectionPool::Id call;
   bool ended;
 };
 
--- a/src/proxy/protocol.h
+++ b/src/proxy/protocol.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "http/server.h"
 #include "policy/endpoint.h"
 #include "policy/release.h"
@@ -40,20 +40,20 @@
 
 /// Translates the end of an HTTP call. `response_outcome` is what a complete response counts as,
 /// the only part that depends on the protocol.
-inline Outcome outcome_of(http::Ended how, Outcome response_outcome) {
+inline Outcome outcome_of(http::CallResult how, Outcome response_outcome) {
   switch (how) {
-    case http::Ended::answered:
+    case http::CallResult::answered:
       return response_outcome;
-    case http::Ended::unreached:
+    case http::CallResult::connect_failed:
       return Outcome::connect_failure;
-    case http::Ended::withheld:
+    case http::CallResult::not_sent:
       return Outcome::obsolete;
-    case http::Ended::garbled:
+    case http::CallResult::malformed:
       return Outcome::error;
-    case http::Ended::timed_out:
+    case http::CallResult::timed_out:
       return Outcome::timeout;
-    case http::Ended::broken:
-    case http::Ended::cancelled:
+    case http::CallResult::connection_lost:
+    case http::CallResult::cancelled:
       break;
   }
   return Outcome::reset;
@@ -76,7 +76,7 @@
   virtual void prepare_attempt(http::Request& forwarded, std::size_t attempt,
                                Duration timeout) const = 0;
   /// Classifies a call's end; `response` is empty unless it ended as answered.
-  virtual AttemptResult classify(http::Ended how, const http::Response& response) const = 0;
+  virtual AttemptResult classify(http::CallResult how, const http::Response& response) const = 0;
 
   virtual http::Response rejected_before_routing(const Rejection& rejection) const = 0;
   virtual http::Response succeeded(http::Response&& from, const std::string& endpoint,
--- a/src/proxy/router.cpp
+++ b/src/proxy/router.cpp
@@ -92,7 +92,7 @@
                           .client_id = std::move(parsed.client_id)};
   tracer_.accepted(request, info, parsed.idempotency_key,
                    {.now = now, .mode = mode_, .unanswered = open_requests()});
-  exchange->on_gone = [this, request_id] { client_disconnected(request_id); };
+  exchange->on_disconnect = [this, request_id] { client_disconnected(request_id); };
   in_flight_.add(request_id, std::move(request));
   ++counters_.accepted;
   engine_.request_arrived(info, now);
--- a/src/proxy/router.h
+++ b/src/proxy/router.h
@@ -11,7 +11,7 @@
 #include <string>
 
 #include "endpoint_cache/endpoint_cache.h"
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "http/server.h"
 #include "log/log.h"
 #include "module_settings/module_settings.h"
@@ -37,7 +37,7 @@
   std::string endpoint_cache_file{};  ///< empty: endpoints are not cached
   unsigned salt = 1;                  ///< seed of the random generators
   http::ServerSettings server{};
-  http::CallerSettings upstream{};
+  http::ConnectionPoolSettings upstream{};
   tracing::Settings trace{};
 };
 
--- a/src/proxy/router_decisions.cpp
+++ b/src/proxy/router_decisions.cpp
@@ -56,7 +56,7 @@
     case Action::probe:
       break;  // module settings of this host never ask for health checks
     case Action::close:
-      upstreams_.at(decision.endpoint).caller->close_idle();
+      upstreams_.at(decision.endpoint).connections->close_idle();
       break;
     case Action::subscribe:
     case Action::fetch:
@@ -84,15 +84,15 @@
   if (decision.span > Duration{})
     timeout = std::min(timeout, decision.span);
   tracer_.attempt_started(request, upstream, timeout, loop_.now());
-  auto on_end = [this, id](http::Ended how, http::Response&& response) {
+  auto on_end = [this, id](http::CallResult how, http::Response&& response) {
     attempt_ended(id, protocol_.classify(how, response), std::move(response));
   };
   // Prepared when it is written: its connection may take long to come up.
   auto prepare = [this, id](http::Request& forwarded, Duration time_left) {
     protocol_.prepare_attempt(forwarded, id.attempt, time_left);
   };
-  const http::Caller::Id call =
-      upstream.caller->call(request.forwarded, timeout, std::move(on_end), std::move(prepare));
+  const http::ConnectionPool::Id call =
+      upstream.connections->call(request.forwarded, timeout, std::move(on_end), std::move(prepare));
   request.attempts.push_back(
       {.endpoint = decision.endpoint, .build = upstream.build, .call = call, .ended = false});
 }
@@ -128,7 +128,7 @@
   ++counters_.cancellations;
   const Upstream& upstream = upstreams_.at(attempt.endpoint);
   tracer_.attempt_cancelled(request, id.attempt, upstream, loop_.now());
-  upstream.caller->cancel(attempt.call);
+  upstream.connections->cancel(attempt.call);
   loop_.in(Duration(0), [this, id] { attempt_ended(id, {Outcome::cancelled}, {}); });
 }
 
@@ -201,7 +201,7 @@
     tracer_.finished(request, traced_end, loop_.now());
   }
   const http::ExchangePtr exchange = std::exchange(request.exchange, nullptr);
-  exchange->on_gone = nullptr;
+  exchange->on_disconnect = nullptr;
   exchange->answer(std::move(response));
 }
 
@@ -213,7 +213,7 @@
     if (!request || i >= request->attempts.size())
       return;
     const InFlightAttempt& attempt = request->attempts[i];
-    if (!attempt.ended && upstreams_.at(attempt.endpoint).caller->recall(attempt.call))
+    if (!attempt.ended && upstreams_.at(attempt.endpoint).connections->recall(attempt.call))
       attempt_ended({.request_id = request_id, .attempt = i}, {Outcome::obsolete}, {});
   }
 }
@@ -224,7 +224,7 @@
   std::vector<AttemptId> recalled;
   for (const AttemptId& id : in_flight_.open_attempts()) {
     const InFlightAttempt& attempt = in_flight_.at(id.request_id).attempts[id.attempt];
-    if (outdated(attempt) && upstreams_.at(attempt.endpoint).caller->recall(attempt.call))
+    if (outdated(attempt) && upstreams_.at(attempt.endpoint).connections->recall(attempt.call))
       recalled.push_back(id);
   }
   std::sort(recalled.begin(), recalled.end());
--- a/src/proxy/settings.cpp
+++ b/src/proxy/settings.cpp
@@ -70,15 +70,15 @@
 
 void read_connections(settings::Form& form, Settings& settings) {
   http::ServerSettings& server = settings.server;
-  server.most_clients = count(form, "most-clients", 1, 1000000, 10000);
-  server.limits.header = count(form, "most-header-bytes", 256, mebibyte, 16 * kibibyte);
-  server.limits.body = count(form, "most-body-bytes", 0, gibibyte, mebibyte);
-  server.head_within = form.span("request-within", 10ms, 10min, 10s);
-  server.idle_for = form.span("idle-for", 10ms, 1h, 60s);
-  http::CallerSettings& upstream = settings.upstream;
-  upstream.most_connections = count(form, "connections-per-node", 1, 100000, 256);
-  upstream.connect_within = form.span("connect-within", 1ms, 1min, 250ms);
-  upstream.keep_for = form.span("keep-connections", 0ms, 1h, 30s);
+  server.max_clients = count(form, "most-clients", 1, 1000000, 10000);
+  server.limits.max_header_bytes = count(form, "most-header-bytes", 256, mebibyte, 16 * kibibyte);
+  server.limits.max_body_bytes = count(form, "most-body-bytes", 0, gibibyte, mebibyte);
+  server.request_timeout = form.span("request-within", 10ms, 10min, 10s);
+  server.idle_timeout = form.span("idle-for", 10ms, 1h, 60s);
+  http::ConnectionPoolSettings& upstream = settings.upstream;
+  upstream.max_connections = count(form, "connections-per-node", 1, 100000, 256);
+  upstream.connect_timeout = form.span("connect-within", 1ms, 1min, 250ms);
+  upstream.idle_timeout = form.span("keep-connections", 0ms, 1h, 30s);
   upstream.limits = server.limits;
 }
 
@@ -168,8 +168,8 @@
   for (const auto& tenant : deployment.tenants)
     result.tenants.push_back(tenant.name);
   result.zones = deployment.zones;
-  result.connect_within = settings.upstream.connect_within;
-  result.keep_idle = settings.upstream.keep_for;
+  result.connect_timeout = settings.upstream.connect_timeout;
+  result.keep_idle = settings.upstream.idle_timeout;
   return result;
 }
 
--- a/src/proxy/settings.h
+++ b/src/proxy/settings.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "deployment/deployment.h"
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "http/server.h"
 #include "module_settings/module_settings.h"
 #include "time/time_types.h"
@@ -38,7 +38,7 @@
   unsigned salt = 1;            ///< seed of the random generators
   Duration response_reserve{};  ///< part of a request's time kept for the response's way
   http::ServerSettings server{};
-  http::CallerSettings upstream{};
+  http::ConnectionPoolSettings upstream{};
   HeaderNames headers{};
   tracing::Settings trace{};
   deployment::Deployment deployment{};
--- a/src/proxy/status_report.cpp
+++ b/src/proxy/status_report.cpp
@@ -35,8 +35,8 @@
   out.put("build", upstream.build);
   out.put("out", upstream.in_flight);
   out.put("phase", upstream.phase == EndpointPhase::ready ? "in" : "lame");
-  out.put("connections", upstream.caller->open());
-  out.put("opened", upstream.caller->opened());
+  out.put("connections", upstream.connections->open());
+  out.put("opened", upstream.connections->opened());
   out.close();
 }
 
@@ -54,7 +54,7 @@
   put_timer_lateness(out, sources.loop);
   out.open_list(wire_names::endpoints);
   for (const Upstream& upstream : sources.upstreams.slots())
-    if (upstream.phase != EndpointPhase::removed && upstream.caller)
+    if (upstream.phase != EndpointPhase::removed && upstream.connections)
       put_upstream(out, upstream);
   out.close_list();
   out.close();
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -15,11 +15,11 @@
 
 }  // namespace
 
-UpstreamPool::UpstreamPool(net::Loop& loop, http::CallerSettings connections,
+UpstreamPool::UpstreamPool(net::Loop& loop, http::ConnectionPoolSettings connection_settings,
                            const module_settings::ModuleSettings& module_settings,
                            const log::Log& log, WallTime wall_start)
     : loop_(loop),
-      connections_(std::move(connections)),
+      connection_settings_(std::move(connection_settings)),
       module_settings_(module_settings),
       log_(log),
       wall_start_(wall_start) {}
@@ -95,8 +95,8 @@
       upstream.phase = EndpointPhase::removed;
     if (upstream.phase != EndpointPhase::removed)
       upstream.last_listed = now;
-    else if (upstream.caller)
-      upstream.caller->close_idle();
+    else if (upstream.connections)
+      upstream.connections->close_idle();
   }
 }
 
@@ -122,7 +122,8 @@
   const std::size_t slot = free_slot();
   Upstream& upstream = upstreams_[slot];
   upstream = Upstream{.key = key, .name = entry.name};
-  upstream.caller = std::make_unique<http::Caller>(loop_, address, connections_);
+  upstream.connections =
+      std::make_unique<http::ConnectionPool>(loop_, address, connection_settings_);
   const int index = static_cast<int>(slot);
   index_by_key_[key] = index;
   return index;
--- a/src/proxy/upstream_pool.h
+++ b/src/proxy/upstream_pool.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "http/caller.h"
+#include "http/connection_pool.h"
 #include "log/log.h"
 #include "module_settings/module_settings.h"
 #include "policy/endpoint.h"
@@ -26,7 +26,7 @@
   std::string name{};
   int build = 0;
   EndpointPhase phase = EndpointPhase::removed;
-  std::unique_ptr<http::Caller> caller{};
+  std::unique_ptr<http::ConnectionPool> connections{};
   int in_flight = 0;                 ///< attempts that have not ended
   TimePoint last_listed = long_ago;  ///< last update at which it was not removed
 };
@@ -34,7 +34,7 @@
 class UpstreamPool {
  public:
   /// `wall_start` is the wall-clock time of the loop's zero, to convert start times of endpoints.
-  UpstreamPool(net::Loop& loop, http::CallerSettings connections,
+  UpstreamPool(net::Loop& loop, http::ConnectionPoolSettings connection_settings,
                const module_settings::ModuleSettings& module_settings, const log::Log& log,
                WallTime wall_start);
 
@@ -66,7 +66,7 @@
   void refresh_connections(bool complete, const std::vector<bool>& mentioned);
 
   net::Loop& loop_;
-  http::CallerSettings connections_;
+  http::ConnectionPoolSettings connection_settings_;
   const module_settings::ModuleSettings& module_settings_;
   const log::Log& log_;
   WallTime wall_start_;
--- a/src/proxy/watch_release_source.cpp
+++ b/src/proxy/watch_release_source.cpp
@@ -41,12 +41,12 @@
          std::to_string(net::wall_now().time_since_epoch().count());
 }
 
-Outcome vote_outcome(http::Ended how, const http::Response& response) {
-  if (how == http::Ended::unreached)
+Outcome vote_outcome(http::CallResult how, const http::Response& response) {
+  if (how == http::CallResult::connect_failed)
     return Outcome::connect_failure;
-  if (how == http::Ended::timed_out)
+  if (how == http::CallResult::timed_out)
     return Outcome::timeout;
-  if (how != http::Ended::answered)
+  if (how != http::CallResult::answered)
     return Outcome::reset;
   switch (response.status) {
     case http_ok:
@@ -67,7 +67,7 @@
     : loop_(loop),
       settings_(settings),
       log_(log),
-      caller_(loop, Poco::Net::SocketAddress(settings.address), api_client_settings()),
+      connections_(loop, Poco::Net::SocketAddress(settings.address), api_client_settings()),
       stream_(loop, Poco::Net::SocketAddress(settings.address), api_client_settings().limits),
       backoff_(min_retry_delay, max_retry_delay, settings.salt),
       incarnation_(incarnation_of_this_process()),
@@ -179,14 +179,14 @@
         .put("version", static_cast<long>(acknowledged_->version))
         .close();
   const std::string text = body.close().text();
-  caller_.call(
+  connections_.call(
       post("/v1/umpires/" + settings_.proxy + "/heartbeat", text), heartbeat_timeout,
-      [this](http::Ended how, http::Response&& response) { heartbeat_ended(how, response); });
+      [this](http::CallResult how, http::Response&& response) { heartbeat_ended(how, response); });
   heartbeat_timer_ = loop_.in(heartbeat_interval_, [this] { send_heartbeat(); });
 }
 
-void WatchReleaseSource::heartbeat_ended(http::Ended how, const http::Response& response) {
-  if (how != http::Ended::answered)
+void WatchReleaseSource::heartbeat_ended(http::CallResult how, const http::Response& response) {
+  if (how != http::CallResult::answered)
     return;
   const bool conflict = response.status == http_conflict;
   if (conflict && !superseded_)
@@ -222,10 +222,11 @@
                                .put("verdict", rollout::to_string(vote.verdict))
                                .close()
                                .text();
-  caller_.call(post("/v1/releases/" + newest_release_ + "/votes", body), settings_.vote_timeout,
-               [on_result](http::Ended how, http::Response&& response) {
-                 on_result(vote_outcome(how, response));
-               });
+  connections_.call(post("/v1/releases/" + newest_release_ + "/votes", body),
+                    settings_.vote_timeout,
+                    [on_result](http::CallResult how, http::Response&& response) {
+                      on_result(vote_outcome(how, response));
+                    });
 }
 
 void WatchReleaseSource::report_client_outcomes(const ClientOutcomes& outcomes) {
@@ -236,7 +237,8 @@
                                .put(unsuccessful_field, outcomes.unsuccessful)
                                .close()
                                .text();
-  caller_.call(post(outcomes_path, body), report_timeout, [](http::Ended, http::Response&&) {});
+  connections_.call(post(outcomes_path, body), report_timeout,
+                    [](http::CallResult, http::Response&&) {});
 }
 
 }  // namespace robinhoist::proxy
--- a/src/proxy/watch_release_source.h
+++ b/src/proxy/watch_release_source.h
@@ -4,8 +4,8 @@
 #include <optional>
 #include <string>
 
-#include "http/caller.h"
-#include "http/stream_caller.h"
+#include "http/connection_pool.h"
+#include "http/stream_client.h"
 #include "log/log.h"
 #include "proxy/release_source.h"
 #include "releases/follower.h"
@@ -40,15 +40,15 @@
   void watch_ended(int status);
 
   void send_heartbeat();
-  void heartbeat_ended(http::Ended how, const http::Response& response);
+  void heartbeat_ended(http::CallResult how, const http::Response& response);
 
   http::Request post(const std::string& target, const std::string& body) const;
 
   net::Loop& loop_;
   Settings settings_;
   const log::Log& log_;
-  http::Caller caller_;
-  http::StreamCaller stream_;
+  http::ConnectionPool connections_;
+  http::StreamClient stream_;
   retry::Backoff backoff_;
   releases::Follower follower_{};
   std::string incarnation_;       // of this process: no two processes have the same
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -22,7 +22,7 @@
     : loop_(loop),
       registry_(series),
       on_sent_(std::move(on_sent)),
-      waiting_(loop, [this](const http::LongPoll::Asked& request) { send_update(request); }),
+      waiting_(loop, [this](const http::LongPoll::Query& request) { send_update(request); }),
       server_(std::make_unique<http::Server>(
           loop, server, [this](const http::ExchangePtr& exchange) { handle(exchange); })) {}
 
@@ -73,18 +73,18 @@
     waiting_.wait(std::move(request));
 }
 
-void Service::send_update(const http::LongPoll::Asked& request) {
+void Service::send_update(const http::LongPoll::Query& request) {
   const Update update = registry_.changes_since(request.series, request.since);
   if (on_sent_)
     on_sent_(request.proxy, update);
-  request.exchange->answer(http::json_answer(200, encode(update)));
+  request.exchange->answer(http::json_response(200, encode(update)));
 }
 
 void Service::handle(const http::ExchangePtr& exchange) {
   const http::Request& request = exchange->request;
   const std::string path(request.path());
   if (request.method == "GET" && path == "/health") {
-    exchange->answer(http::text_answer(200, "well\n"));
+    exchange->answer(http::text_response(200, "well\n"));
   } else if (request.method == "GET" && path == endpoints_path) {
     poll(exchange);
   } else if (request.method == "PUT" && path == endpoints_path) {
@@ -92,9 +92,9 @@
   } else if (request.method == "DELETE" && path.starts_with(endpoint_path_prefix)) {
     const std::size_t name_at = std::string_view(endpoint_path_prefix).size();
     remove(http::percent_decoded(path.substr(name_at)));
-    exchange->answer(http::json_answer(200, "{}"));
+    exchange->answer(http::json_response(200, "{}"));
   } else {
-    exchange->answer(http::text_answer(404, "no such thing here\n"));
+    exchange->answer(http::text_response(404, "no such thing here\n"));
   }
 }
 
@@ -103,9 +103,9 @@
     for (const Endpoint& entry : decode_endpoints(request.body))
       put(entry);
   } catch (const json::BadInput& error) {
-    return http::text_answer(422, std::string(error.what()) + "\n");
+    return http::text_response(422, std::string(error.what()) + "\n");
   }
-  return http::json_answer(200, "{}");
+  return http::json_response(200, "{}");
 }
 
 }  // namespace robinhoist::registry
--- a/src/registry/service.h
+++ b/src/registry/service.h
@@ -45,7 +45,7 @@
 
   void handle(const http::ExchangePtr& exchange);
   void poll(const http::ExchangePtr& exchange);
-  void send_update(const http::LongPoll::Asked& request);
+  void send_update(const http::LongPoll::Query& request);
   http::Response put_from(const http::Request& request);
 
   net::Loop& loop_;
