--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -135,8 +135,9 @@
         ->check(CLI::ExistingFile);
     return sub;
   };
-  CLI::App* proxy =
-      add("umpire", "Run one umpire: an HTTP/1.1 reverse proxy that routes, judges and votes");
+  CLI::App* proxy = add(
+      "proxy", "Run one proxy: an HTTP/1.1 reverse proxy that routes, analyses canaries and votes");
+  proxy->alias("umpire");  // the name of this command before
   CLI::App* platform = app.add_subcommand(
       "platform", "Run one umpire on the operators' platform, told all by its configuration file");
   platform->add_option("--config", config, "The file, as JSON")
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -100,6 +100,15 @@
   EXPECT_THROW(endpoint_cache::write("/nowhere/at/all", "x"), endpoint_cache::CacheError);
 }
 
+// What was `robinhoist umpire` goes on under that name.
+TEST(CommandLine, proxy_has_its_former_name_as_an_alias) {
+  const auto [help, status] = run("proxy --help");
+  EXPECT_EQ(status, 0) << help;
+  EXPECT_NE(help.find("--config"), std::string::npos) << help;
+  EXPECT_EQ(run("umpire --help").second, 0);
+  EXPECT_EQ(run("proxy --config /nowhere"), run("umpire --config /nowhere"));
+}
+
 struct Child : tests::Child {
   Child(const Words& words, rlim_t files = 0) : tests::Child(words, temp("child.log"), files) {}
 };
