--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "module_settings/module_settings.h"
 #include "policy/release.h"
 #include "registry/registry.h"
@@ -33,14 +33,14 @@
   ReleaseUpdate known_release{};
 };
 
-/// Throws json::BadInput naming the field and what is wrong with it.
+/// Throws json::DecodeError naming the field and what is wrong with it.
 Config decode_config(std::string_view text);
 /// The same of a file, which the error names too.
 Config read_config(const std::string& file);
 
-/// Throws json::BadInput.
-registry::Update decode_endpoints(const json::Json& object);
-/// Throws json::BadInput.
-ReleaseUpdate decode_release(const json::Json& object);
+/// Throws json::DecodeError.
+registry::Update decode_endpoints(const json::Value& object);
+/// Throws json::DecodeError.
+ReleaseUpdate decode_release(const json::Value& object);
 
 }  // namespace robinhoist::platform
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -24,19 +24,19 @@
 
 Watch::Settings Discovery::watch_settings(unsigned salt) {
   return {.what = "endpoints",
-          .silence = {.first = first_response_timeout, .most = max_silence},
+          .silence = {.first = first_response_timeout, .next = max_silence},
           .max_retry_delay = max_retry_delay,
           .salt = salt};
 }
 
 Discovery::Discovery(net::Loop& loop, const std::string& address, std::int64_t version,
-                     const Watch::Settings& watch, const log::Log& log)
+                     const Watch::Settings& watch, const log::Logger& log)
     : loop_(loop), version_(version), watch_(loop, address, watch, log) {}
 
 void Discovery::start(OnUpdate on_update) {
   on_update_ = std::move(on_update);
   watch_.start([this] { return wire_names::discovery_path + std::to_string(version_); },
-               [this](const json::Json& object) { accept(decode_endpoints(object)); });
+               [this](const json::Value& object) { accept(decode_endpoints(object)); });
 }
 
 void Discovery::refresh() {
@@ -60,8 +60,8 @@
   const bool is_new_series =
       update.complete && loop_.now() >= *only_older_since_ + propagation_deadline;
   if (!is_new_series)
-    throw json::BadInput("revision " + std::to_string(update.version) +
-                         " is older than the one held, " + std::to_string(version_));
+    throw json::DecodeError("revision " + std::to_string(update.version) +
+                            " is older than the one held, " + std::to_string(version_));
 }
 
 }  // namespace robinhoist::platform
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -15,7 +15,7 @@
   static Watch::Settings watch_settings(unsigned salt);
   /// `version` is that of a list that is known already, or 0.
   Discovery(net::Loop& loop, const std::string& address, std::int64_t version,
-            const Watch::Settings& watch, const log::Log& log);
+            const Watch::Settings& watch, const log::Logger& log);
   void start(OnUpdate on_update) override;
   void refresh() override;
   /// The service is at another address from now on.
--- a/src/platform/process.cpp
+++ b/src/platform/process.cpp
@@ -58,7 +58,7 @@
 
   std::string config_file_;
   Config config_;
-  log::Log log_;
+  log::Logger log_;
   net::Loop loop_;
   Discovery endpoints_;
   ReleaseApi releases_;
@@ -99,7 +99,7 @@
     releases_.move(config.release_api);
     log_.info("configuration reloaded",
               {{"discovery", config.discovery}, {"release_api", config.release_api}});
-  } catch (const json::BadInput& error) {
+  } catch (const json::DecodeError& error) {
     log_.warn("configuration not reloaded: nothing changes", {{"reason", error.what()}});
   }
 }
--- a/src/platform/process.h
+++ b/src/platform/process.h
@@ -15,7 +15,7 @@
 /// endpoints and clients.
 proxy::RouterSettings router_settings(const Config& config);
 
-/// Runs until it is stopped. Returns the exit status. Throws json::BadInput if the configuration
+/// Runs until it is stopped. Returns the exit status. Throws json::DecodeError if the configuration
 /// file is not valid.
 int run(const std::string& config_file);
 
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -8,7 +8,7 @@
 
 #include "platform/wire_names.h"
 #include "policy/statistics.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 
 namespace robinhoist::platform {
 namespace {
@@ -34,7 +34,7 @@
   if (text.size() < 2)
     return {};
   const char unit = text.back();
-  const auto value = settings::number_of(std::string(text.substr(0, text.size() - 1)));
+  const auto value = settings::parse_number(std::string(text.substr(0, text.size() - 1)));
   if (!value || (unit != 'm' && unit != 'u'))
     return {};
   return unit == 'm' ? *value : *value / 1000;
@@ -57,7 +57,7 @@
     const std::size_t equals = item.find('=');
     if (equals == std::string_view::npos || equals == 0)
       return {};
-    const auto value = settings::number_of(std::string(item.substr(equals + 1)));
+    const auto value = settings::parse_number(std::string(item.substr(equals + 1)));
     if (!value)
       return {};
     metrics.push_back({std::string(item.substr(0, equals)), *value});
--- a/src/platform/release_api.cpp
+++ b/src/platform/release_api.cpp
@@ -78,13 +78,13 @@
 
 Watch::Settings ReleaseApi::watch_settings(unsigned salt) {
   return {.what = "releases",
-          .silence = {.first = max_silence, .most = max_silence},
+          .silence = {.first = max_silence, .next = max_silence},
           .max_retry_delay = max_retry_delay,
           .salt = salt};
 }
 
 ReleaseApi::ReleaseApi(net::Loop& loop, const std::string& address, const ReleaseUpdate& known,
-                       Duration vote_timeout, unsigned salt, const log::Log& log)
+                       Duration vote_timeout, unsigned salt, const log::Logger& log)
     : loop_(loop),
       vote_timeout_(vote_timeout),
       known_(known),
@@ -99,20 +99,20 @@
   at_start.since = std::max(Duration{}, loop_.now() - known_since_);
   on_update_(at_start);
   watch_.start([] { return std::string(wire_names::release_watch_path); },
-               [this](const json::Json& event) { read_event(event); });
+               [this](const json::Value& event) { read_event(event); });
 }
 
-void ReleaseApi::read_event(const json::Json& event) {
+void ReleaseApi::read_event(const json::Value& event) {
   const bool is_sign_of_life = event.ObjectEmpty();
   if (is_sign_of_life)
     return;
   const std::string type = json::text(event, wire_names::event_type);
-  const json::Json& object = json::inner(event, wire_names::event_object);
+  const json::Value& object = json::nested_object(event, wire_names::event_object);
   if (type == wire_names::release_event)
     accept(decode_release(object));
   else if (type == wire_names::wrong_answer_event && on_wrong_answer_)
     on_wrong_answer_(json::text(object, wire_names::wrong_answer_endpoint),
-                     json::duration_of(object, wire_names::age_ms));
+                     json::duration(object, wire_names::age_ms));
 }
 
 // Answers to votes and events of the watch may overtake each other, or come from a former address.
@@ -139,12 +139,12 @@
   request.method = "POST";
   request.target = wire_names::vote_path;
   request.headers.add("Content-Type", "application/json");
-  request.body = json::Out()
-                     .open()
+  request.body = json::Writer()
+                     .begin_object()
                      .put(wire_names::release_build, vote.build)
                      .put(wire_names::release_stage, vote.stage)
                      .put(wire_names::vote_verdict, wire_names::to_string(vote.verdict))
-                     .close()
+                     .end_object()
                      .text();
   connections_->call(request, vote_timeout_,
                      [this, on_result](http::CallResult how, http::Response&& response) {
@@ -160,8 +160,8 @@
   }
   ReleaseUpdate release{};
   try {
-    release = decode_release(json::object_of(response.body));
-  } catch (const json::BadInput&) {
+    release = decode_release(json::parse_object(response.body));
+  } catch (const json::DecodeError&) {
     on_result(Outcome::timeout);  // unreadable: the vote may count
     return;
   }
--- a/src/platform/release_api.h
+++ b/src/platform/release_api.h
@@ -20,7 +20,7 @@
   static Watch::Settings watch_settings(unsigned salt);
   /// `known` is the release as of the configuration file.
   ReleaseApi(net::Loop& loop, const std::string& address, const ReleaseUpdate& known,
-             Duration vote_timeout, unsigned salt, const log::Log& log);
+             Duration vote_timeout, unsigned salt, const log::Logger& log);
   void start(OnUpdate on_update) override;
   void vote(const proxy::Vote& vote, OnVoteResult on_result) override;
   /// This platform takes no such reports.
@@ -30,7 +30,7 @@
   void move(const std::string& address);
 
  private:
-  void read_event(const json::Json& event);
+  void read_event(const json::Value& event);
   void vote_ended(http::CallResult how, const http::Response& response,
                   const OnVoteResult& on_result);
   void accept(const ReleaseUpdate& release);
--- a/src/platform/watch.cpp
+++ b/src/platform/watch.cpp
@@ -21,7 +21,7 @@
 }
 
 Watch::Watch(net::Loop& loop, const std::string& address, const Settings& settings,
-             const log::Log& log)
+             const log::Logger& log)
     : loop_(loop),
       address_(address),
       settings_(settings),
@@ -48,7 +48,7 @@
   if (address == address_)
     return;
   address_ = address;
-  backoff_.worked();
+  backoff_.reset();
   if (stream_)
     stream_->stop();
   restart();
@@ -72,7 +72,7 @@
   std::size_t objects = 0;
   try {
     objects = deliver_objects(body);
-  } catch (const json::BadInput& error) {
+  } catch (const json::DecodeError& error) {
     stream_->stop();
     failed(error.what());
     return false;
@@ -87,17 +87,17 @@
 // Returns how many objects were complete.
 std::size_t Watch::deliver_objects(std::string& body) {
   for (std::size_t objects = 0;; ++objects) {
-    const json::Framed framed = framer_.next(body);
-    if (framed == json::Framed::bad)
-      throw json::BadInput("what comes is no JSON object");
-    if (framed == json::Framed::more)
+    const json::FrameStatus framed = framer_.next(body);
+    if (framed == json::FrameStatus::bad)
+      throw json::DecodeError("what comes is no JSON object");
+    if (framed == json::FrameStatus::more)
       return objects;
-    on_object_(json::object_of(framer_.object()));
+    on_object_(json::parse_object(framer_.object()));
   }
 }
 
 void Watch::succeeded() {
-  backoff_.worked();
+  backoff_.reset();
   if (failing_)
     log_.info("watch re-established", {{"of", settings_.what}, {"address", address_}});
   failing_ = false;
@@ -108,7 +108,7 @@
     log_.warn("watch lost", {{"of", settings_.what}, {"address", address_}, {"reason", reason}});
   failing_ = true;
   loop_.cancel(timer_);
-  timer_ = loop_.in(backoff_.failed(), [this] { request(); });
+  timer_ = loop_.in(backoff_.next_delay(), [this] { request(); });
 }
 
 }  // namespace robinhoist::platform
--- a/src/platform/watch.h
+++ b/src/platform/watch.h
@@ -9,9 +9,9 @@
 #include <string>
 
 #include "http/stream_client.h"
-#include "json/fields.h"
-#include "json/framing.h"
-#include "log/log.h"
+#include "json/framer.h"
+#include "json/reader.h"
+#include "log/logger.h"
 #include "retry/backoff.h"
 #include "time/time_types.h"
 
@@ -30,11 +30,12 @@
   };
   /// Returns the target of the next request.
   using Target = std::function<std::string()>;
-  /// Takes an object; throws json::BadInput if it makes no sense.
-  using OnObject = std::function<void(const json::Json& object)>;
+  /// Takes an object; throws json::DecodeError if it makes no sense.
+  using OnObject = std::function<void(const json::Value& object)>;
 
   /// `address` is host:port.
-  Watch(net::Loop& loop, const std::string& address, const Settings& settings, const log::Log& log);
+  Watch(net::Loop& loop, const std::string& address, const Settings& settings,
+        const log::Logger& log);
   ~Watch();
   Watch(const Watch&) = delete;
   Watch& operator=(const Watch&) = delete;
@@ -55,7 +56,7 @@
   net::Loop& loop_;
   std::string address_;
   Settings settings_;
-  const log::Log& log_;
+  const log::Logger& log_;
   std::unique_ptr<http::StreamClient> stream_{};
   retry::Backoff backoff_;
   Target target_{};
--- a/src/proxy/admin_server.cpp
+++ b/src/proxy/admin_server.cpp
@@ -2,7 +2,7 @@
 
 #include <string_view>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "proxy/wire_names.h"
 
 namespace robinhoist::proxy {
@@ -54,11 +54,11 @@
 
 http::Response AdminServer::report_wrong_answer(const http::Request& request) {
   try {
-    const std::string endpoint = json::text(json::object_of(request.body), wire_names::endpoint);
+    const std::string endpoint = json::text(json::parse_object(request.body), wire_names::endpoint);
     if (router_.report_wrong_answer(endpoint))
       return http::json_response(200, "{}");
     return http::text_response(404, "no node " + endpoint + "\n");
-  } catch (const json::BadInput& error) {
+  } catch (const json::DecodeError& error) {
     return http::text_response(422, std::string(error.what()) + "\n");
   }
 }
--- a/src/proxy/http_endpoint_source.cpp
+++ b/src/proxy/http_endpoint_source.cpp
@@ -3,7 +3,7 @@
 #include <chrono>
 #include <utility>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "proxy/api_client_settings.h"
 
 namespace robinhoist::proxy {
@@ -17,7 +17,7 @@
 }  // namespace
 
 HttpEndpointSource::HttpEndpointSource(net::Loop& loop, const std::string& address,
-                                       std::string proxy, unsigned salt, const log::Log& log)
+                                       std::string proxy, unsigned salt, const log::Logger& log)
     : loop_(loop),
       proxy_(std::move(proxy)),
       log_(log),
@@ -56,8 +56,8 @@
       how == http::CallResult::answered && response.status == 200 && accept(response);
   set_failing(!succeeded, how, response);
   if (succeeded)
-    backoff_.worked();
-  const Duration delay = succeeded ? Duration(0) : backoff_.failed();
+    backoff_.reset();
+  const Duration delay = succeeded ? Duration(0) : backoff_.next_delay();
   timer_ = loop_.in(delay, [this] { poll(); });
 }
 
@@ -66,7 +66,7 @@
   registry::Update update;
   try {
     update = registry::decode(response.body);
-  } catch (const json::BadInput&) {
+  } catch (const json::DecodeError&) {
     return false;
   }
   const bool is_older = update.series == series_ && update.version < version_;
--- a/src/proxy/http_endpoint_source.h
+++ b/src/proxy/http_endpoint_source.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "http/connection_pool.h"
-#include "log/log.h"
+#include "log/logger.h"
 #include "proxy/endpoint_source.h"
 #include "retry/backoff.h"
 
@@ -15,7 +15,7 @@
  public:
   /// `address` is the registry's, `proxy` this proxy's name in its log.
   HttpEndpointSource(net::Loop& loop, const std::string& address, std::string proxy, unsigned salt,
-                     const log::Log& log);
+                     const log::Logger& log);
   ~HttpEndpointSource() override;
   HttpEndpointSource(const HttpEndpointSource&) = delete;
   HttpEndpointSource& operator=(const HttpEndpointSource&) = delete;
@@ -31,7 +31,7 @@
 
   net::Loop& loop_;
   std::string proxy_;
-  const log::Log& log_;
+  const log::Logger& log_;
   http::ConnectionPool connections_;
   retry::Backoff backoff_;
   OnUpdate on_update_{};
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -25,7 +25,7 @@
 double number_or(std::string_view text, double absent) {
   if (text.empty())
     return absent;
-  return settings::number_of(std::string(text)).value_or(std::nan(""));
+  return settings::parse_number(std::string(text)).value_or(std::nan(""));
 }
 
 // The field of a load report that a metric belongs to, or null.
@@ -64,7 +64,7 @@
     const std::size_t equals = item.find('=');
     if (equals == std::string_view::npos)
       continue;
-    const auto value = settings::number_of(std::string(item.substr(equals + 1)));
+    const auto value = settings::parse_number(std::string(item.substr(equals + 1)));
     if (!value || *value < 0)
       continue;
     if (auto* metric = load_metric(load, item.substr(0, equals)))
--- a/src/proxy/process.cpp
+++ b/src/proxy/process.cpp
@@ -21,7 +21,7 @@
           .salt = settings.salt + 1};
 }
 
-void log_final_counters(const log::Log& log, const Router& router) {
+void log_final_counters(const log::Logger& log, const Router& router) {
   const ProxyCounters& counters = router.counters();
   log.info("stopped", {{"accepted", log::text(counters.accepted)},
                        {"succeeded", log::text(counters.succeeded)},
@@ -34,7 +34,7 @@
 }  // namespace
 
 int run(const Settings& settings) {
-  log::Log log(settings.name, settings.log_level);
+  log::Logger log(settings.name, settings.log_level);
   net::Loop loop(net::steady_now());
   std::signal(SIGPIPE, SIG_IGN);
   HttpEndpointSource endpoints(loop, settings.registry_address, settings.name, settings.salt, log);
--- a/src/proxy/request_tracer.cpp
+++ b/src/proxy/request_tracer.cpp
@@ -4,8 +4,8 @@
 #include <cstdio>
 #include <utility>
 
-#include "json/fields.h"
-#include "log/log.h"
+#include "json/writer.h"
+#include "log/logger.h"
 #include "policy/statistics.h"
 #include "proxy/wire_names.h"
 #include "rollout/names.h"
@@ -144,8 +144,8 @@
 
 std::string RequestTracer::json(const tracing::Trace& trace) const {
   const WallTime began = wall_start_ + trace.began.time_since_epoch();
-  json::Out out;
-  out.open();
+  json::Writer out;
+  out.begin_object();
   out.put(wire_names::proxy, proxy_name_);
   out.put(wire_names::request, trace.request_name);
   out.put("trace", trace.trace_id);
@@ -153,18 +153,18 @@
   out.put("outcome", trace.outcome.empty() ? "open" : trace.outcome);
   out.put("began_ms", static_cast<long>(began.time_since_epoch().count() / 1000));
   out.put("events_dropped", trace.dropped());
-  out.open_list("events");
+  out.begin_array("events");
   for (const tracing::Event& event : trace.events()) {
-    out.open();
+    out.begin_object();
     out.put_ms("at_ms", event.at);
     out.put("is", event.name);
     for (const tracing::Attribute& attribute : event.attributes)
       if (!attribute.value.empty())
         out.put(attribute.name.c_str(), attribute.value);
-    out.close();
+    out.end_object();
   }
-  out.close_list();
-  out.close();
+  out.end_array();
+  out.end_object();
   return out.text();
 }
 
--- a/src/proxy/router.cpp
+++ b/src/proxy/router.cpp
@@ -2,13 +2,13 @@
 
 #include <utility>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "proxy/status_report.h"
 
 namespace robinhoist::proxy {
 Router::Router(net::Loop& loop, const RouterSettings& settings,
                const module_settings::ModuleSettings& module_settings, const Protocol& protocol,
-               const log::Log& log, EndpointSource& endpoints, ReleaseSource& releases)
+               const log::Logger& log, EndpointSource& endpoints, ReleaseSource& releases)
     : loop_(loop),
       settings_(settings),
       module_settings_(module_settings),
@@ -28,7 +28,7 @@
   loop_.cancel(engine_timer_);
   // Connections with a request open report their end, which needs the members below.
   if (server_)
-    server_->cut();
+    server_->reset_connections();
 }
 
 void Router::start() {
@@ -47,7 +47,7 @@
 }
 
 void Router::begin_shutdown() {
-  server_->retire();
+  server_->begin_shutdown();
   log_.info("shutting down: clients are asked to disconnect",
             {{"open", log::text(open_requests())}, {"clients", log::text(clients())}});
 }
@@ -133,7 +133,7 @@
     log_.info("endpoint cache loaded", {{"endpoints", log::text(upstreams_.listed().size())}});
   } catch (const endpoint_cache::CacheError& error) {
     log_.warn("endpoint cache not used", {{"reason", error.what()}});
-  } catch (const json::BadInput& error) {
+  } catch (const json::DecodeError& error) {
     log_.warn("endpoint cache not used", {{"reason", error.what()}});
   }
 }
--- a/src/proxy/router.h
+++ b/src/proxy/router.h
@@ -13,7 +13,7 @@
 #include "endpoint_cache/endpoint_cache.h"
 #include "http/connection_pool.h"
 #include "http/server.h"
-#include "log/log.h"
+#include "log/logger.h"
 #include "module_settings/module_settings.h"
 #include "policy/decision_engine.h"
 #include "proxy/client_outcome_reporter.h"
@@ -46,7 +46,7 @@
   /// All references outlive the router.
   Router(net::Loop& loop, const RouterSettings& settings,
          const module_settings::ModuleSettings& module_settings, const Protocol& protocol,
-         const log::Log& log, EndpointSource& endpoints, ReleaseSource& releases);
+         const log::Logger& log, EndpointSource& endpoints, ReleaseSource& releases);
   ~Router();
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
@@ -113,7 +113,7 @@
   RouterSettings settings_;
   module_settings::ModuleSettings module_settings_;
   const Protocol& protocol_;
-  const log::Log& log_;
+  const log::Logger& log_;
   EndpointSource& endpoint_source_;
   ReleaseSource& release_source_;
   WallTime wall_start_;  // wall-clock time of the loop's zero
--- a/src/proxy/settings.cpp
+++ b/src/proxy/settings.cpp
@@ -21,46 +21,46 @@
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0)
     return false;
-  const auto port = settings::number_of(text.substr(colon + 1));
+  const auto port = settings::parse_number(text.substr(colon + 1));
   return port && *port >= 0 && *port <= 65535;
 }
 
-std::string checked_address(settings::Form& form, const char* key, const std::string& text) {
+std::string checked_address(settings::SexpReader& form, const char* key, const std::string& text) {
   if (!text.empty() && !is_address(text))
-    form.problem(key, text + " is not an address such as 127.0.0.1:8080");
+    form.add_problem(key, text + " is not an address such as 127.0.0.1:8080");
   return text;
 }
 
-std::string required_address(settings::Form& form, const char* key) {
+std::string required_address(settings::SexpReader& form, const char* key) {
   return checked_address(form, key, form.text(key));
 }
 
-std::string optional_address(settings::Form& form, const char* key) {
+std::string optional_address(settings::SexpReader& form, const char* key) {
   return checked_address(form, key, form.text(key, ""));
 }
 
-std::size_t count(settings::Form& form, const char* key, int min, int max, int absent) {
-  return static_cast<std::size_t>(form.whole(key, min, max, absent));
+std::size_t count(settings::SexpReader& form, const char* key, int min, int max, int absent) {
+  return static_cast<std::size_t>(form.integer(key, min, max, absent));
 }
 
-std::string read_token(settings::Form& form) {
+std::string read_token(settings::SexpReader& form) {
   const std::string file = form.text("releases-token-file", "");
   std::string token;
   if (file.empty())
     return token;
   std::ifstream in(file);
   if (!(in >> token))
-    form.problem("releases-token-file", file + " can't be read, or is empty");
+    form.add_problem("releases-token-file", file + " can't be read, or is empty");
   return token;
 }
 
-void read_identity(settings::Form& form, Settings& settings) {
+void read_identity(settings::SexpReader& form, Settings& settings) {
   settings.name = form.text("name");
-  settings.number = form.whole("number", 0, 1000000, 0);
-  settings.salt = static_cast<unsigned>(form.whole("salt", 1, 2147483646, 1 + settings.number));
+  settings.number = form.integer("number", 0, 1000000, 0);
+  settings.salt = static_cast<unsigned>(form.integer("salt", 1, 2147483646, 1 + settings.number));
 }
 
-void read_addresses(settings::Form& form, Settings& settings) {
+void read_addresses(settings::SexpReader& form, Settings& settings) {
   settings.server.listen = required_address(form, "listen");
   settings.admin_address = optional_address(form, "admin");
   settings.registry_address = required_address(form, "list-from");
@@ -68,23 +68,23 @@
   settings.controller_token = read_token(form);
 }
 
-void read_connections(settings::Form& form, Settings& settings) {
+void read_connections(settings::SexpReader& form, Settings& settings) {
   http::ServerSettings& server = settings.server;
   server.max_clients = count(form, "most-clients", 1, 1000000, 10000);
   server.limits.max_header_bytes = count(form, "most-header-bytes", 256, mebibyte, 16 * kibibyte);
   server.limits.max_body_bytes = count(form, "most-body-bytes", 0, gibibyte, mebibyte);
-  server.request_timeout = form.span("request-within", 10ms, 10min, 10s);
-  server.idle_timeout = form.span("idle-for", 10ms, 1h, 60s);
+  server.request_timeout = form.duration("request-within", 10ms, 10min, 10s);
+  server.idle_timeout = form.duration("idle-for", 10ms, 1h, 60s);
   http::ConnectionPoolSettings& upstream = settings.upstream;
   upstream.max_connections = count(form, "connections-per-node", 1, 100000, 256);
-  upstream.connect_timeout = form.span("connect-within", 1ms, 1min, 250ms);
-  upstream.idle_timeout = form.span("keep-connections", 0ms, 1h, 30s);
+  upstream.connect_timeout = form.duration("connect-within", 1ms, 1min, 250ms);
+  upstream.idle_timeout = form.duration("keep-connections", 0ms, 1h, 30s);
   upstream.limits = server.limits;
 }
 
-tracing::Settings read_trace(settings::Form& form) {
+tracing::Settings read_trace(settings::SexpReader& form) {
   tracing::Settings settings;
-  if (auto trace = form.maybe("trace")) {
+  if (auto trace = form.optional_child("trace")) {
     settings.share = trace->number("share", 0, 1, 0.0);
     settings.capacity = count(*trace, "keep", 1, 1000000, 1000);
     trace->finish();
@@ -92,9 +92,9 @@
   return settings;
 }
 
-HeaderNames read_headers(settings::Form& form) {
+HeaderNames read_headers(settings::SexpReader& form) {
   HeaderNames names;
-  if (auto headers = form.maybe("headers")) {
+  if (auto headers = form.optional_child("headers")) {
     names.tenant = headers->text("tenant", names.tenant);
     names.idempotency_key = headers->text("key", names.idempotency_key);
     names.routing_key = headers->text("routing-key", names.routing_key);
@@ -107,23 +107,24 @@
   return names;
 }
 
-void check_against_deployment(settings::Form& form, const Settings& settings) {
+void check_against_deployment(settings::SexpReader& form, const Settings& settings) {
   const deployment::Deployment& deployment = settings.deployment;
   if (!settings.zone.empty() && deployment.zone(settings.zone) < 0)
-    form.problem("zone", settings.zone + " is none of the deployment's zones");
+    form.add_problem("zone", settings.zone + " is none of the deployment's zones");
   if (settings.number >= deployment.proxies)
-    form.problem("number", "must be below the deployment's number of umpires, " +
-                               std::to_string(deployment.proxies));
+    form.add_problem("number", "must be below the deployment's number of umpires, " +
+                                   std::to_string(deployment.proxies));
   for (const auto& named_class : deployment.request_classes)
     if (named_class.request_class.deadline <= 2 * settings.response_reserve)
-      form.problem("reserve", "takes half or more of the expiry of product " + named_class.name);
+      form.add_problem("reserve",
+                       "takes half or more of the expiry of product " + named_class.name);
 }
 
 }  // namespace
 
-Settings read(settings::Form root) {
+Settings read(settings::SexpReader root) {
   Settings settings;
-  settings::Form form = root.sub("umpire");
+  settings::SexpReader form = root.child("umpire");
   read_identity(form, settings);
   read_addresses(form, settings);
   settings.endpoint_cache_file = form.text("saved-list", "");
@@ -131,19 +132,19 @@
       "log", {{"debug", "debug"}, {"info", "info"}, {"warn", "warn"}, {"error", "err"}},
       std::string("info"));
   settings.zone = form.text("zone", "");
-  settings.response_reserve = form.span("reserve", 0ms, 10s, 5ms);
+  settings.response_reserve = form.duration("reserve", 0ms, 10s, 5ms);
   read_connections(form, settings);
   settings.trace = read_trace(form);
   settings.headers = read_headers(form);
   form.finish();
-  settings.deployment = deployment::read(root.sub("deployment"));
+  settings.deployment = deployment::read(root.child("deployment"));
   check_against_deployment(form, settings);
   root.finish();
   return settings;
 }
 
 Settings read(const std::string& file) {
-  return read(settings::Form::of_file(file));
+  return read(settings::SexpReader::from_file(file));
 }
 
 RouterSettings router_settings(const Settings& settings) {
--- a/src/proxy/settings.h
+++ b/src/proxy/settings.h
@@ -50,8 +50,8 @@
 /// What the decision engine takes of them.
 module_settings::ModuleSettings module_settings_of(const Settings& settings);
 
-/// Throws settings::Invalid with all problems, each with its line.
+/// Throws settings::ValidationError with all problems, each with its line.
 Settings read(const std::string& file);
-Settings read(settings::Form root);
+Settings read(settings::SexpReader root);
 
 }  // namespace robinhoist::proxy
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -17,7 +17,7 @@
 
 UpstreamPool::UpstreamPool(net::Loop& loop, http::ConnectionPoolSettings connection_settings,
                            const module_settings::ModuleSettings& module_settings,
-                           const log::Log& log, WallTime wall_start)
+                           const log::Logger& log, WallTime wall_start)
     : loop_(loop),
       connection_settings_(std::move(connection_settings)),
       module_settings_(module_settings),
--- a/src/proxy/upstream_pool.h
+++ b/src/proxy/upstream_pool.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "http/connection_pool.h"
-#include "log/log.h"
+#include "log/logger.h"
 #include "module_settings/module_settings.h"
 #include "policy/endpoint.h"
 #include "registry/registry.h"
@@ -35,7 +35,7 @@
  public:
   /// `wall_start` is the wall-clock time of the loop's zero, to convert start times of endpoints.
   UpstreamPool(net::Loop& loop, http::ConnectionPoolSettings connection_settings,
-               const module_settings::ModuleSettings& module_settings, const log::Log& log,
+               const module_settings::ModuleSettings& module_settings, const log::Logger& log,
                WallTime wall_start);
 
   /// Applies an update and returns it as the decision engine takes it. Idle connections to
@@ -68,7 +68,7 @@
   net::Loop& loop_;
   http::ConnectionPoolSettings connection_settings_;
   const module_settings::ModuleSettings& module_settings_;
-  const log::Log& log_;
+  const log::Logger& log_;
   WallTime wall_start_;
   std::vector<Upstream> upstreams_{};
   std::unordered_map<std::string, int> index_by_key_{};
--- a/src/proxy/watch_release_source.cpp
+++ b/src/proxy/watch_release_source.cpp
@@ -6,7 +6,8 @@
 #include <chrono>
 #include <utility>
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "proxy/api_client_settings.h"
 #include "rollout/names.h"
 
@@ -63,7 +64,7 @@
 }  // namespace
 
 WatchReleaseSource::WatchReleaseSource(net::Loop& loop, const Settings& settings,
-                                       const log::Log& log)
+                                       const log::Logger& log)
     : loop_(loop),
       settings_(settings),
       log_(log),
@@ -120,7 +121,7 @@
   if (failing_)
     log_.info("release watch re-established", {{"address", stream_.peer().toString()}});
   failing_ = false;
-  backoff_.worked();
+  backoff_.reset();
   apply_newest();
   return true;
 }
@@ -162,23 +163,23 @@
               {{"address", stream_.peer().toString()}, {"status", log::text(status)}});
   failing_ = failing_ || failed;
   loop_.cancel(watch_timer_);
-  watch_timer_ = loop_.in(backoff_.failed(), [this] { watch(); });
+  watch_timer_ = loop_.in(backoff_.next_delay(), [this] { watch(); });
 }
 
 // ---- The heartbeat
 
 void WatchReleaseSource::send_heartbeat() {
   loop_.cancel(heartbeat_timer_);
-  json::Out body;
-  body.open().put(incarnation_field, incarnation_);
+  json::Writer body;
+  body.begin_object().put(incarnation_field, incarnation_);
   if (acknowledged_)
-    body.open("acknowledged")
+    body.begin_object("acknowledged")
         .put("build", acknowledged_->release.build)
         .put("stage", acknowledged_->release.stage)
         .put("cap", acknowledged_->release.cap)
         .put("version", static_cast<long>(acknowledged_->version))
-        .close();
-  const std::string text = body.close().text();
+        .end_object();
+  const std::string text = body.end_object().text();
   connections_.call(
       post("/v1/umpires/" + settings_.proxy + "/heartbeat", text), heartbeat_timeout,
       [this](http::CallResult how, http::Response&& response) { heartbeat_ended(how, response); });
@@ -196,10 +197,10 @@
   if (response.status != http_ok)
     return;
   try {
-    const Duration lease = json::duration_of(json::object_of(response.body), "leaseMs");
+    const Duration lease = json::duration(json::parse_object(response.body), "leaseMs");
     heartbeat_interval_ =
         std::clamp(lease / heartbeats_per_lease, min_heartbeat_interval, max_heartbeat_interval);
-  } catch (const json::BadInput&) {
+  } catch (const json::DecodeError&) {
     return;  // the next response states it again
   }
 }
@@ -214,13 +215,13 @@
     loop_.in(Duration(0), [on_result] { on_result(Outcome::obsolete); });
     return;
   }
-  const std::string body = json::Out()
-                               .open()
+  const std::string body = json::Writer()
+                               .begin_object()
                                .put(proxy_field, settings_.proxy)
                                .put(incarnation_field, incarnation_)
                                .put("stage", vote.stage)
                                .put("verdict", rollout::to_string(vote.verdict))
-                               .close()
+                               .end_object()
                                .text();
   connections_.call(post("/v1/releases/" + newest_release_ + "/votes", body),
                     settings_.vote_timeout,
@@ -230,12 +231,12 @@
 }
 
 void WatchReleaseSource::report_client_outcomes(const ClientOutcomes& outcomes) {
-  const std::string body = json::Out()
-                               .open()
+  const std::string body = json::Writer()
+                               .begin_object()
                                .put(proxy_field, settings_.proxy)
                                .put(requests_field, outcomes.requests)
                                .put(unsuccessful_field, outcomes.unsuccessful)
-                               .close()
+                               .end_object()
                                .text();
   connections_.call(post(outcomes_path, body), report_timeout,
                     [](http::CallResult, http::Response&&) {});
--- a/src/proxy/watch_release_source.h
+++ b/src/proxy/watch_release_source.h
@@ -6,7 +6,7 @@
 
 #include "http/connection_pool.h"
 #include "http/stream_client.h"
-#include "log/log.h"
+#include "log/logger.h"
 #include "proxy/release_source.h"
 #include "releases/follower.h"
 #include "retry/backoff.h"
@@ -23,7 +23,7 @@
     Duration vote_timeout{};
     unsigned salt = 1;
   };
-  WatchReleaseSource(net::Loop& loop, const Settings& settings, const log::Log& log);
+  WatchReleaseSource(net::Loop& loop, const Settings& settings, const log::Logger& log);
   ~WatchReleaseSource() override;
   WatchReleaseSource(const WatchReleaseSource&) = delete;
   WatchReleaseSource& operator=(const WatchReleaseSource&) = delete;
@@ -46,7 +46,7 @@
 
   net::Loop& loop_;
   Settings settings_;
-  const log::Log& log_;
+  const log::Logger& log_;
   http::ConnectionPool connections_;
   http::StreamClient stream_;
   retry::Backoff backoff_;
--- a/src/registry/codec.cpp
+++ b/src/registry/codec.cpp
@@ -1,4 +1,5 @@
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "registry/registry.h"
 
 namespace robinhoist::registry {
@@ -25,8 +26,8 @@
   return removed_name;
 }
 
-void put_endpoint(json::Out& out, const Endpoint& entry) {
-  out.open();
+void put_endpoint(json::Writer& out, const Endpoint& entry) {
+  out.begin_object();
   out.put("name", entry.name);
   out.put("address", entry.address);
   out.put("zone", entry.zone);
@@ -35,52 +36,52 @@
   out.put("size", entry.size);
   out.put("phase", wire_name(entry.phase));
   out.put_ms("started_ms", entry.started.time_since_epoch());
-  out.close();
+  out.end_object();
 }
 
-Endpoint read_endpoint(const json::Json& object) {
+Endpoint read_endpoint(const json::Value& object) {
   Endpoint entry;
   entry.name = json::text(object, "name");
   entry.address = json::text(object, "address");
   entry.zone = json::text(object, "zone");
-  entry.cell = json::whole(object, "cell");
-  entry.build = json::whole(object, "build", 0, max_build);
+  entry.cell = json::integer(object, "cell");
+  entry.build = json::integer(object, "build", 0, max_build);
   entry.size = json::number(object, "size");
   if (!(entry.size > 0))
-    json::mistyped("size", "above 0");
+    json::throw_wrong_type("size", "above 0");
   entry.phase = json::enumerator<EndpointPhase>(object, "phase",
                                                 {{ready_name, EndpointPhase::ready},
                                                  {draining_name, EndpointPhase::draining},
                                                  {removed_name, EndpointPhase::removed}});
-  entry.started = WallTime(json::duration_of(object, "started_ms"));
+  entry.started = WallTime(json::duration(object, "started_ms"));
   return entry;
 }
 
 }  // namespace
 
 std::string encode(const Update& update) {
-  json::Out out;
-  out.open();
+  json::Writer out;
+  out.begin_object();
   out.put("series", update.series);
   out.put("version", static_cast<long>(update.version));
   out.put(complete_field, update.complete);
-  out.open_list(endpoints_field);
+  out.begin_array(endpoints_field);
   for (const Endpoint& entry : update.entries)
     put_endpoint(out, entry);
-  out.close_list();
-  out.close();
+  out.end_array();
+  out.end_object();
   return out.text();
 }
 
 Update decode(const std::string& text) {
-  const auto document = json::object_of(text);
+  const auto document = json::parse_object(text);
   Update update;
   update.series = json::text(document, "series");
   update.version = static_cast<std::int64_t>(json::number(document, "version"));
-  update.complete = json::truth(document, complete_field);
-  for (const json::Json& endpoint : json::array(document, endpoints_field).GetArray()) {
+  update.complete = json::boolean(document, complete_field);
+  for (const json::Value& endpoint : json::array(document, endpoints_field).GetArray()) {
     if (!endpoint.IsObject())
-      json::mistyped(endpoints_field, "an array of objects");
+      json::throw_wrong_type(endpoints_field, "an array of objects");
     update.entries.push_back(read_endpoint(endpoint));
   }
   return update;
--- a/src/registry/registry.h
+++ b/src/registry/registry.h
@@ -73,9 +73,10 @@
 
 /// JSON, as on the wire and in the endpoint cache.
 std::string encode(const Update& update);
-/// Throws json::BadInput naming the field.
+/// Throws json::DecodeError naming the field.
 Update decode(const std::string& text);
-/// Endpoints as encode() writes them, separated by commas. Throws json::BadInput naming the field.
+/// Endpoints as encode() writes them, separated by commas. Throws json::DecodeError naming the
+/// field.
 std::vector<Endpoint> decode_endpoints(const std::string& text);
 
 }  // namespace robinhoist::registry
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -4,7 +4,7 @@
 #include <chrono>
 #include <utility>
 
-#include "json/fields.h"
+#include "json/reader.h"
 
 namespace robinhoist::registry {
 namespace {
@@ -59,7 +59,7 @@
     return;
   notify_timer_ = loop_.in(notify_delay, [this] {
     notify_timer_ = net::Loop::no_timer;
-    waiting_.wake();
+    waiting_.notify();
   });
 }
 
@@ -102,7 +102,7 @@
   try {
     for (const Endpoint& entry : decode_endpoints(request.body))
       put(entry);
-  } catch (const json::BadInput& error) {
+  } catch (const json::DecodeError& error) {
     return http::text_response(422, std::string(error.what()) + "\n");
   }
   return http::json_response(200, "{}");
--- a/tests/platform_services_test.cpp
+++ b/tests/platform_services_test.cpp
@@ -26,7 +26,7 @@
   }
 
   net::Loop loop_{net::steady_now()};
-  log::Log log_{"test", "off"};
+  log::Logger log_{"test", "off"};
 };
 
 class Discovery : public PlatformService {
@@ -115,8 +115,8 @@
 // A change counts as known 6 s after it was made: by then two retries have had their time.
 TEST_F(Discovery, notices_silence_in_time) {
   const platform::Watch::Settings settings = platform::Discovery::watch_settings(1);
-  EXPECT_GT(settings.silence.most, 2s);  // an empty line is due so often
-  EXPECT_LE(settings.silence.most + 2 * (settings.silence.first + settings.max_retry_delay), 6s);
+  EXPECT_GT(settings.silence.next, 2s);  // an empty line is due so often
+  EXPECT_LE(settings.silence.next + 2 * (settings.silence.first + settings.max_retry_delay), 6s);
 }
 
 using Watch = PlatformService;
@@ -125,7 +125,7 @@
 // answered: the third has the object.
 TEST_F(Watch, takes_bytes_without_a_complete_object_for_silence) {
   const platform::Watch::Settings settings{
-      .what = "x", .silence = {.first = 100ms, .most = 100ms}, .max_retry_delay = 50ms, .salt = 1};
+      .what = "x", .silence = {.first = 100ms, .next = 100ms}, .max_retry_delay = 50ms, .salt = 1};
   int connections = 0;
   std::function<void(const http::ExchangePtr&)> trickle = [&](const http::ExchangePtr& exchange) {
     if (exchange->write("{"))
@@ -142,8 +142,8 @@
   platform::Watch watch(loop_, service.address(), settings, log_);
   std::vector<int> objects;
   watch.start([] { return "/"; },
-              [&](const json::Json& object) {
-                objects.push_back(json::whole(object, "n"));
+              [&](const json::Value& object) {
+                objects.push_back(json::integer(object, "n"));
                 if (objects.size() == 2)
                   loop_.stop();
               });
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -62,7 +62,7 @@
     try {
       platform::decode_config(replace_once(config_text(), test.valid, test.invalid));
       ADD_FAILURE() << "accepted: " << test.error;
-    } catch (const json::BadInput& error) {
+    } catch (const json::DecodeError& error) {
       EXPECT_THAT(error.what(), testing::HasSubstr(test.error));
     }
 }
--- a/tests/proxy_fixture.h
+++ b/tests/proxy_fixture.h
@@ -84,7 +84,7 @@
   }
 
   net::Loop loop{net::steady_now()};
-  log::Log log{"test", "err"};
+  log::Logger log{"test", "err"};
   FakeEndpointSource endpoints{};
   FakeReleaseSource releases{};
   std::unique_ptr<proxy::Router> router{};
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -30,7 +30,7 @@
 class ProxyScript : public testing::TestWithParam<std::string> {};
 
 TEST_P(ProxyScript, runs_as_scripted) {
-  const auto settings = proxy::read(settings::Form::of_text(settings_text, "settings"));
+  const auto settings = proxy::read(settings::SexpReader::from_text(settings_text, "settings"));
   const proxy::HttpProtocol protocol(settings);
   ProxyFixture fixture([&](ProxyFixture& proxy) {
     return std::make_unique<proxy::Router>(proxy.loop, proxy::router_settings(settings),
@@ -87,7 +87,7 @@
   }
 
   net::Loop loop_{net::steady_now()};
-  log::Log log_{"test", "off"};
+  log::Logger log_{"test", "off"};
   std::vector<std::string> watches_{};     // targets
   std::vector<std::string> heartbeats_{};  // bodies
   std::vector<http::ExchangePtr> open_watches_{};
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -10,7 +10,7 @@
 #include "controller/process.h"
 #include "history.h"
 #include "http/stream_client.h"
-#include "json/fields.h"
+#include "json/reader.h"
 #include "plays.h"
 #include "releases/follower.h"
 #include "rollout/names.h"
@@ -156,7 +156,7 @@
   fs::path folder = fs::temp_directory_path() / ("robinhoist-api-" + std::to_string(::getpid()));
   net::Loop loop{net::steady_now()};
   std::thread thread{[this] { loop.run(); }};
-  log::Log log{"test", "off"};
+  log::Logger log{"test", "off"};
   std::string extra{};
   std::unique_ptr<controller::Controller> controller{};
   std::function<void(const char*)> point{};
@@ -182,7 +182,7 @@
     loop.call([this] { start_here(); });
   }
   void start_here() {
-    auto form = settings::Form::of_text(
+    auto form = settings::SexpReader::from_text(
         std::string(deployment_text) + "(controller (listen 127.0.0.1:" + std::to_string(port) +
             ") (places 4) (build 1) (journal \"" + (folder / "journal").string() + "\")" + extra +
             ")",
@@ -433,15 +433,15 @@
 TEST(Api, is_as_its_description_says) {
   ApiStage stage;
   stage.start();
-  const auto served = json::object_of(stage.ask("GET", "/v1", "", "").body);
+  const auto served = json::parse_object(stage.ask("GET", "/v1", "", "").body);
   std::set<std::string> real, told;
   for (auto& route : json::array(served, "routes").GetArray())
     real.insert(json::text(route, "method") + " " + json::text(route, "path"));
   std::ifstream in(ROOT "/docs/openapi.json");
   std::stringstream text;
   text << in.rdbuf();
-  const auto description = json::object_of(text.str());
-  for (auto& path : json::inner(description, "paths").GetObject())
+  const auto description = json::parse_object(text.str());
+  for (auto& path : json::nested_object(description, "paths").GetObject())
     for (auto& method : path.value.GetObject()) {
       std::string name = method.name.GetString();
       for (char& c : name)
--- a/tests/scripted_endpoint.h
+++ b/tests/scripted_endpoint.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "http/message.h"
+#include "http/parser.h"
 #include "net/listener.h"
 #include "net/loop.h"
 #include "net/stream.h"
