--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -12,7 +12,7 @@
 
 #include "controller/process.h"
 #include "http/stream_client.h"
-#include "proxy/sources.h"
+#include "proxy/watch_release_source.h"
 
 namespace {
 
@@ -184,9 +184,9 @@
     for (int u = 0; u < proxies; ++u) {
       sources.push_back(std::make_unique<proxy::WatchReleaseSource>(
           at.loop,
-          proxy::WatchReleaseSource::Settings{.from = served.address().toString(),
+          proxy::WatchReleaseSource::Settings{.address = served.address().toString(),
                                               .proxy = "u" + std::to_string(u),
-                                              .vote_within = 1s,
+                                              .vote_timeout = 1s,
                                               .salt = static_cast<unsigned>(u + 1)},
           log));
       sources.back()->start([&](const ReleaseUpdate& release) { heard += release.build == build; });
