--- a/src/proxy/router_decisions.cpp
+++ b/src/proxy/router_decisions.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "proxy/mode_names.h"
 #include "proxy/router.h"
 #include "proxy/wire_names.h"
 #include "rollout/names.h"
@@ -69,7 +70,7 @@
       schedule_engine(decision.span);
       break;
     case Action::log:
-      set_mode(decision.text);
+      set_mode(decision);
       break;
   }
 }
@@ -152,9 +153,10 @@
   });
 }
 
-void Router::set_mode(const std::string& mode) {
-  mode_ = mode;
-  log_.info("mode", {{"is", mode}});
+void Router::set_mode(const Decision& decision) {
+  if (decision.report)
+    mode_ = api_mode(*decision.report);
+  log_.info("mode", {{"is", decision.text}});
 }
 
 // ---- Ends of attempts and requests
