--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -4,6 +4,7 @@
 #include <iterator>
 #include <utility>
 
+#include "json/writer.h"
 #include "simulator_adapter/wire_names.h"
 
 namespace robinhoist::simulator_adapter {
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -1,6 +1,6 @@
 /// Codec of the simulator's wire: JSON objects to typed messages, decisions to JSON lines.
 ///
-/// The decoders throw json::BadInput, which names the field and what is wrong with it.
+/// The decoders throw json::DecodeError, which names the field and what is wrong with it.
 #pragma once
 #include <optional>
 #include <string>
