--- a/src/platform/release_api.cpp
+++ b/src/platform/release_api.cpp
@@ -5,6 +5,7 @@
 #include <optional>
 #include <utility>
 
+#include "json/reader.h"
 #include "json/writer.h"
 #include "platform/config.h"
 #include "platform/wire_names.h"
