--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -11,10 +11,6 @@
 namespace {
 using namespace std::chrono_literals;
 
-const char* to_string(rollout::OrderKind kind) {
-  static const char* const words[] = {"start", "drain", "stop"};
-  return words[static_cast<int>(kind)];
-}
 }  // namespace
 
 Controller::Controller(net::Loop& loop, const Settings& settings, const log::Log& log,
@@ -37,16 +33,17 @@
       timers_(loop),
       server_(std::make_unique<http::Server>(loop, settings.server,
                                              [this](const http::ExchangePtr& e) { handle(e); })) {
-  settings_.rollout.gated = !settings.steps_target.empty();
+  settings_.rollout.gates_closed_by_default = !settings.steps_target.empty();
   if (!settings.journal.empty()) {
     journal_ = std::make_unique<journal::Journal>(settings.journal);
     if (auto text = journal_->get("rollout")) {
       core_ =
           std::make_unique<rollout::Rollout>(settings_.rollout, settings.places, settings.proxies,
-                                             rollout::decoded_kept(*text), loop.now());
-      log_.info("goes on", {{"build", log::text(core_->news(loop.now()).build)},
-                            {"wave", log::text(core_->news(loop.now()).stage)},
-                            {"phase", rollout::to_string(core_->news(loop.now()).phase)}});
+                                             rollout::decode_state(*text), loop.now());
+      log_.info("goes on",
+                {{"build", log::text(core_->release_update(loop.now()).build)},
+                 {"wave", log::text(core_->release_update(loop.now()).stage)},
+                 {"phase", rollout::to_string(core_->release_update(loop.now()).phase)}});
     }
   }
   if (!core_)
@@ -91,18 +88,18 @@
   if (!runner_)
     return false;
   const TimePoint now = loop_.now();
-  const ReleaseUpdate news = core_->news(now);
+  const ReleaseUpdate news = core_->release_update(now);
   const int stages = static_cast<int>(settings_.rollout.stages.size());
-  for (auto& [build, fate] : core_->fates()) {
+  for (auto& [build, fate] : core_->past_outcomes()) {
     steps::Release old{.stage = stages - 1, .offered = true};
     old.withdrawn = old.going_back = fate != ReleasePhase::released;
     old.final = fate == ReleasePhase::released;
     runner_->release(build, old);
   }
-  steps::Release present{.stage = core_->running_stage(), .offered = true};
+  steps::Release present{.stage = core_->active_stage(), .offered = true};
   present.going_back = news.phase == ReleasePhase::rolling_back;
   present.withdrawn = news.phase == ReleasePhase::rolled_back;
-  present.final = news.phase == ReleasePhase::released && !core_->can_go_back(now);
+  present.final = news.phase == ReleasePhase::released && !core_->can_roll_back(now);
   runner_->release(news.build, present);
   bool moved = false;
   for (int stage = 0; stage < stages; ++stage) {
@@ -112,7 +109,7 @@
       continue;
     at->second = open;
     moved = true;
-    core_->gate_open(news.build, stage, open);
+    core_->set_gate(news.build, stage, open ? rollout::Gate::open : rollout::Gate::closed);
   }
   return moved;
 }
@@ -123,10 +120,10 @@
     return;  // it stands still
   const TimePoint now = loop_.now();
   // A release that has just come up must find its gates as its steps stand.
-  std::vector<rollout::Order> decided;
+  std::vector<rollout::Command> decided;
   do {
     tell_steps();
-    while (auto order = core_->next(now))
+    while (auto order = core_->next_command(now))
       decided.push_back(*order);
   } while (tell_steps());
   if (runner_)
@@ -142,11 +139,11 @@
   untold_.insert(untold_.end(), decided.begin(), decided.end());
   decided.swap(untold_);
   untold_.clear();
-  for (const rollout::Order& one : decided) {
-    const rollout::Order* order = &one;
-    log_.debug("order", {{"is", to_string(order->kind)},
+  for (const rollout::Command& one : decided) {
+    const rollout::Command* order = &one;
+    log_.debug("order", {{"is", rollout::to_string(order->kind)},
                          {"machine", log::text(order->machine)},
-                         {"place", log::text(order->place)},
+                         {"place", log::text(order->slot)},
                          {"build", log::text(order->build)}});
     if (orders_)
       orders_(*order);
@@ -161,25 +158,25 @@
                           {"phase", rollout::to_string(change.phase)},
                           {"why", change.why}});
   }
-  const std::pair stage(core_->news(now).build, core_->running_stage());
+  const std::pair stage(core_->release_update(now).build, core_->active_stage());
   if (stage != seen_stage_ && stage.second >= 0)
     log_.info("wave takes traffic",
               {{"build", log::text(stage.first)},
                {"wave", log::text(stage.second)},
-               {"waited_for_steps_ms", log::text(core_->gate_waited().count() / 1000)}});
+               {"waited_for_steps_ms", log::text(core_->gate_wait().count() / 1000)}});
   seen_stage_ = stage;
-  if (auto at = core_->next_look(now))
+  if (auto at = core_->next_check_at(now))
     look_ = loop_.at(*at, [this] { pull(); });
 }
 
 void Controller::orders(const Asked& asked) {
   json::Out out;
   out.open().open_list("orders");
-  for (const rollout::Order& order : untaken_)
+  for (const rollout::Command& order : untaken_)
     out.open()
-        .put("is", to_string(order.kind))
+        .put("is", rollout::to_string(order.kind))
         .put("machine", order.machine)
-        .put("place", order.place)
+        .put("place", order.slot)
         .put("build", order.build)
         .close();
   untaken_.clear();
@@ -253,9 +250,9 @@
     const int machine = json::whole(document, "machine");
     const bool up = json::enumerator<bool>(document, "state", {{"up", true}, {"gone", false}});
     if (up)
-      core_->machine_up(machine, loop_.now());
+      core_->machine_started(machine, loop_.now());
     else
-      core_->machine_gone(machine, loop_.now());
+      core_->machine_stopped(machine, loop_.now());
   } catch (const json::BadInput& bad) {
     return asked.exchange->answer(http::text_answer(422, std::string(bad.what()) + "\n"));
   }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -46,7 +46,7 @@
 class Controller {
  public:
   using Told = Watches::Told;
-  using Orders = std::function<void(const rollout::Order&)>;
+  using Orders = std::function<void(const rollout::Command&)>;
   using Voted =
       std::function<void(const std::string& proxy, int build, int stage, Verdict, Outcome)>;
 
@@ -132,8 +132,8 @@
   Orders orders_;
   Told told_;
   Voted voted_;
-  std::vector<rollout::Order> untaken_{};  // for whoever fetches orders
-  std::vector<rollout::Order> untold_{};   // decided, but not yet on disk
+  std::vector<rollout::Command> untaken_{};  // for whoever fetches orders
+  std::vector<rollout::Command> untold_{};   // decided, but not yet on disk
   std::size_t seen_changes_ = 0;
   std::pair<int, int> seen_stage_{-1, -1};  // build and stage
   Duration lag_{};
--- a/src/controller/releases.cpp
+++ b/src/controller/releases.cpp
@@ -135,17 +135,17 @@
 void Controller::offer_pending() {
   std::vector<const releases::Release*> pending;
   for (auto& [name, release] : catalog_.all())
-    if (release.build > core_->newest_offered() && release.deleting_ms == 0)
+    if (release.build > core_->newest_build() && release.deleting_ms == 0)
       pending.push_back(&release);
   std::sort(pending.begin(), pending.end(), [](auto* a, auto* b) { return a->build < b->build; });
   for (const releases::Release* one : pending)
-    core_->offer(one->build, loop_.now());
+    core_->submit(one->build, loop_.now());
 }
 
 releases::Status Controller::status_of(const releases::Release& release, TimePoint now) const {
   releases::Status status;
-  const ReleaseUpdate news = core_->news(now);
-  const auto& fates = core_->fates();
+  const ReleaseUpdate news = core_->release_update(now);
+  const auto& fates = core_->past_outcomes();
   const bool present = release.build == news.build;
   status.why = release.status.why;
   status.since_ms = wall_ms();
@@ -154,12 +154,12 @@
     status.stage = news.stage;
     status.cap = news.cap;
     status.since_ms = wall_ms() - news.since.count() / 1000;
-    status.held = core_->held(now);
+    status.held = core_->on_hold(now);
   } else if (auto fate = fates.find(release.build); fate != fates.end()) {
     status.phase = rollout::to_string(fate->second);
     status.stage = release.status.stage;
     status.cap = fate->second == ReleasePhase::released ? 1 : 0;
-  } else if (core_->queued() != release.build && release.build <= core_->newest_offered()) {
+  } else if (core_->queued_build() != release.build && release.build <= core_->newest_build()) {
     status.phase = "withdrawn";
     status.why = "a newer release took its place before it began";
   }
@@ -180,7 +180,7 @@
       status.steps.push_back({id, phase, state});
   const auto& stages = settings_.rollout.stages;
   std::string missing;
-  const int running = present ? core_->running_stage() : status.stage;
+  const int running = present ? core_->active_stage() : status.stage;
   for (int stage = 0; stage < static_cast<int>(stages.size()); ++stage) {
     const char* state = "not reached";
     if (status.phase == "released" || stage < running)
@@ -197,7 +197,7 @@
     status.stages.push_back({stages[stage], settings_.rollout.caps[stage], state});
   }
   if (present) {
-    const auto votes = core_->votes(now);
+    const auto votes = core_->standing_votes(now);
     for (auto& [name, member] : members_.all()) {
       releases::ProxyReport says{.proxy = name, .vote = "none"};
       if (auto vote = votes.find(name); vote != votes.end())
@@ -239,9 +239,9 @@
 std::vector<releases::Draft> Controller::observed(bool& urgent) {
   std::vector<releases::Draft> drafts;
   const TimePoint now = loop_.now();
-  const int build = core_->news(now).build;
+  const int build = core_->release_update(now).build;
   // One that is withdrawn and has no object has been deleted.
-  if (!catalog_.of_build(build) && core_->news(now).phase != ReleasePhase::rolled_back)
+  if (!catalog_.of_build(build) && core_->release_update(now).phase != ReleasePhase::rolled_back)
     drafts.push_back(catalog_.found(build, fresh_id(), wall_ms()));
   for (auto& [name, release] : catalog_.all()) {
     const std::string& phase = release.status.phase;
@@ -263,11 +263,11 @@
 void Controller::keep(bool all) {
   bool urgent = all;
   std::vector<releases::Draft> drafts = observed(urgent);
-  rollout::Kept kept = core_->kept(loop_.now());
+  rollout::RolloutState kept = core_->state(loop_.now());
   kept.since = kept.since / 1000000 * 1000000;  // to the second: time alone is no reason to write
-  rollout::Kept timeless = kept;
+  rollout::RolloutState timeless = kept;
   timeless.since = Duration{};
-  const std::string text = rollout::encoded(timeless);
+  const std::string text = rollout::encode(timeless);
   const bool moved = text != kept_;
   if (!urgent && !drafts.empty()) {
     keep_soon();
@@ -279,7 +279,7 @@
     loop_.cancel(soon_);
   if (journal_ && moved) {
     // State and objects in one: a reader of either never sees the one without the other.
-    pending_state_.emplace("rollout", rollout::encoded(kept));
+    pending_state_.emplace("rollout", rollout::encode(kept));
   }
   commit(std::move(drafts));
   kept_ = text;
@@ -483,7 +483,7 @@
         return asked.exchange->answer(again);
       }
     }
-    releases::Reply made = catalog_.create(body, fresh_id(), core_->newest_offered(), wall_ms());
+    releases::Reply made = catalog_.create(body, fresh_id(), core_->newest_build(), wall_ms());
     if (key)
       key->name = made.name;
     if (!finish(asked, made, std::move(key)))
@@ -491,7 +491,7 @@
     log_.info("release created", {{"name", made.name},
                                   {"build", log::text(made.draft->release.build)},
                                   {"who", asked.caller.name}});
-    core_->offer(made.draft->release.build, loop_.now());
+    core_->submit(made.draft->release.build, loop_.now());
     pull();
     reply(asked, made);
   });
@@ -499,13 +499,12 @@
 
 bool Controller::offer(int build, const std::string& who) {
   const auto body = json::object_of("{\"spec\":{\"build\":" + std::to_string(build) + "}}");
-  const releases::Reply made =
-      catalog_.create(body, fresh_id(), core_->newest_offered(), wall_ms());
+  const releases::Reply made = catalog_.create(body, fresh_id(), core_->newest_build(), wall_ms());
   if (!made.draft)
     return false;
   commit({*made.draft});
   log_.info("release created", {{"name", made.name}, {"build", log::text(build)}, {"who", who}});
-  core_->offer(build, loop_.now());
+  core_->submit(build, loop_.now());
   pull();
   return true;
 }
@@ -528,8 +527,8 @@
     if (!finish(asked, made))
       return;
     // One as a canary goes back first; its object goes when none of its machines runs.
-    if (build == core_->news(loop_.now()).build)
-      core_->back("deleted by " + asked.caller.name, loop_.now());
+    if (build == core_->release_update(loop_.now()).build)
+      core_->roll_back("deleted by " + asked.caller.name, loop_.now());
     log_.info("release deleted", {{"name", asked.name}, {"who", asked.caller.name}});
     pull();
     reply(asked, made);
@@ -548,11 +547,13 @@
       return reply(asked, may);
     const TimePoint now = loop_.now();
     const std::string why = reason + " (" + author + ")";
-    const bool present = catalog_.find(asked.name)->build == core_->news(now).build;
+    const bool present = catalog_.find(asked.name)->build == core_->release_update(now).build;
     if (dry(asked.exchange->request))
       return reply(asked, may);
     const bool done =
-        present && (what == "back" ? core_->back(why, now) : core_->hold(what == "hold", why, now));
+        present &&
+        (what == "back" ? core_->roll_back(why, now)
+                        : (what == "hold" ? core_->hold(why, now) : core_->resume(why, now)));
     if (!done)
       throw Refused{problem(409, "the release is not in a state for that",
                             "it is " + catalog_.find(asked.name)->status.phase +
@@ -625,13 +626,13 @@
 
 void Controller::look_at_members() {
   const TimePoint now = loop_.now();
-  members_.canary_running(core_->news(now).phase == ReleasePhase::canary);
+  members_.canary_running(core_->release_update(now).phase == ReleasePhase::canary);
   if (members_.tick(now))
     log_.info("umpires", {{"live", log::text(members_.live())},
                           {"known", log::text(members_.known())},
                           {"counted_to_go_on", log::text(members_.to_go_on())},
                           {"counted_to_go_back", log::text(members_.to_go_back())}});
-  core_->proxies(members_.to_go_on(), members_.to_go_back());
+  core_->set_electorate({members_.to_go_on(), members_.to_go_back()});
   loop_.cancel(members_look_);
   if (auto at = members_.next_look())
     members_look_ = loop_.at(std::max(*at, now + 1ms), [this] {
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -84,7 +84,7 @@
   if (database_)
     settings.steps_target = "127.0.0.1:" + std::to_string(database_->port());
   controller_ = std::make_unique<controller::Controller>(
-      loop_, settings, log_, [this](const rollout::Order& one) { order(one); },
+      loop_, settings, log_, [this](const rollout::Command& command) { execute(command); },
       [this](const std::string& proxy, const objects::Snapshot& what) { told_news(proxy, what); },
       [this](const std::string& proxy, int build, int stage, Verdict verdict, Outcome outcome) {
         record::voted(told_, loop_.now(), proxy, build, stage, rollout::to_string(verdict),
@@ -94,7 +94,7 @@
   changes_ = 0;
   for (auto& [id, place] : places_)
     if (place.listed)
-      controller_->core().machine_up(id, loop_.now());
+      controller_->core().machine_started(id, loop_.now());
 }
 
 World::~World() = default;
@@ -115,27 +115,27 @@
   return day_.first;
 }
 
-void World::order(const rollout::Order& order) {
-  if (order.kind == rollout::OrderKind::start) {
-    Place place{"node-" + std::to_string(order.machine), order.place, order.build};
-    places_[order.machine] = place;
-    const bool first = order.build == day_.first.number && order.machine < day_.places;
+void World::execute(const rollout::Command& command) {
+  if (command.kind == rollout::CommandKind::start) {
+    Place place{"node-" + std::to_string(command.machine), command.slot, command.build};
+    places_[command.machine] = place;
+    const bool first = command.build == day_.first.number && command.machine < day_.places;
     if (first)
-      return boot(order.machine, false);
+      return boot(command.machine, false);
     loop_.in(drawn(day_.boot_least, day_.boot_most),
-             [this, id = order.machine] { boot(id, true); });
+             [this, id = command.machine] { boot(id, true); });
     return;
   }
-  auto at = places_.find(order.machine);
+  auto at = places_.find(command.machine);
   if (at == places_.end())
     return;
   at->second.ordered_down = true;
-  if (order.kind == rollout::OrderKind::drain)
+  if (command.kind == rollout::CommandKind::drain)
     return list_->phase(at->second.name, EndpointPhase::draining);
-  down(order.machine, false);
-  places_.erase(order.machine);
+  down(command.machine, false);
+  places_.erase(command.machine);
   if (controller_)
-    controller_->core().machine_gone(order.machine, loop_.now());
+    controller_->core().machine_stopped(command.machine, loop_.now());
 }
 
 void World::enlist(int machine) {
@@ -172,7 +172,7 @@
   enlist(machine);
   if (!controller_)
     return;
-  controller_->core().machine_up(machine, loop_.now());
+  controller_->core().machine_started(machine, loop_.now());
   controller_->pull();
 }
 
@@ -231,7 +231,7 @@
       for (int id : pick(trouble.part)) {
         down(id, trouble.kind == Kind::vanish);
         if (controller_)
-          controller_->core().machine_gone(id, loop_.now());
+          controller_->core().machine_stopped(id, loop_.now());
         loop_.at(end, [this, id] {
           auto at = places_.find(id);
           if (at == places_.end())
--- a/src/day/world.h
+++ b/src/day/world.h
@@ -37,7 +37,7 @@
     int place, build;
     bool listed = false, ordered_down = false;
   };
-  void order(const rollout::Order& order);
+  void execute(const rollout::Command& command);
   void boot(int machine, bool cold);
   void down(int machine, bool silently);
   void enlist(int machine);
--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -88,15 +88,15 @@
                                               {"count", PromotionMode::count},
                                               {"clock", PromotionMode::clock}});
   rollout.bake = form.span("bake", 0ms, 24h);
-  rollout.step = form.span("step", 0ms, 24h, 0ms);
-  if (rollout.promotion_mode == PromotionMode::clock && rollout.step == Duration{})
+  rollout.stage_duration = form.span("step", 0ms, 24h, 0ms);
+  if (rollout.promotion_mode == PromotionMode::clock && rollout.stage_duration == Duration{})
     form.problem("step is missing: the clock needs it");
   rollout.settle = form.span("settle", 0ms, 1h, 1s);
-  rollout.launch_most = form.span("launch-within", 1ms, 24h, 8s);
+  rollout.max_launch_time = form.span("launch-within", 1ms, 24h, 8s);
   rollout.drain = form.span("drain", 0ms, 24h);
   if (rollout.drain < to.drain_grace)
     form.problem("drain", "is shorter than the drain-grace of the rules: work would be cut off");
-  rollout.back_for = form.span("back-for", 0ms, 8760h, 0ms);
+  rollout.rollback_window = form.span("back-for", 0ms, 8760h, 0ms);
   rollout.vote_lifetime = form.span("vote-life", 1ms, 1h);
   rollout.votes_to_promote = form.number("advance-share", 0, 1, 0.0);
   rollout.votes_to_hold = form.number("hold-share", 0, 1, 0.1);
@@ -198,10 +198,10 @@
 }
 
 AnalysisSettings analysis_settings(const Deployment& d) {
-  auto votes = [&](double share) { return rollout::Rollout::needed(share, d.proxies); };
+  auto votes = [&](double share) { return rollout::votes_needed(share, d.proxies); };
   return {d.rollout.promotion_mode,
           d.rollout.bake,
-          d.rollout.step,
+          d.rollout.stage_duration,
           d.rollout.vote_lifetime,
           d.vote_timeout,
           d.rollout.votes_per_s,
--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -49,7 +49,7 @@
     int life = 0;
   };
   // Machines.
-  void order(const rollout::Order& order);
+  void execute(const rollout::Command& command);
   void boot(int machine, bool cold);
   void down(int machine, bool silently);
   void enlist(int machine);
@@ -120,7 +120,7 @@
   bool telling_ = false;
   // The controller.
   std::unique_ptr<rollout::Rollout> core_{};
-  rollout::Kept kept_{};
+  rollout::RolloutState state_{};
   membership::Members members_;
   ReleaseUpdate published_{};
   TimePoint published_at_{};
@@ -234,28 +234,29 @@
   return day_.first;
 }
 
-void Run::order(const rollout::Order& order) {
-  if (order.kind == rollout::OrderKind::start) {
-    places_[order.machine] = {"node-" + std::to_string(order.machine), order.place, order.build};
-    if (order.build == day_.first.number && order.machine < day_.places)
-      return boot(order.machine, false);
+void Run::execute(const rollout::Command& command) {
+  if (command.kind == rollout::CommandKind::start) {
+    places_[command.machine] = {"node-" + std::to_string(command.machine), command.slot,
+                                command.build};
+    if (command.build == day_.first.number && command.machine < day_.places)
+      return boot(command.machine, false);
     engine_.in(drawn(day_.boot_least, day_.boot_most),
-               [this, id = order.machine] { boot(id, true); });
+               [this, id = command.machine] { boot(id, true); });
     return;
   }
-  auto at = places_.find(order.machine);
+  auto at = places_.find(command.machine);
   if (at == places_.end())
     return;
   at->second.ordered_down = true;
-  if (order.kind == rollout::OrderKind::drain) {
+  if (command.kind == rollout::CommandKind::drain) {
     if (at->second.listed)
-      enlist(order.machine);
+      enlist(command.machine);
     return;
   }
-  down(order.machine, false);
-  places_.erase(order.machine);
+  down(command.machine, false);
+  places_.erase(command.machine);
   if (core_)
-    core_->machine_gone(order.machine, engine_.now());
+    core_->machine_stopped(command.machine, engine_.now());
 }
 
 void Run::enlist(int machine) {
@@ -290,7 +291,7 @@
   enlist(machine);
   if (!core_)
     return;
-  core_->machine_up(machine, engine_.now());
+  core_->machine_started(machine, engine_.now());
   pull_controller();
 }
 
@@ -399,17 +400,17 @@
 
 void Run::start_controller() {
   const auto& d = day_.deployment;
-  if (kept_.machines.empty())
+  if (state_.machines.empty())
     core_ =
         std::make_unique<rollout::Rollout>(d.rollout, day_.places, day_.first.number, d.proxies);
   else
-    core_ =
-        std::make_unique<rollout::Rollout>(d.rollout, day_.places, d.proxies, kept_, engine_.now());
+    core_ = std::make_unique<rollout::Rollout>(d.rollout, day_.places, d.proxies, state_,
+                                               engine_.now());
   seen_version_ = 0;
   seen_changes_ = 0;
   for (auto& [id, place] : places_)
     if (place.listed)
-      core_->machine_up(id, engine_.now());
+      core_->machine_started(id, engine_.now());
   pull_controller();
 }
 
@@ -417,13 +418,13 @@
   if (!core_ || silent_ || errors_)
     return;
   const TimePoint now = engine_.now();
-  core_->proxies(members_.to_go_on(), members_.to_go_back());
-  while (auto one = core_->next(now)) {
-    order(*one);
+  core_->set_electorate({members_.to_go_on(), members_.to_go_back()});
+  while (auto one = core_->next_command(now)) {
+    execute(*one);
     if (!core_)
       return;
   }
-  kept_ = core_->kept(now);
+  state_ = core_->state(now);
   const auto& changes = core_->changes();
   for (; seen_changes_ < changes.size(); ++seen_changes_) {
     const rollout::Change& change = changes[seen_changes_];
@@ -438,13 +439,13 @@
     publish();
   }
   engine_.cancel(look_);
-  if (auto at = core_->next_look(now))
+  if (auto at = core_->next_check_at(now))
     look_ = engine_.at(*at, [this] { pull_controller(); });
 }
 
 void Run::publish() {
   news_due_ = std::max(news_due_, engine_.now() + news_lag_);
-  engine_.at(news_due_, [this, update = core_->news(engine_.now()), at = engine_.now()] {
+  engine_.at(news_due_, [this, update = core_->release_update(engine_.now()), at = engine_.now()] {
     published_ = update;
     published_at_ = at;
     for (int u = 0; u < static_cast<int>(proxies_.size()); ++u)
@@ -501,7 +502,7 @@
     if (proxies_[u]->up())
       members_.heard(name_of(u), std::to_string(proxies_[u]->life()), engine_.now());
   if (core_)
-    members_.canary_running(core_->news(engine_.now()).phase == ReleasePhase::canary);
+    members_.canary_running(core_->release_update(engine_.now()).phase == ReleasePhase::canary);
   members_.tick(engine_.now());
   engine_.in(beat_every, [this] { beat(); });
 }
@@ -511,7 +512,7 @@
     engine_.in(100ms, [this, &offer] { this->offer(offer); });
     return;
   }
-  core_->offer(offer.build.number, engine_.now());
+  core_->submit(offer.build.number, engine_.now());
   pull_controller();
 }
 
@@ -699,7 +700,7 @@
       for (int id : pick(trouble.part)) {
         down(id, trouble.kind == Kind::vanish);
         if (core_)
-          core_->machine_gone(id, engine_.now());
+          core_->machine_stopped(id, engine_.now());
         at_end([this, id] {
           auto at = places_.find(id);
           if (at == places_.end())
--- a/src/rollout/names.cpp
+++ b/src/rollout/names.cpp
@@ -3,19 +3,19 @@
 namespace robinhoist::rollout {
 
 const char* to_string(ReleasePhase phase) {
-  static const char* const words[] = {"trial", "going-back", "released", "withdrawn"};
-  return words[static_cast<int>(phase)];
+  static const char* const names[] = {"trial", "going-back", "released", "withdrawn"};
+  return names[static_cast<int>(phase)];
 }
 
 const char* to_string(Verdict verdict) {
-  static const char* const words[] = {"none", "on", "hold", "back"};
-  return words[static_cast<int>(verdict)];
+  static const char* const names[] = {"none", "on", "hold", "back"};
+  return names[static_cast<int>(verdict)];
 }
 
 const char* to_string(Outcome outcome) {
-  static const char* const words[] = {"ok",    "error",     "full", "timeout", "no-connection",
+  static const char* const names[] = {"ok",    "error",     "full", "timeout", "no-connection",
                                       "reset", "cancelled", "moot", "unknown"};
-  return words[static_cast<int>(outcome)];
+  return names[static_cast<int>(outcome)];
 }
 
 }  // namespace robinhoist::rollout
--- a/src/rollout/names.h
+++ b/src/rollout/names.h
@@ -1,4 +1,5 @@
-// The words of the module's values as the API, logs and records have them.
+/// The names of the policy module's enumerators as the API, logs and records have them. Some are
+/// older than the terms used in the code; the tables in names.cpp are the only place of those.
 #pragma once
 #include "policy/endpoint.h"
 #include "policy/release.h"
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -1,404 +1,352 @@
 #include "rollout/rollout.h"
 
 #include <algorithm>
+#include <chrono>
 #include <cmath>
 
 namespace robinhoist::rollout {
 namespace {
-double seconds(Duration s) {
-  return std::chrono::duration<double>(s).count();
-}
-constexpr std::size_t changes_kept = 1000;
+
+constexpr std::size_t max_changes = 1000;
+constexpr auto check_interval = std::chrono::milliseconds(50);
+// A share of the slots is taken as whole when it is only this far above it.
+constexpr double rounding_tolerance = 1e-9;
+
+// Reasons of changes. Clients read them in a release's status, so they keep their wording.
+namespace reason {
+constexpr const char* submitted = "offered";
+constexpr const char* next_submitted = "the next build is offered";
+constexpr const char* by_clock = "by the clock";
+constexpr const char* by_votes = "by votes";
+constexpr const char* last_stage_over = "the last wave is over";
+constexpr const char* machines_gone = "all its machines are gone";
+constexpr const char* proxies = " umpires";
+constexpr const char* after_release = ", after the release";
+}  // namespace reason
+
 }  // namespace
 
-Rollout::Rollout(const Settings& settings, int places, int build, int proxies)
+Rollout::Rollout(const Settings& settings, int slots, int build, int proxies)
     : settings_(settings),
-      places_(places),
+      electorate_{proxies, proxies},
+      machines_(slots, build),
+      votes_(settings.votes_per_s, TimePoint{}),
       baseline_(build),
-      proxies_(proxies),
-      rollback_proxies_(proxies),
       build_(build),
-      newest_offered_(build),
-      next_machine_(places) {
-  for (int place = 0; place < places; ++place)
-    machines_[place] = Machine{place, build, MachinePhase::ordered, TimePoint{}};
-  for (int place = 0; place < places; ++place)
-    orders_.push_back({OrderKind::start, place, place, build});
-  tokens_ = 2 * settings_.votes_per_s;
-}
+      newest_build_(build) {}
 
-Rollout::Rollout(const Settings& settings, int places, int proxies, const Kept& kept, TimePoint now)
+Rollout::Rollout(const Settings& settings, int slots, int proxies, const RolloutState& state,
+                 TimePoint now)
     : settings_(settings),
-      places_(places),
-      baseline_(kept.baseline),
-      proxies_(proxies),
-      rollback_proxies_(proxies),
-      build_(kept.build),
-      stage_(kept.stage),
-      phase_(kept.phase),
-      phase_at_(now - kept.since),
-      ordered_at_(now),
-      ticked_at_(now),
-      operator_holds_(kept.operator_holds),
-      begun_(kept.begun),
-      queued_(kept.queued),
-      newest_offered_(kept.newest_offered),
-      next_machine_(kept.next_machine),
-      machines_(kept.machines),
-      fates_(kept.fates),
-      tokens_(2 * settings.votes_per_s),
-      tokens_at_(now),
-      version_(kept.version + 1) {
-  // Machines of a fleet that has shrunk or grown are a matter for the next release.
-  for (auto& [id, machine] : machines_) {
-    machine.since = now;
-    if (machine.phase == MachinePhase::ordered)
-      orders_.push_back({OrderKind::start, id, machine.place, machine.build});
-    if (machine.phase == MachinePhase::draining)
-      orders_.push_back({OrderKind::drain, id, machine.place, machine.build});
-  }
-}
+      electorate_{proxies, proxies},
+      machines_(slots, state.next_machine, state.machines, now),
+      votes_(settings.votes_per_s, now),
+      baseline_(state.baseline),
+      build_(state.build),
+      newest_build_(state.newest_build),
+      queued_build_(state.queued_build),
+      past_outcomes_(state.past_outcomes),
+      phase_(state.phase),
+      phase_since_(now - state.since),
+      stage_(state.stage),
+      stage_started_(state.stage_started),
+      stage_started_at_(now),
+      held_by_operator_(state.held_by_operator),
+      decided_at_(now),
+      version_(state.version + 1) {}
 
-Kept Rollout::kept(TimePoint now) const {
-  return {build_,   stage_,    baseline_,       newest_offered_, next_machine_,
-          version_, phase_,    now - phase_at_, begun_,          operator_holds_,
-          queued_,  machines_, fates_};
+RolloutState Rollout::state(TimePoint now) const {
+  return {.build = build_,
+          .stage = stage_,
+          .baseline = baseline_,
+          .newest_build = newest_build_,
+          .next_machine = machines_.next_id(),
+          .version = version_,
+          .phase = phase_,
+          .since = now - phase_since_,
+          .stage_started = stage_started_,
+          .held_by_operator = held_by_operator_,
+          .queued_build = queued_build_,
+          .machines = machines_.all(),
+          .past_outcomes = past_outcomes_};
 }
 
-bool Rollout::can_go_back(TimePoint now) const {
-  if (build_ == baseline_ || phase_ == ReleasePhase::rolling_back ||
-      phase_ == ReleasePhase::rolled_back)
-    return false;
-  return phase_ == ReleasePhase::canary ||
-         (!queued_ && (settings_.back_for == Duration{} || now < phase_at_ + settings_.back_for));
+// --- Inputs
+
+std::optional<std::string> Rollout::submit(int build, TimePoint now) {
+  if (build <= newest_build_)
+    return "build " + std::to_string(build) + " is not newer than " + std::to_string(newest_build_);
+  newest_build_ = build;
+  if (phase_ == ReleasePhase::canary)
+    begin_rollback(reason::next_submitted, now);
+  queued_build_ = build;
+  return {};
 }
 
-int Rollout::needed(double share, int proxies) {
-  return std::max(1, static_cast<int>(std::ceil(share * proxies - 1e-9)));
+Outcome Rollout::vote(const std::string& proxy, int build, int stage, Verdict verdict,
+                      TimePoint now) {
+  if (!votes_.admit(now))
+    return Outcome::rejected;
+  if (build != build_ || !accepts(stage, verdict, now))
+    return Outcome::obsolete;
+  votes_.record(proxy, {build, stage, verdict, now + settings_.vote_lifetime});
+  return Outcome::ok;
 }
 
-// Of a stage that is due now.
-bool Rollout::passes(int stage, TimePoint now) {
-  if (!due_since_) {
-    due_since_ = now;
-    if (begun_ || stage == 0)
-      gate_waited_ = Duration{};
+// Whether a vote on the present build has a meaning in this phase and mode.
+bool Rollout::accepts(int stage, Verdict verdict, TimePoint now) const {
+  const bool on_canary_stage = phase_ == ReleasePhase::canary && stage == stage_;
+  const bool by_clock = settings_.promotion_mode == PromotionMode::clock;
+  switch (verdict) {
+    case Verdict::promote:
+      return on_canary_stage && !by_clock;
+    case Verdict::hold:
+      return on_canary_stage && by_clock;
+    case Verdict::roll_back:
+      // Also after the release, until the next build is submitted.
+      return can_roll_back(now);
+    case Verdict::none:
+      return true;
   }
-  if (!gate(stage))
+  return true;
+}
+
+bool Rollout::set_hold(bool held, const std::string& change, TimePoint now) {
+  if (phase_ != ReleasePhase::canary || held_by_operator_ == held)
     return false;
-  gate_waited_ += now - *due_since_;
-  due_since_.reset();
+  held_by_operator_ = held;
+  changes_.push_back({now, build_, stage_, phase_, change});
+  ++version_;
+  return true;
+}
+
+bool Rollout::roll_back(const std::string& why, TimePoint now) {
+  if (!can_roll_back(now))
+    return false;
+  begin_rollback(why, now);
   return true;
 }
 
-bool Rollout::gate(int stage) const {
-  auto at = gates_.find({build_, stage});
-  return at == gates_.end() ? !settings_.gated : at->second;
+// --- What is known
+
+ReleaseUpdate Rollout::release_update(TimePoint now) const {
+  double cap = 0;
+  if (phase_ == ReleasePhase::released)
+    cap = 1;
+  else if (phase_ == ReleasePhase::canary && stage_started_)
+    cap = settings_.caps[stage_];
+  return {build_, stage_, phase_, cap, now - phase_since_};
 }
 
-int Rollout::target(int stage) const {
-  return std::clamp(static_cast<int>(std::ceil(settings_.stages[stage] * places_ - 1e-9)), 1,
-                    places_);
+int Rollout::active_stage() const {
+  return stage_started_ || phase_ != ReleasePhase::canary ? stage_ : stage_ - 1;
 }
 
-int Rollout::running(int build, bool up_only) const {
-  return static_cast<int>(std::count_if(machines_.begin(), machines_.end(), [&](auto& m) {
-    return m.second.build == build && (m.second.phase == MachinePhase::up ||
-                                       (!up_only && m.second.phase == MachinePhase::ordered));
-  }));
+bool Rollout::on_hold(TimePoint now) const {
+  if (phase_ != ReleasePhase::canary)
+    return false;
+  return held_by_operator_ || (settings_.promotion_mode == PromotionMode::clock &&
+                               count_votes(Verdict::hold, now) >=
+                                   votes_needed(settings_.votes_to_hold, electorate_.roll_back));
 }
 
-ReleaseUpdate Rollout::news(TimePoint now) const {
-  double cap = phase_ == ReleasePhase::released           ? 1
-               : phase_ == ReleasePhase::canary && begun_ ? settings_.caps[stage_]
-                                                          : 0;
-  return {build_, stage_, phase_, cap, now - phase_at_};
+bool Rollout::can_roll_back(TimePoint now) const {
+  if (build_ == baseline_)
+    return false;
+  if (phase_ == ReleasePhase::canary)
+    return true;
+  if (phase_ != ReleasePhase::released || queued_build_)
+    return false;
+  return settings_.rollback_window == Duration{} || now < phase_since_ + settings_.rollback_window;
 }
 
-std::map<std::string, Vote> Rollout::votes(TimePoint now) const {
-  std::map<std::string, Vote> standing;
-  for (auto& [name, vote] : votes_)
-    if (vote.until > now && vote.build == build_)
-      standing.emplace(name, vote);
-  return standing;
+int Rollout::count_votes(Verdict verdict, TimePoint now) const {
+  return votes_.count(verdict, build_, stage_, now);
 }
 
-// A vote for on or hold counts for its stage alone, one for back for the release.
-int Rollout::standing(Verdict verdict, TimePoint now) const {
-  return static_cast<int>(std::count_if(votes_.begin(), votes_.end(), [&](auto& v) {
-    return v.second.verdict == verdict && v.second.build == build_ && v.second.until > now &&
-           (verdict == Verdict::roll_back || v.second.stage == stage_);
-  }));
+// How many machines of the release a stage runs.
+int Rollout::stage_machines(int stage) const {
+  const double share = settings_.stages[stage];
+  const int wanted = static_cast<int>(std::ceil(share * machines_.slots() - rounding_tolerance));
+  return std::clamp(wanted, 1, machines_.slots());
 }
 
-bool Rollout::held(TimePoint now) const {
-  if (phase_ != ReleasePhase::canary)
+bool Rollout::gate_is_open(int stage) const {
+  const auto found = gates_.find({build_, stage});
+  if (found == gates_.end())
+    return !settings_.gates_closed_by_default;
+  return found->second == Gate::open;
+}
+
+// To be asked of a stage that is due; notes how long it waits.
+bool Rollout::passes_gate(int stage, TimePoint now) {
+  if (!gate_wait_since_) {
+    gate_wait_since_ = now;
+    if (stage_started_ || stage == 0)
+      gate_wait_ = Duration{};
+  }
+  if (!gate_is_open(stage))
     return false;
-  return operator_holds_ ||
-         (settings_.promotion_mode == PromotionMode::clock &&
-          standing(Verdict::hold, now) >= needed(settings_.votes_to_hold, rollback_proxies_));
+  gate_wait_ += now - *gate_wait_since_;
+  gate_wait_since_.reset();
+  return true;
 }
 
-void Rollout::enter(ReleasePhase phase, int stage, const std::string& why, TimePoint now) {
-  phase_ = phase;
-  stage_ = stage;
-  phase_at_ = now;
-  clock_at_ = long_ago;
-  held_for_ = Duration{};
-  due_since_.reset();
-  ++version_;
-  if (changes_.size() >= changes_kept)
-    changes_.erase(changes_.begin());
-  changes_.push_back({now, build_, stage, phase, why});
+// --- Decisions
+
+std::optional<Command> Rollout::next_command(TimePoint now) {
+  if (!machines_.has_commands())
+    decide(now);
+  return machines_.take_command();
 }
 
-std::optional<std::string> Rollout::offer(int build, TimePoint now) {
-  if (build <= newest_offered_)
-    return "build " + std::to_string(build) + " is not newer than " +
-           std::to_string(newest_offered_);
-  newest_offered_ = build;
-  if (phase_ == ReleasePhase::canary)
-    go_back("the next build is offered", now);
-  queued_ = build;
-  return {};
+std::optional<TimePoint> Rollout::next_check_at(TimePoint now) const {
+  const bool moving = phase_ == ReleasePhase::canary || phase_ == ReleasePhase::rolling_back;
+  if (!moving && !machines_.any_draining() && !queued_build_ && !machines_.has_commands())
+    return {};
+  return now + check_interval;
 }
 
-void Rollout::machine_up(int id, TimePoint now) {
-  auto at = machines_.find(id);
-  if (at == machines_.end() || at->second.phase != MachinePhase::ordered)
-    return;
-  at->second.phase = MachinePhase::up;
-  at->second.since = now;
+void Rollout::decide(TimePoint now) {
+  if (phase_ == ReleasePhase::canary)
+    decide_canary(now);
+  else if (phase_ == ReleasePhase::released && can_roll_back(now))
+    roll_back_by_votes(reason::after_release, now);
+  if (phase_ == ReleasePhase::rolling_back)
+    continue_rollback(now);
+  drain_replaced_machines(now);
+  machines_.stop_drained(settings_.drain, now);
+  start_queued_release(now);
 }
 
-void Rollout::machine_gone(int id, TimePoint now) {
-  auto at = machines_.find(id);
-  if (at == machines_.end())
+void Rollout::decide_canary(TimePoint now) {
+  add_hold_time(now);
+  if (roll_back_by_votes("", now))
     return;
-  Machine& machine = at->second;
-  if (machine.phase == MachinePhase::draining)
-    machine.phase = MachinePhase::gone;
-  else if (machine.phase == MachinePhase::up)
-    machine.phase = MachinePhase::ordered;
-  machine.since = now;
-  if (machine.phase == MachinePhase::gone)
-    machines_.erase(at);
+  if (!stage_started_) {
+    if (passes_gate(stage_, now))
+      begin_stage(now);
+  } else if (!stage_clock_start_) {
+    start_stage_clock_when_ready(now);
+  } else if (stage_is_over(now)) {
+    advance_stage(now);
+  }
 }
 
-Outcome Rollout::vote(const std::string& proxy, int build, int stage, Verdict verdict,
-                      TimePoint now) {
-  tokens_ = std::min(2 * settings_.votes_per_s,
-                     tokens_ + seconds(now - tokens_at_) * settings_.votes_per_s);
-  tokens_at_ = now;
-  if (tokens_ < 1)
-    return Outcome::rejected;
-  tokens_ -= 1;
-  if (build != build_)
-    return Outcome::obsolete;
-  const bool canary = phase_ == ReleasePhase::canary;
-  switch (verdict) {
-    case Verdict::promote:
-      if (!canary || stage != stage_ || settings_.promotion_mode == PromotionMode::clock)
-        return Outcome::obsolete;
-      break;
-    case Verdict::hold:
-      if (!canary || stage != stage_ || settings_.promotion_mode != PromotionMode::clock)
-        return Outcome::obsolete;
-      break;
-    case Verdict::roll_back:
-      // A release that is out can be rolled back until the next is offered.
-      if (!can_go_back(now))
-        return Outcome::obsolete;
-      break;
-    case Verdict::none:
-      break;
-  }
-  votes_[proxy] = Vote{build, stage, verdict, now + settings_.vote_lifetime};
-  return Outcome::ok;
+void Rollout::add_hold_time(TimePoint now) {
+  const Duration elapsed = std::max(Duration{}, now - decided_at_);
+  if (stage_started_ && stage_clock_start_ && on_hold(now))
+    hold_time_ += std::min(elapsed, now - *stage_clock_start_);
+  decided_at_ = now;
 }
 
-bool Rollout::hold(bool on, const std::string& why, TimePoint now) {
-  if (phase_ != ReleasePhase::canary || operator_holds_ == on)
-    return false;
-  operator_holds_ = on;
-  changes_.push_back({now, build_, stage_, phase_, (on ? "held: " : "resumed: ") + why});
+void Rollout::begin_stage(TimePoint now) {
+  stage_started_ = true;
+  stage_started_at_ = now;
+  machines_.start_spread(stage_machines(stage_), build_, now);
   ++version_;
-  return true;
 }
 
-bool Rollout::back(const std::string& why, TimePoint now) {
-  if (!can_go_back(now))
-    return false;
-  go_back(why, now);
-  return true;
+void Rollout::start_stage_clock_when_ready(TimePoint now) {
+  const bool all_up = machines_.count_up(build_) >= stage_machines(stage_);
+  const bool settled = all_up && now >= machines_.last_change(build_) + settings_.settle;
+  if (settled || now >= stage_started_at_ + settings_.max_launch_time)
+    stage_clock_start_ = now;
 }
 
-void Rollout::want(int place, int build, TimePoint now) {
-  int id = next_machine_++;
-  machines_[id] = Machine{place, build, MachinePhase::ordered, now};
-  orders_.push_back({OrderKind::start, id, place, build});
+bool Rollout::stage_is_over(TimePoint now) const {
+  if (now < *stage_clock_start_ + settings_.bake)
+    return false;
+  switch (settings_.promotion_mode) {
+    case PromotionMode::clock:
+      return !on_hold(now) && now >= *stage_clock_start_ + settings_.stage_duration + hold_time_;
+    case PromotionMode::first_vote:
+      return !held_by_operator_ && count_votes(Verdict::promote, now) >= 1;
+    case PromotionMode::count:
+      return !held_by_operator_ &&
+             count_votes(Verdict::promote, now) >=
+                 votes_needed(settings_.votes_to_promote, electorate_.promote);
+  }
+  return false;
 }
 
-void Rollout::begin_stage(TimePoint now) {
-  begun_ = true;
-  ordered_at_ = now;
-  std::vector<bool> taken(places_, false);
-  int have = 0;
-  for (auto& [id, machine] : machines_)
-    if (machine.build == build_ && machine.phase <= MachinePhase::up) {
-      taken[machine.place] = true;
-      ++have;
-    }
-  // Spread over the places, so that zones get their part.
-  const int wanted = target(stage_);
-  for (int i = 0; have < wanted && i < places_; ++i) {
-    int place = static_cast<int>((static_cast<long>(i) * 7 + 3) % places_);
-    for (int tries = 0; taken[place] && tries < places_; ++tries)
-      place = (place + 1) % places_;
-    if (taken[place])
-      break;
-    taken[place] = true;
-    ++have;
-    want(place, build_, now);
+void Rollout::advance_stage(TimePoint now) {
+  const int next = stage_ + 1;
+  if (next >= static_cast<int>(settings_.stages.size())) {
+    enter(ReleasePhase::released, stage_, reason::last_stage_over, now);
+    return;
   }
+  // The present stage goes on until the migration steps before the next are done.
+  if (!passes_gate(next, now))
+    return;
+  const bool by_clock = settings_.promotion_mode == PromotionMode::clock;
+  enter(ReleasePhase::canary, next, by_clock ? reason::by_clock : reason::by_votes, now);
+  stage_started_ = false;
+  decide(now);
+}
+
+bool Rollout::roll_back_by_votes(const std::string& reason_suffix, TimePoint now) {
+  const int votes = count_votes(Verdict::roll_back, now);
+  if (votes < votes_needed(settings_.votes_to_roll_back, electorate_.roll_back))
+    return false;
+  begin_rollback(std::to_string(votes) + " of " + std::to_string(electorate_.roll_back) +
+                     reason::proxies + reason_suffix,
+                 now);
+  return true;
 }
 
-void Rollout::go_back(const std::string& why, TimePoint now) {
-  operator_holds_ = false;
+void Rollout::begin_rollback(const std::string& why, TimePoint now) {
+  held_by_operator_ = false;
   enter(ReleasePhase::rolling_back, stage_, why, now);
-  // Where the earlier machines have gone new ones are started first.
-  std::vector<bool> served(places_, false);
-  for (auto& [id, machine] : machines_)
-    if (machine.build == baseline_ && machine.phase <= MachinePhase::up)
-      served[machine.place] = true;
-  for (int place = 0; place < places_; ++place)
-    if (!served[place])
-      want(place, baseline_, now);
+  machines_.fill_slots(baseline_, now);
 }
 
-// Deciding what follows from what is known; orders queue up behind it.
-void Rollout::tick(TimePoint now) {
-  if (phase_ == ReleasePhase::canary) {
-    const Duration passed = std::max(Duration{}, now - ticked_at_);
-    if (begun_ && held(now) && clock_at_ != long_ago)
-      held_for_ += std::min(passed, now - clock_at_);
-    ticked_at_ = now;
-    if (standing(Verdict::roll_back, now) >=
-        needed(settings_.votes_to_roll_back, rollback_proxies_)) {
-      go_back(std::to_string(standing(Verdict::roll_back, now)) + " of " +
-                  std::to_string(rollback_proxies_) + " umpires",
-              now);
-    } else if (!begun_) {
-      if (passes(stage_, now)) {
-        begin_stage(now);
-        ++version_;
-      }
-    } else if (clock_at_ == long_ago) {
-      const bool all_up = running(build_, true) >= target(stage_);
-      TimePoint latest{};
-      for (auto& [id, machine] : machines_)
-        if (machine.build == build_)
-          latest = std::max(latest, machine.since);
-      if ((all_up && now >= latest + settings_.settle) ||
-          now >= ordered_at_ + settings_.launch_most)
-        clock_at_ = now;
-    } else {
-      const bool baked = now >= clock_at_ + settings_.bake;
-      const bool moves = settings_.promotion_mode == PromotionMode::clock
-                             ? !held(now) && baked && now >= clock_at_ + settings_.step + held_for_
-                             : !operator_holds_ && baked &&
-                                   standing(Verdict::promote, now) >=
-                                       (settings_.promotion_mode == PromotionMode::first_vote
-                                            ? 1
-                                            : needed(settings_.votes_to_promote));
-      const bool last = stage_ + 1 >= static_cast<int>(settings_.stages.size());
-      // The stage before goes on until the steps of the next are done.
-      if (moves && !last && passes(stage_ + 1, now)) {
-        enter(ReleasePhase::canary, stage_ + 1,
-              settings_.promotion_mode == PromotionMode::clock ? "by the clock" : "by votes", now);
-        begun_ = false;
-        tick(now);
-      } else if (moves && last) {
-        enter(ReleasePhase::released, stage_, "the last wave is over", now);
-      }
-    }
-  } else if (phase_ == ReleasePhase::released && can_go_back(now) &&
-             standing(Verdict::roll_back, now) >=
-                 needed(settings_.votes_to_roll_back, rollback_proxies_)) {
-    go_back(std::to_string(standing(Verdict::roll_back, now)) + " of " +
-                std::to_string(rollback_proxies_) + " umpires, after the release",
-            now);
-  }
-  if (phase_ == ReleasePhase::rolling_back) {
-    const bool earlier_serve =
-        running(baseline_, true) >= places_ || now >= phase_at_ + settings_.launch_most;
-    bool left = false;
-    for (auto& [id, machine] : machines_) {
-      if (machine.build != build_)
-        continue;
-      left = true;
-      if (earlier_serve && machine.phase <= MachinePhase::up) {
-        machine.phase = MachinePhase::draining;
-        machine.since = now;
-        orders_.push_back({OrderKind::drain, id, machine.place, machine.build});
-      }
-    }
-    if (!left)
-      enter(ReleasePhase::rolled_back, stage_, "all its machines are gone", now);
-  }
-  // Earlier machines make place: each for its successor, or all once the release is out.
-  if (phase_ == ReleasePhase::released || (phase_ == ReleasePhase::canary && settings_.in_place)) {
-    std::vector<bool> succeeded(places_, false);
-    for (auto& [id, machine] : machines_)
-      if (machine.build == build_ && machine.phase == MachinePhase::up)
-        succeeded[machine.place] = true;
-    for (auto& [id, machine] : machines_) {
-      if (machine.build == build_ || machine.phase >= MachinePhase::draining ||
-          !succeeded[machine.place])
-        continue;
-      machine.phase = MachinePhase::draining;
-      machine.since = now;
-      orders_.push_back({OrderKind::drain, id, machine.place, machine.build});
-    }
-  }
-  for (auto& [id, machine] : machines_)
-    if (machine.phase == MachinePhase::draining && now >= machine.since + settings_.drain) {
-      machine.since = now + std::chrono::hours(1000);  // told once
-      orders_.push_back({OrderKind::stop, id, machine.place, machine.build});
-    }
-  if (queued_ && (phase_ == ReleasePhase::released || phase_ == ReleasePhase::rolled_back)) {
-    fates_[build_] = phase_;
-    if (phase_ == ReleasePhase::released)
-      baseline_ = build_;
-    build_ = *queued_;
-    queued_.reset();
-    votes_.clear();
-    gates_.erase(gates_.begin(), gates_.lower_bound({build_, 0}));
-    operator_holds_ = false;
-    begun_ = false;
-    enter(ReleasePhase::canary, 0, "offered", now);
-    ticked_at_ = now;
-    tick(now);
-  }
+// The release's machines drain only once the baseline serves everywhere, or has had its time to.
+void Rollout::continue_rollback(TimePoint now) {
+  const bool baseline_serves = machines_.count_up(baseline_) >= machines_.slots() ||
+                               now >= phase_since_ + settings_.max_launch_time;
+  if (baseline_serves)
+    machines_.drain_build(build_, now);
+  if (!machines_.has_build(build_))
+    enter(ReleasePhase::rolled_back, stage_, reason::machines_gone, now);
 }
 
-std::optional<Order> Rollout::next(TimePoint now) {
-  if (orders_.empty())
-    tick(now);
-  if (orders_.empty())
-    return {};
-  Order order = orders_.front();
-  orders_.pop_front();
-  return order;
+void Rollout::drain_replaced_machines(TimePoint now) {
+  const bool released = phase_ == ReleasePhase::released;
+  const bool replaces_in_place = phase_ == ReleasePhase::canary && settings_.in_place;
+  if (released || replaces_in_place)
+    machines_.drain_replaced(build_, now);
 }
 
-std::optional<TimePoint> Rollout::next_look(TimePoint now) const {
-  const bool drains = std::any_of(machines_.begin(), machines_.end(),
-                                  [](auto& m) { return m.second.phase == MachinePhase::draining; });
-  if (phase_ != ReleasePhase::canary && phase_ != ReleasePhase::rolling_back && !drains &&
-      !queued_ && orders_.empty())
-    return {};
-  return now + std::chrono::milliseconds(50);
+void Rollout::start_queued_release(TimePoint now) {
+  const bool finished = phase_ == ReleasePhase::released || phase_ == ReleasePhase::rolled_back;
+  if (!queued_build_ || !finished)
+    return;
+  past_outcomes_[build_] = phase_;
+  if (phase_ == ReleasePhase::released)
+    baseline_ = build_;
+  build_ = *queued_build_;
+  queued_build_.reset();
+  votes_.clear();
+  gates_.erase(gates_.begin(), gates_.lower_bound({build_, 0}));
+  held_by_operator_ = false;
+  stage_started_ = false;
+  enter(ReleasePhase::canary, 0, reason::submitted, now);
+  decided_at_ = now;
+  decide(now);
+}
+
+void Rollout::enter(ReleasePhase phase, int stage, const std::string& why, TimePoint now) {
+  phase_ = phase;
+  stage_ = stage;
+  phase_since_ = now;
+  stage_clock_start_.reset();
+  hold_time_ = Duration{};
+  gate_wait_since_.reset();
+  ++version_;
+  if (changes_.size() >= max_changes)
+    changes_.erase(changes_.begin());
+  changes_.push_back({now, build_, stage, phase, why});
 }
 
 }  // namespace robinhoist::rollout
--- /dev/null
+++ b/src/rollout/state_codec.cpp
@@ -0,0 +1,114 @@
+#include "json/fields.h"
+#include "rollout/rollout_state.h"
+
+namespace robinhoist::rollout {
+namespace {
+
+// The version of the form below; one that is unknown is not read.
+constexpr int format_version = 1;
+constexpr int last_phase = 3;  // of ReleasePhase and of MachinePhase
+
+// The names of fields in the journal, which are older than the terms used here.
+namespace field {
+constexpr const char* format_version = "form";
+constexpr const char* build = "build";
+constexpr const char* stage = "stage";
+constexpr const char* baseline = "baseline";
+constexpr const char* newest_build = "newest_offered";
+constexpr const char* next_machine = "next_machine";
+constexpr const char* version = "version";
+constexpr const char* phase = "phase";
+constexpr const char* since = "since_ms";
+constexpr const char* stage_started = "begun";
+constexpr const char* held_by_operator = "operator_holds";
+constexpr const char* queued_build = "queued";
+constexpr const char* machines = "machines";
+constexpr const char* machine_id = "id";
+constexpr const char* machine_slot = "place";
+constexpr const char* past_outcomes = "fates";
+}  // namespace field
+
+ReleasePhase read_release_phase(const json::Json& object) {
+  return static_cast<ReleasePhase>(json::whole(object, field::phase, 0, last_phase));
+}
+
+Machine read_machine(const json::Json& object) {
+  const int slot = json::whole(object, field::machine_slot);
+  const int build = json::whole(object, field::build);
+  const int phase = json::whole(object, field::phase, 0, last_phase);
+  return {slot, build, static_cast<MachinePhase>(phase), TimePoint{}};
+}
+
+void write_machines(json::Out& out, const std::map<int, Machine>& machines) {
+  out.open_list(field::machines);
+  for (const auto& [id, machine] : machines) {
+    out.open();
+    out.put(field::machine_id, id);
+    out.put(field::machine_slot, machine.slot);
+    out.put(field::build, machine.build);
+    out.put(field::phase, static_cast<int>(machine.phase));
+    out.close();
+  }
+  out.close_list();
+}
+
+void write_past_outcomes(json::Out& out, const std::map<int, ReleasePhase>& past_outcomes) {
+  out.open_list(field::past_outcomes);
+  for (const auto& [build, phase] : past_outcomes) {
+    out.open();
+    out.put(field::build, build);
+    out.put(field::phase, static_cast<int>(phase));
+    out.close();
+  }
+  out.close_list();
+}
+
+}  // namespace
+
+std::string encode(const RolloutState& state) {
+  json::Out out;
+  out.open();
+  out.put(field::format_version, format_version);
+  out.put(field::build, state.build);
+  out.put(field::stage, state.stage);
+  out.put(field::baseline, state.baseline);
+  out.put(field::newest_build, state.newest_build);
+  out.put(field::next_machine, state.next_machine);
+  out.put(field::version, state.version);
+  out.put(field::phase, static_cast<int>(state.phase));
+  out.put_ms(field::since, state.since);
+  out.put(field::stage_started, state.stage_started);
+  out.put(field::held_by_operator, state.held_by_operator);
+  if (state.queued_build)
+    out.put(field::queued_build, *state.queued_build);
+  write_machines(out, state.machines);
+  write_past_outcomes(out, state.past_outcomes);
+  out.close();
+  return out.text();
+}
+
+RolloutState decode_state(const std::string& text) {
+  const auto document = json::object_of(text);
+  if (json::whole(document, field::format_version) != format_version)
+    throw json::BadInput("kept in a form that is not known here");
+  RolloutState state;
+  state.build = json::whole(document, field::build);
+  state.stage = json::whole(document, field::stage);
+  state.baseline = json::whole(document, field::baseline);
+  state.newest_build = json::whole(document, field::newest_build);
+  state.next_machine = json::whole(document, field::next_machine);
+  state.version = json::whole(document, field::version);
+  state.phase = read_release_phase(document);
+  state.since = json::duration_of(document, field::since);
+  state.stage_started = json::truth(document, field::stage_started);
+  state.held_by_operator = json::truth(document, field::held_by_operator);
+  if (json::present(document, field::queued_build))
+    state.queued_build = json::whole(document, field::queued_build);
+  for (const auto& item : json::array(document, field::machines).GetArray())
+    state.machines[json::whole(item, field::machine_id)] = read_machine(item);
+  for (const auto& item : json::array(document, field::past_outcomes).GetArray())
+    state.past_outcomes[json::whole(item, field::build)] = read_release_phase(item);
+  return state;
+}
+
+}  // namespace robinhoist::rollout
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -190,16 +190,16 @@
     controller::Settings settings = controller::read(form);
     settings.point = point;
     controller = std::make_unique<controller::Controller>(
-        loop, settings, log, [this](const rollout::Order& order) {
-          if (order.kind == rollout::OrderKind::drain)
+        loop, settings, log, [this](const rollout::Command& order) {
+          if (order.kind == rollout::CommandKind::drain)
             return;
           loop.in(Duration(1000), [this, order] {
             if (!controller)
               return;
-            if (order.kind == rollout::OrderKind::start)
-              controller->core().machine_up(order.machine, loop.now());
+            if (order.kind == rollout::CommandKind::start)
+              controller->core().machine_started(order.machine, loop.now());
             else
-              controller->core().machine_gone(order.machine, loop.now());
+              controller->core().machine_stopped(order.machine, loop.now());
             controller->pull();
           });
         });
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,5 +1,5 @@
-// Plays tests/rollout/*.txt against the controller's core. The notation is described in
-// tests/rollout/README.md.
+/// Plays tests/rollout/*.txt against the rollout's state machine. The notation is described in
+/// tests/rollout/README.md.
 #include "rollout/rollout.h"
 
 #include "plays.h"
@@ -10,152 +10,214 @@
 
 using tests::Words;
 
-Duration ms(const std::string& word) {
-  return Duration(std::stol(word) * 1000);
+Duration milliseconds(const std::string& word) {
+  return std::chrono::milliseconds(std::stol(word));
 }
 
-struct Stage {
-  Settings settings{.stages = {0.25, 0.5, 1},
-                    .caps = {0.3, 0.6, 1},
-                    .promotion_mode = PromotionMode::clock,
-                    .bake = ms("1000"),
-                    .step = ms("3000"),
-                    .settle = ms("500"),
-                    .launch_most = ms("4000"),
-                    .drain = ms("1000"),
-                    .vote_lifetime = ms("4000"),
-                    .votes_to_promote = 0.5,
-                    .votes_to_hold = 0.2,
-                    .votes_to_roll_back = 0.25,
-                    .votes_per_s = 10};
-  int places = 4, proxies = 8;
-  bool boots = true;  // machines come up 100 ms after they were ordered, and stop at once
-  std::unique_ptr<Rollout> core{};
-  TimePoint now{};
-  std::vector<std::pair<TimePoint, int>> booting{};
-  std::map<std::string, int> orders{};
-  std::string refused{};
-
-  Rollout& it() {
-    if (!core) {
-      core = std::make_unique<Rollout>(settings, places, 1, proxies);
-      pull();
+Settings default_settings() {
+  return {.stages = {0.25, 0.5, 1},
+          .caps = {0.3, 0.6, 1},
+          .promotion_mode = PromotionMode::clock,
+          .bake = std::chrono::milliseconds(1000),
+          .stage_duration = std::chrono::milliseconds(3000),
+          .settle = std::chrono::milliseconds(500),
+          .max_launch_time = std::chrono::milliseconds(4000),
+          .drain = std::chrono::milliseconds(1000),
+          .vote_lifetime = std::chrono::milliseconds(4000),
+          .votes_to_promote = 0.5,
+          .votes_to_hold = 0.2,
+          .votes_to_roll_back = 0.25,
+          .votes_per_s = 10};
+}
+
+Verdict verdict_named(const std::string& name) {
+  for (Verdict verdict : {Verdict::none, Verdict::promote, Verdict::hold, Verdict::roll_back})
+    if (name == to_string(verdict))
+      return verdict;
+  throw std::runtime_error("no verdict: " + name);
+}
+
+PromotionMode promotion_mode_named(const std::string& name) {
+  if (name == "first-vote")
+    return PromotionMode::first_vote;
+  return name == "count" ? PromotionMode::count : PromotionMode::clock;
+}
+
+/// A rollout whose machines come up and stop as commanded, in simulated time.
+class RolloutScenario : public testing::TestWithParam<std::string> {
+ protected:
+  static constexpr Duration boot_time = std::chrono::milliseconds(100);
+  static constexpr Duration tick = std::chrono::milliseconds(10);
+  static constexpr int slots = 4;
+  static constexpr int first_build = 1;
+
+  void step(const Words& words) {
+    const auto found = steps().find(words[0]);
+    if (found == steps().end())
+      throw std::runtime_error("no such step");
+    (this->*found->second)(words);
+  }
+
+ private:
+  using Step = void (RolloutScenario::*)(const Words&);
+  static const std::map<std::string, Step>& steps() {
+    static const std::map<std::string, Step> all{{"set", &RolloutScenario::set},
+                                                 {"offer", &RolloutScenario::submit},
+                                                 {"vote", &RolloutScenario::vote},
+                                                 {"votes", &RolloutScenario::votes},
+                                                 {"operator", &RolloutScenario::operator_acts},
+                                                 {"gate", &RolloutScenario::gate},
+                                                 {"gone", &RolloutScenario::stopped},
+                                                 {"up", &RolloutScenario::started},
+                                                 {"run", &RolloutScenario::run},
+                                                 {"mark", &RolloutScenario::reset_command_counts},
+                                                 {"expect", &RolloutScenario::expect}};
+    return all;
+  }
+
+  Rollout& rollout() {
+    if (!rollout_) {
+      rollout_ = std::make_unique<Rollout>(settings_, slots, first_build, proxies_);
+      execute_commands();
     }
-    return *core;
+    return *rollout_;
   }
 
-  void pull() {
-    while (auto order = core->next(now)) {
-      const char* const words[] = {"start", "drain", "stop"};
-      const std::string word = words[static_cast<int>(order->kind)];
-      ++orders[word];
-      ++orders[word + " " + std::to_string(order->build)];
-      if (order->kind == OrderKind::start && boots)
-        booting.emplace_back(now + ms("100"), order->machine);
-      if (order->kind == OrderKind::stop)
-        core->machine_gone(order->machine, now);
+  void execute_commands() {
+    while (const auto command = rollout_->next_command(now_)) {
+      const std::string kind = to_string(command->kind);
+      ++command_counts_[kind];
+      ++command_counts_[kind + " " + std::to_string(command->build)];
+      if (command->kind == CommandKind::start && machines_boot_)
+        booting_.push_back({now_ + boot_time, command->machine});
+      if (command->kind == CommandKind::stop)
+        rollout_->machine_stopped(command->machine, now_);
     }
   }
 
-  void run(Duration span) {
-    for (const TimePoint until = now + span; now < until; now += ms("10")) {
-      for (std::size_t i = 0; i < booting.size();) {
-        if (booting[i].first > now) {
-          ++i;
-          continue;
-        }
-        core->machine_up(booting[i].second, now);
-        booting.erase(booting.begin() + static_cast<long>(i));
+  void finish_boots() {
+    for (std::size_t i = 0; i < booting_.size();) {
+      if (booting_[i].up_at > now_) {
+        ++i;
+        continue;
       }
-      pull();
+      rollout_->machine_started(booting_[i].machine, now_);
+      booting_.erase(booting_.begin() + static_cast<long>(i));
     }
   }
 
-  static Verdict verdict(const std::string& word) {
-    for (Verdict one : {Verdict::none, Verdict::promote, Verdict::hold, Verdict::roll_back})
-      if (word == rollout::to_string(one))
-        return one;
-    throw std::runtime_error("no verdict: " + word);
+  void set(const Words& words) {
+    if (words[1] == "gate")
+      settings_.promotion_mode = promotion_mode_named(words[2]);
+    else if (words[1] == "in-place")
+      settings_.in_place = true;
+    else if (words[1] == "umpires")
+      proxies_ = std::stoi(words[2]);
+    else if (words[1] == "no-boot")
+      machines_boot_ = false;
+    else
+      throw std::runtime_error("no such setting");
   }
 
-  double figure(const std::string& what) {
-    const ReleaseUpdate news = it().news(now);
+  void submit(const Words& words) {
+    rejection_ = rollout().submit(std::stoi(words[1]), now_).value_or("");
+  }
+
+  void vote(const Words& words) {
+    const Outcome outcome = rollout().vote(words[1], std::stoi(words[2]), std::stoi(words[3]),
+                                           verdict_named(words[4]), now_);
+    EXPECT_EQ(to_string(outcome), words[5]);
+  }
+
+  void votes(const Words& words) {
+    for (int proxy = 0; proxy < std::stoi(words[1]); ++proxy)
+      rollout().vote("u" + std::to_string(proxy), std::stoi(words[2]), std::stoi(words[3]),
+                     verdict_named(words[4]), now_);
+  }
+
+  void operator_acts(const Words& words) {
+    const std::string reason = "asked";
+    bool done = false;
+    if (words[1] == "back")
+      done = rollout().roll_back(reason, now_);
+    else if (words[1] == "hold")
+      done = rollout().hold(reason, now_);
+    else
+      done = rollout().resume(reason, now_);
+    EXPECT_EQ(done, words[2] == "yes");
+  }
+
+  void gate(const Words& words) {
+    const Gate gate = words[3] == "open" ? Gate::open : Gate::closed;
+    rollout().set_gate(std::stoi(words[1]), std::stoi(words[2]), gate);
+  }
+
+  void stopped(const Words& words) { rollout().machine_stopped(std::stoi(words[1]), now_); }
+  void started(const Words& words) { rollout().machine_started(std::stoi(words[1]), now_); }
+
+  void run(const Words& words) {
+    rollout();
+    for (const TimePoint end = now_ + milliseconds(words[1]); now_ < end; now_ += tick) {
+      finish_boots();
+      execute_commands();
+    }
+  }
+
+  void reset_command_counts(const Words&) { command_counts_.clear(); }
+
+  void expect(const Words& words) {
+    if (words[1] == "phase") {
+      EXPECT_EQ(to_string(rollout().release_update(now_).phase), words[2]);
+    } else if (words[1] == "refused") {
+      EXPECT_NE(rejection_, "");
+    } else if (words[1] == "orders") {
+      const std::string which = words[2] + (words.size() > 5 ? " " + words[3] : "");
+      const int count = command_counts_[which];
+      EXPECT_TRUE(tests::compares(count, words[words.size() - 2], std::stod(words.back())))
+          << count;
+    } else {
+      const double measured = measure(words[1]);
+      EXPECT_TRUE(tests::compares(measured, words[2], std::stod(words[3]))) << measured;
+    }
+  }
+
+  double measure(const std::string& what) {
+    const ReleaseUpdate update = rollout().release_update(now_);
     if (what == "build")
-      return news.build;
+      return update.build;
     if (what == "stage")
-      return news.stage;
+      return update.stage;
     if (what == "cap")
-      return news.cap;
+      return update.cap;
     if (what == "held")
-      return it().held(now);
+      return rollout().on_hold(now_) ? 1 : 0;
     if (what == "waited")
-      return static_cast<double>(it().gate_waited().count()) / 1000;
+      return static_cast<double>(rollout().gate_wait().count()) / 1000;
     if (what == "baseline")
-      return it().baseline();
-    throw std::runtime_error("no figure: " + what);
+      return rollout().baseline();
+    throw std::runtime_error("no such measure: " + what);
   }
 
-  void step(const Words& w) {
-    if (w[0] == "set") {
-      if (w[1] == "gate")
-        settings.promotion_mode = w[2] == "first-vote" ? PromotionMode::first_vote
-                                  : w[2] == "count"    ? PromotionMode::count
-                                                       : PromotionMode::clock;
-      else if (w[1] == "in-place")
-        settings.in_place = true;
-      else if (w[1] == "umpires")
-        proxies = std::stoi(w[2]);
-      else if (w[1] == "no-boot")
-        boots = false;
-      else
-        throw std::runtime_error("no such setting");
-    } else if (w[0] == "offer") {
-      refused = it().offer(std::stoi(w[1]), now).value_or("");
-    } else if (w[0] == "vote") {
-      EXPECT_EQ(to_string(it().vote(w[1], std::stoi(w[2]), std::stoi(w[3]), verdict(w[4]), now)),
-                w[5]);
-    } else if (w[0] == "votes") {
-      for (int u = 0; u < std::stoi(w[1]); ++u)
-        it().vote("u" + std::to_string(u), std::stoi(w[2]), std::stoi(w[3]), verdict(w[4]), now);
-    } else if (w[0] == "operator") {
-      const bool done =
-          w[1] == "back" ? it().back("asked", now) : it().hold(w[1] == "hold", "asked", now);
-      EXPECT_EQ(done, w[2] == "yes");
-    } else if (w[0] == "gate") {
-      it().gate_open(std::stoi(w[1]), std::stoi(w[2]), w[3] == "open");
-    } else if (w[0] == "gone") {
-      it().machine_gone(std::stoi(w[1]), now);
-    } else if (w[0] == "up") {
-      it().machine_up(std::stoi(w[1]), now);
-    } else if (w[0] == "run") {
-      it();
-      run(ms(w[1]));
-    } else if (w[0] == "mark") {
-      orders.clear();
-    } else if (w[0] == "expect" && w[1] == "phase") {
-      EXPECT_EQ(to_string(it().news(now).phase), w[2]);
-    } else if (w[0] == "expect" && w[1] == "refused") {
-      EXPECT_NE(refused, "");
-    } else if (w[0] == "expect" && w[1] == "orders") {
-      std::string what = w[2] + (w.size() > 5 ? " " + w[3] : "");
-      EXPECT_TRUE(tests::compares(orders[what], w[w.size() - 2], std::stod(w.back())))
-          << orders[what];
-    } else if (w[0] == "expect") {
-      EXPECT_TRUE(tests::compares(figure(w[1]), w[2], std::stod(w[3]))) << figure(w[1]);
-    } else {
-      throw std::runtime_error("no such step");
-    }
-  }
-};
+  struct Boot {
+    TimePoint up_at;
+    int machine;
+  };
 
-class RolloutPlay : public testing::TestWithParam<std::string> {};
+  Settings settings_ = default_settings();
+  int proxies_ = 8;
+  bool machines_boot_ = true;
+  std::unique_ptr<Rollout> rollout_{};
+  TimePoint now_{};
+  std::vector<Boot> booting_{};
+  std::map<std::string, int> command_counts_{};
+  std::string rejection_{};
+};
 
-TEST_P(RolloutPlay, goes_as_written) {
-  Stage stage;
-  tests::play(GetParam(), [&](const Words& words) { stage.step(words); });
+TEST_P(RolloutScenario, BehavesAsWritten) {
+  tests::play(GetParam(), [this](const Words& words) { step(words); });
 }
 
-INSTANTIATE_TEST_SUITE_P(All, RolloutPlay,
+INSTANTIATE_TEST_SUITE_P(All, RolloutScenario,
                          testing::ValuesIn(tests::files_in(TESTS "/rollout", ".txt")), tests::stem);
 
 }  // namespace
