--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -10,6 +10,7 @@
 #include <fstream>
 #include <thread>
 
+#include "controller/controller.h"
 #include "controller/process.h"
 #include "http/stream_client.h"
 #include "json/fields.h"
@@ -201,7 +202,7 @@
   build = 2;
   const auto from = net::steady_now();
   served.start();
-  served.loop.call([&] { served.controller->offer(2, "bench"); });
+  served.loop.call([&] { served.controller->create_release(2, "bench"); });
   while (heard < proxies)
     std::this_thread::sleep_for(1ms);
   std::printf(
--- a/fuzz/api_fuzz.cpp
+++ b/fuzz/api_fuzz.cpp
@@ -8,45 +8,47 @@
 
 #include "json/fields.h"
 #include "releases/follower.h"
-#include "releases/release.h"
+#include "releases/release_codec.h"
+#include "releases/release_input.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   namespace release = robinhoist::releases;
   const std::string all(reinterpret_cast<const char*>(data), size);
   try {
-    const auto body = release::strict(all);
-    std::vector<release::Problem> problems;
-    if (auto made = release::created(body, problems)) {
-      const std::string text = release::encoded(*made);
-      if (release::encoded(release::decoded(text)) != text)
+    const auto body = release::parse_document(all);
+    try {
+      const std::string text = release::encode(release::parse_creation(body));
+      if (release::encode(release::decode(text)) != text)
         std::abort();
+    } catch (const release::RequestError&) {
+      // Rejected, as it should be.
     }
-    problems.clear();
-    std::optional<std::int64_t> version;
-    release::Release from;
-    from.name = "b";
-    from.build = 2;
-    if (auto patched = release::patched(from, body, version, problems);
-        patched && patched->build != 2)
+    release::Release present;
+    present.name = "b";
+    present.build = 2;
+    if (release::apply_patch(present, body).release.build != 2)
       std::abort();
   } catch (const robinhoist::json::BadInput&) {
-    // Refused, as it should be.
+    // Rejected, as it should be.
+  } catch (const release::RequestError&) {
+    // The same.
   }
   try {
     const robinhoist::objects::Selector selector(all, all);
-    selector.takes({{"team", "front"}}, {});
-  } catch (const robinhoist::objects::BadSelector&) {
+    selector.matches({{"team", "front"}}, {});
+  } catch (const robinhoist::objects::SelectorError&) {
     // The same.
   }
   release::Follower follower;
-  follower.begins(true);
+  follower.begin(true);
   std::string in;
   const robinhoist::TimePoint now{robinhoist::Duration(1000000)};
   for (const std::string& piece : {all.substr(0, size / 2), all.substr(size / 2)}) {
     in += piece;
-    while (follower.take(in, now) != release::Follower::Line::none) {
+    while (follower.consume_line(in, now) != release::Follower::Line::none) {
     }
-    if (auto news = follower.news(now); news && !(news->release.cap >= 0 && news->release.cap <= 1))
+    if (auto update = follower.next_update(now);
+        update && !(update->release.cap >= 0 && update->release.cap <= 1))
       std::abort();
   }
   return 0;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -1,349 +1,243 @@
 #include "controller/controller.h"
 
 #include <algorithm>
+#include <utility>
 
-#include "controller/problem.h"
 #include "json/fields.h"
 #include "rollout/names.h"
-#include "settings/form.h"
 
 namespace robinhoist::controller {
 namespace {
+
 using namespace std::chrono_literals;
 
+constexpr Duration journal_retry_interval = 500ms;
+constexpr const char* rollout_key = "rollout";
+
+membership::Settings membership_settings(const Settings& settings) {
+  membership::Settings membership = settings.membership;
+  membership.expected = settings.proxies;
+  return membership;
+}
+
 }  // namespace
 
 Controller::Controller(net::Loop& loop, const Settings& settings, const log::Log& log,
-                       Orders orders, Told told, Voted voted)
+                       ControllerCallbacks callbacks)
     : loop_(loop),
       settings_(settings),
       log_(log),
-      orders_(std::move(orders)),
-      told_(std::move(told)),
-      voted_(std::move(voted)),
-      catalog_(settings.history),
-      told_objects_(settings.history),
-      members_([&] {
-        membership::Settings members = settings.members;
-        members.expected = settings.proxies;
-        return members;
-      }()),
-      tokens_(settings.tokens),
-      requests_(settings.requests_per_s, 2 * settings.requests_per_s),
+      callbacks_(std::move(callbacks)),
+      membership_(membership_settings(settings)),
       timers_(loop),
-      server_(std::make_unique<http::Server>(loop, settings.server,
-                                             [this](const http::ExchangePtr& e) { handle(e); })) {
+      api_(std::make_unique<ApiServer>(loop, settings.server, settings.tokens,
+                                       settings.requests_per_s)) {
   settings_.rollout.gates_closed_by_default = !settings.steps_target.empty();
-  if (!settings.journal.empty()) {
+  if (!settings.journal.empty())
     journal_ = std::make_unique<journal::Journal>(settings.journal);
-    if (auto text = journal_->get("rollout")) {
-      core_ =
-          std::make_unique<rollout::Rollout>(settings_.rollout, settings.places, settings.proxies,
-                                             rollout::decode_state(*text), loop.now());
-      log_.info("goes on",
-                {{"build", log::text(core_->release_update(loop.now()).build)},
-                 {"wave", log::text(core_->release_update(loop.now()).stage)},
-                 {"phase", rollout::to_string(core_->release_update(loop.now()).phase)}});
-    }
-  }
-  if (!core_)
-    core_ = std::make_unique<rollout::Rollout>(settings_.rollout, settings.places, settings.build,
-                                               settings.proxies);
-  restore_objects();
-  watches_ = std::make_unique<Watches>(loop, told_objects_, series_, settings.watches, told_);
-  offer_pending();
-  if (!settings.steps_target.empty()) {
-    target_ = std::make_unique<steps::Target>(loop, settings.steps_target);
-    steps::RunnerSettings runner;
-    runner.who = settings.who;
-    runner.lease = settings.lease;
-    runner.stages = static_cast<int>(settings.rollout.stages.size());
-    runner_ = std::make_unique<steps::Runner>(loop, runner, *journal_, *target_, log);
-    runner_->changed = [this] {
-      if (tell_steps())
-        timers_.in(Duration(0), [this] { pull(); });
-      keep_soon();  // objects show steps
-    };
-  }
-  // Objects before anybody can ask for them.
-  look_at_members();
-  pull();
+  rollout_ = resume_or_start_rollout();
+  status_ = std::make_unique<ReleaseStatusBuilder>(settings_.rollout, *rollout_, membership_);
+  objects_ = std::make_unique<ReleaseObjects>(
+      ReleaseObjects::Dependencies{loop_, settings_, log_, journal_.get(), *rollout_, *status_,
+                                   faults_},
+      callbacks_.notified);
+  submit_pending_releases();
+  if (!settings.steps_target.empty())
+    start_steps();
+
+  const auto decide_now = [this] { decide(); };
+  monitor_ = std::make_unique<MembershipMonitor>(loop_, log_, membership_, *rollout_, decide_now);
+  release_routes_ = std::make_unique<ReleaseRoutes>(ReleaseRoutes::Dependencies{
+      loop_, log_, settings_, journal_.get(), *rollout_, *objects_, decide_now});
+  proxy_routes_ = std::make_unique<ProxyRoutes>(ProxyRoutes::Dependencies{
+      loop_, log_, settings_, membership_, *monitor_, *rollout_, objects_->catalog(),
+      objects_->watches(), faults_, runner_.get(), callbacks_.voted, decide_now});
+  step_routes_ = std::make_unique<StepRoutes>(
+      runner_.get(), [this] { sync_steps(); }, decide_now);
+  machine_routes_ = std::make_unique<MachineRoutes>(loop_, *rollout_, decide_now);
+  api_->set_routes(routes());
+
+  // The objects are there before the first request.
+  monitor_->check();
+  decide();
 }
 
 Controller::~Controller() {
-  loop_.cancel(look_);
-  loop_.cancel(soon_);
-  loop_.cancel(members_look_);
+  loop_.cancel(check_timer_);
 }
 
-void Controller::trouble(Trouble trouble, double count_share) {
-  trouble_ = trouble;
-  count_share_ = count_share;
-  if (trouble == Trouble::none)
-    pull();
+std::unique_ptr<rollout::Rollout> Controller::resume_or_start_rollout() {
+  const auto text = journal_ ? journal_->get(rollout_key) : std::nullopt;
+  if (!text)
+    return std::make_unique<rollout::Rollout>(settings_.rollout, settings_.slots,
+                                              settings_.initial_build, settings_.proxies);
+  auto resumed =
+      std::make_unique<rollout::Rollout>(settings_.rollout, settings_.slots, settings_.proxies,
+                                         rollout::decode_state(*text), loop_.now());
+  const ReleaseUpdate update = resumed->release_update(loop_.now());
+  log_.info("resumed", {{"build", log::text(update.build)},
+                        {"stage", log::text(update.stage)},
+                        {"phase", rollout::to_string(update.phase)}});
+  return resumed;
 }
 
-// What steps must know of releases, and what stages must know of steps; whether a gate has moved.
-bool Controller::tell_steps() {
-  if (!runner_)
-    return false;
-  const TimePoint now = loop_.now();
-  const ReleaseUpdate news = core_->release_update(now);
+void Controller::start_steps() {
   const int stages = static_cast<int>(settings_.rollout.stages.size());
-  for (auto& [build, fate] : core_->past_outcomes()) {
-    steps::Release old{.stage = stages - 1, .offered = true};
-    old.withdrawn = old.going_back = fate != ReleasePhase::released;
-    old.final = fate == ReleasePhase::released;
-    runner_->release(build, old);
-  }
-  steps::Release present{.stage = core_->active_stage(), .offered = true};
-  present.going_back = news.phase == ReleasePhase::rolling_back;
-  present.withdrawn = news.phase == ReleasePhase::rolled_back;
-  present.final = news.phase == ReleasePhase::released && !core_->can_roll_back(now);
-  runner_->release(news.build, present);
-  bool moved = false;
-  for (int stage = 0; stage < stages; ++stage) {
-    const bool open = runner_->allows(news.build, stage);
-    auto [at, fresh] = gates_.emplace(std::pair(news.build, stage), !open);
-    if (at->second == open)
-      continue;
-    at->second = open;
-    moved = true;
-    core_->set_gate(news.build, stage, open ? rollout::Gate::open : rollout::Gate::closed);
-  }
-  return moved;
+  target_ = std::make_unique<steps::Target>(loop_, settings_.steps_target);
+  steps::RunnerSettings runner_settings;
+  runner_settings.who = settings_.name;
+  runner_settings.lease = settings_.steps_lease;
+  runner_settings.stages = stages;
+  runner_ = std::make_unique<steps::Runner>(loop_, runner_settings, *journal_, *target_, log_);
+  step_gates_.emplace(*rollout_, *runner_, stages);
+  status_->set_steps(runner_.get());
+  runner_->changed = [this] {
+    if (sync_steps())
+      timers_.in(Duration(0), [this] { decide(); });
+    objects_->schedule_update();
+  };
 }
 
-void Controller::pull() {
-  loop_.cancel(look_);
-  if (trouble_ != Trouble::none)
-    return;  // it stands still
-  const TimePoint now = loop_.now();
-  // A release that has just come up must find its gates as its steps stand.
-  std::vector<rollout::Command> decided;
-  do {
-    tell_steps();
-    while (auto order = core_->next_command(now))
-      decided.push_back(*order);
-  } while (tell_steps());
-  if (runner_)
-    runner_->pull();
-  try {
-    keep(false);
-  } catch (const journal::Failed& bad) {
-    log_.error("nothing is told or ordered: the journal takes nothing", {{"why", bad.what()}});
-    untold_.insert(untold_.end(), decided.begin(), decided.end());
-    look_ = loop_.in(500ms, [this] { pull(); });
-    return;
-  }
-  untold_.insert(untold_.end(), decided.begin(), decided.end());
-  decided.swap(untold_);
-  untold_.clear();
-  for (const rollout::Command& one : decided) {
-    const rollout::Command* order = &one;
-    log_.debug("order", {{"is", rollout::to_string(order->kind)},
-                         {"machine", log::text(order->machine)},
-                         {"place", log::text(order->slot)},
-                         {"build", log::text(order->build)}});
-    if (orders_)
-      orders_(*order);
-    else
-      untaken_.push_back(*order);
-  }
-  const auto& changes = core_->changes();
-  for (; seen_changes_ < changes.size(); ++seen_changes_) {
-    const rollout::Change& change = changes[seen_changes_];
-    log_.info("release", {{"build", log::text(change.build)},
-                          {"wave", log::text(change.stage)},
-                          {"phase", rollout::to_string(change.phase)},
-                          {"why", change.why}});
-  }
-  const std::pair stage(core_->release_update(now).build, core_->active_stage());
-  if (stage != seen_stage_ && stage.second >= 0)
-    log_.info("wave takes traffic",
-              {{"build", log::text(stage.first)},
-               {"wave", log::text(stage.second)},
-               {"waited_for_steps_ms", log::text(core_->gate_wait().count() / 1000)}});
-  seen_stage_ = stage;
-  if (auto at = core_->next_check_at(now))
-    look_ = loop_.at(*at, [this] { pull(); });
+// Releases that were written to the journal, but not submitted before the process ended.
+void Controller::submit_pending_releases() {
+  std::vector<int> builds;
+  for (const auto& [name, release] : objects_->catalog().all())
+    if (release.build > rollout_->newest_build() && !release.is_deleting())
+      builds.push_back(release.build);
+  std::sort(builds.begin(), builds.end());
+  for (const int build : builds)
+    rollout_->submit(build, loop_.now());
 }
 
-void Controller::orders(const Asked& asked) {
-  json::Out out;
-  out.open().open_list("orders");
-  for (const rollout::Command& order : untaken_)
-    out.open()
-        .put("is", rollout::to_string(order.kind))
-        .put("machine", order.machine)
-        .put("place", order.slot)
-        .put("build", order.build)
-        .close();
-  untaken_.clear();
-  asked.exchange->answer(http::json_response(200, out.close_list().close().text()));
+std::vector<Route> Controller::routes() {
+  using Action = ReleaseRoutes::Action;
+  using Request = const ApiRequest&;
+  return {
+      {"GET", "/v1", Role::read, [this](Request r) { list_routes(r); }},
+      {"GET", "/v1/releases", Role::read, [this](Request r) { release_routes_->list(r); }},
+      {"POST", "/v1/releases", Role::operate, [this](Request r) { release_routes_->create(r); }},
+      {"GET", "/v1/releases/{name}", Role::read, [this](Request r) { release_routes_->get(r); }},
+      {"PATCH", "/v1/releases/{name}", Role::operate,
+       [this](Request r) { release_routes_->patch(r); }},
+      {"DELETE", "/v1/releases/{name}", Role::operate,
+       [this](Request r) { release_routes_->remove(r); }},
+      {"POST", "/v1/releases/{name}/hold", Role::operate,
+       [this](Request r) { release_routes_->act(r, Action::hold); }},
+      {"POST", "/v1/releases/{name}/resume", Role::operate,
+       [this](Request r) { release_routes_->act(r, Action::resume); }},
+      {"POST", "/v1/releases/{name}/back", Role::operate,
+       [this](Request r) { release_routes_->act(r, Action::roll_back); }},
+      {"POST", "/v1/releases/{name}/votes", Role::proxy,
+       [this](Request r) { proxy_routes_->vote(r); }},
+      {"GET", "/v1/umpires", Role::read, [this](Request r) { proxy_routes_->list(r); }},
+      {"POST", "/v1/umpires/{name}/heartbeat", Role::proxy,
+       [this](Request r) { proxy_routes_->heartbeat(r); }},
+      {"DELETE", "/v1/umpires/{name}", Role::proxy, [this](Request r) { proxy_routes_->leave(r); }},
+      {"POST", "/v1/patients", Role::proxy,
+       [this](Request r) { proxy_routes_->client_outcomes(r); }},
+      {"POST", "/v1/plans", Role::operate, [this](Request r) { step_routes_->take_plan(r); }},
+      {"GET", "/v1/steps", Role::read, [this](Request r) { step_routes_->status(r); }},
+      {"POST", "/v1/steps/verify", Role::read, [this](Request r) { step_routes_->verify(r); }},
+      {"POST", "/v1/steps/pause", Role::operate, [this](Request r) { step_routes_->pause(r); }},
+      {"POST", "/v1/steps/resume", Role::operate, [this](Request r) { step_routes_->resume(r); }},
+      {"POST", "/v1/steps/retry", Role::operate, [this](Request r) { step_routes_->retry(r); }},
+      {"POST", "/v1/steps/skip", Role::operate, [this](Request r) { step_routes_->skip(r); }},
+      {"GET", "/v1/orders", Role::operate,
+       [this](Request r) { machine_routes_->fetch_commands(r); }},
+      {"POST", "/v1/machines", Role::operate, [this](Request r) { machine_routes_->report(r); }},
+  };
 }
 
-void Controller::with_steps(const Asked& asked, const std::function<void()>& does) {
-  if (!runner_)
-    return asked.exchange->answer(http::text_response(404, "this controller runs no steps\n"));
-  try {
-    does();
-  } catch (const json::BadInput& bad) {
-    asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
-  } catch (const settings::Invalid& bad) {
-    asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
-  } catch (const journal::Failed& bad) {
-    asked.exchange->answer(http::text_response(503, std::string(bad.what()) + "\n"));
-  }
+void Controller::list_routes(const ApiRequest& request) const {
+  json::Out out;
+  out.open();
+  out.open_list("routes");
+  for (const Route& route : api_->routes())
+    out.open().put("method", route.method).put("path", route.path).close();
+  out.close_list();
+  out.close();
+  request.exchange->answer(http::json_response(200, out.text()));
 }
 
-void Controller::take_plan(const Asked& asked) {
-  with_steps(asked, [&] {
-    const http::Request& request = asked.exchange->request;
-    const std::string who(request.headers.get("X-Who"));
-    const int build =
-        runner_->take_plan(request.body, "plan", who.empty() ? asked.caller.name : who);
-    tell_steps();
-    pull();
-    asked.exchange->answer(
-        http::json_response(200, json::Out().open().put("build", build).close().text()));
-  });
+bool Controller::create_release(int build, const std::string& author) {
+  return release_routes_->create_release(build, author);
 }
 
-void Controller::steps_status(const Asked& asked) {
-  with_steps(asked, [&] { asked.exchange->answer(http::json_response(200, runner_->status())); });
+void Controller::inject_fault(Fault fault, double counted_votes) {
+  faults_.set(fault, counted_votes);
+  if (!faults_.active())
+    decide();
 }
 
-void Controller::steps_verify(const Asked& asked) {
-  with_steps(asked, [&] {
-    runner_->verify([exchange = asked.exchange](const std::string& body) {
-      exchange->answer(http::json_response(200, body));
-    });
-  });
+bool Controller::sync_steps() {
+  return step_gates_ && step_gates_->sync(loop_.now());
 }
 
-void Controller::steps_say(const Asked& asked) {
-  with_steps(asked, [&] {
-    auto document = json::object_of(asked.exchange->request.body);
-    const std::string who = json::text_or(document, "who", asked.caller.name),
-                      why = json::text_or(document, "why", "");
-    const std::string what(
-        asked.exchange->request.path().substr(std::string_view("/v1/steps/").size()));
-    std::string refused;
-    if (what == "pause" || what == "resume") {
-      refused = runner_->pause(what == "pause", who, why);
-    } else {
-      const int build = json::whole(document, "build");
-      const std::string step = json::text(document, "step");
-      refused = what == "retry" ? runner_->retry(build, step, who, why)
-                                : runner_->skip(build, step, who, why);
-    }
-    pull();
-    asked.exchange->answer(refused.empty() ? http::json_response(200, runner_->status())
-                                           : http::text_response(409, refused + "\n"));
-  });
+std::vector<rollout::Command> Controller::decide_commands(TimePoint now) {
+  std::vector<rollout::Command> commands;
+  // A release that begins here must find its gates as its steps stand.
+  do {
+    sync_steps();
+    while (const auto command = rollout_->next_command(now))
+      commands.push_back(*command);
+  } while (sync_steps());
+  return commands;
 }
 
-void Controller::machine(const Asked& asked) {
+void Controller::decide() {
+  loop_.cancel(check_timer_);
+  if (faults_.active())
+    return;
+  const TimePoint now = loop_.now();
+  const std::vector<rollout::Command> commands = decide_commands(now);
+  unwritten_commands_.insert(unwritten_commands_.end(), commands.begin(), commands.end());
+  if (runner_)
+    runner_->pull();
   try {
-    auto document = json::object_of(asked.exchange->request.body);
-    const int machine = json::whole(document, "machine");
-    const bool up = json::enumerator<bool>(document, "state", {{"up", true}, {"gone", false}});
-    if (up)
-      core_->machine_started(machine, loop_.now());
-    else
-      core_->machine_stopped(machine, loop_.now());
-  } catch (const json::BadInput& bad) {
-    return asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
+    objects_->update();
+  } catch (const journal::Failed& error) {
+    log_.error("nothing is published or commanded: cannot write to the journal",
+               {{"error", error.what()}});
+    check_timer_ = loop_.in(journal_retry_interval, [this] { decide(); });
+    return;
   }
-  pull();
-  asked.exchange->answer(http::json_response(200, "{}"));
+  execute(std::exchange(unwritten_commands_, {}));
+  log_progress(now);
+  if (const auto due = rollout_->next_check_at(now))
+    check_timer_ = loop_.at(*due, [this] { decide(); });
 }
 
-const std::vector<Controller::Route>& Controller::routes() {
-  using C = Controller;
-  static const std::vector<Route> all{
-      {"GET", "/v1", Role::read, &C::list_routes},
-      {"GET", "/v1/releases", Role::read, &C::list},
-      {"POST", "/v1/releases", Role::operate, &C::create},
-      {"GET", "/v1/releases/{name}", Role::read, &C::get},
-      {"PATCH", "/v1/releases/{name}", Role::operate, &C::patch},
-      {"DELETE", "/v1/releases/{name}", Role::operate, &C::remove},
-      {"POST", "/v1/releases/{name}/hold", Role::operate, &C::hold},
-      {"POST", "/v1/releases/{name}/resume", Role::operate, &C::resume},
-      {"POST", "/v1/releases/{name}/back", Role::operate, &C::back},
-      {"POST", "/v1/releases/{name}/votes", Role::proxy, &C::vote},
-      {"GET", "/v1/umpires", Role::read, &C::proxies},
-      {"POST", "/v1/umpires/{name}/heartbeat", Role::proxy, &C::heartbeat},
-      {"DELETE", "/v1/umpires/{name}", Role::proxy, &C::proxy_leaves},
-      {"POST", "/v1/patients", Role::proxy, &C::client_outcomes},
-      {"POST", "/v1/plans", Role::operate, &C::take_plan},
-      {"GET", "/v1/steps", Role::read, &C::steps_status},
-      {"POST", "/v1/steps/verify", Role::read, &C::steps_verify},
-      {"POST", "/v1/steps/pause", Role::operate, &C::steps_say},
-      {"POST", "/v1/steps/resume", Role::operate, &C::steps_say},
-      {"POST", "/v1/steps/retry", Role::operate, &C::steps_say},
-      {"POST", "/v1/steps/skip", Role::operate, &C::steps_say},
-      {"GET", "/v1/orders", Role::operate, &C::orders},
-      {"POST", "/v1/machines", Role::operate, &C::machine},
-  };
-  return all;
-}
-
-namespace {
-
-// The name in a path that fits a pattern such as /v1/releases/{name}/hold; nothing when it does not
-// fit.
-std::optional<std::string> fits(std::string_view pattern, std::string_view path) {
-  const std::size_t open = pattern.find("{name}");
-  if (open == std::string_view::npos)
-    return path == pattern ? std::optional<std::string>("") : std::nullopt;
-  const std::string_view head = pattern.substr(0, open), tail = pattern.substr(open + 6);
-  if (path.size() <= head.size() + tail.size() || path.substr(0, head.size()) != head ||
-      path.substr(path.size() - tail.size()) != tail)
-    return {};
-  const std::string_view name = path.substr(head.size(), path.size() - head.size() - tail.size());
-  if (name.find('/') != std::string_view::npos)
-    return {};
-  return http::percent_decoded(name);
+void Controller::execute(const std::vector<rollout::Command>& commands) {
+  for (const rollout::Command& command : commands) {
+    log_.debug("command", {{"kind", rollout::to_string(command.kind)},
+                           {"machine", log::text(command.machine)},
+                           {"slot", log::text(command.slot)},
+                           {"build", log::text(command.build)}});
+    if (callbacks_.execute)
+      callbacks_.execute(command);
+    else
+      machine_routes_->enqueue(command);
+  }
 }
 
-}  // namespace
-
-void Controller::handle(const http::ExchangePtr& exchange) {
-  const http::Request& request = exchange->request;
-  const std::string path(request.path());
-  if (request.method == "GET" && path == "/health")
-    return exchange->answer(http::text_response(200, "well\n"));
-  const auto caller = tokens_.caller(request.headers.get("Authorization"));
-  if (!caller) {
-    http::Response response = problem(401, "not known", "no token, or none that is known here");
-    response.headers.add("WWW-Authenticate", "Bearer");
-    return exchange->answer(response);
-  }
-  if (auto wait = requests_.take(caller->name, loop_.now())) {
-    http::Response response = problem(429, "too many requests", "of " + caller->name);
-    response.headers.add("Retry-After", std::to_string(wait->count() / 1000000 + 1));
-    return exchange->answer(response);
+void Controller::log_progress(TimePoint now) {
+  const auto& changes = rollout_->changes();
+  for (; logged_changes_ < changes.size(); ++logged_changes_) {
+    const rollout::Change& change = changes[logged_changes_];
+    log_.info("release", {{"build", log::text(change.build)},
+                          {"stage", log::text(change.stage)},
+                          {"phase", rollout::to_string(change.phase)},
+                          {"reason", change.why}});
   }
-  std::string allowed;
-  for (const Route& route : routes()) {
-    auto name = fits(route.path, path);
-    if (!name)
-      continue;
-    if (request.method != route.method) {
-      allowed += (allowed.empty() ? "" : ", ") + std::string(route.method);
-      continue;
-    }
-    if (!may(caller->role, route.role))
-      return exchange->answer(problem(403, "not allowed", caller->name + " may not do that"));
-    return (this->*route.does)({exchange, std::move(*name), *caller});
+  const ActiveStage active{rollout_->release_update(now).build, rollout_->active_stage()};
+  if (active != logged_stage_ && active.stage >= 0) {
+    const auto gate_wait =
+        std::chrono::duration_cast<std::chrono::milliseconds>(rollout_->gate_wait());
+    log_.info("stage takes traffic", {{"build", log::text(active.build)},
+                                      {"stage", log::text(active.stage)},
+                                      {"waited_for_steps_ms", log::text(gate_wait.count())}});
   }
-  if (allowed.empty())
-    return exchange->answer(problem(404, "no such thing here", "GET /v1 lists what there is"));
-  http::Response response = problem(405, "no such method here", "allowed: " + allowed);
-  response.headers.add("Allow", allowed);
-  exchange->answer(response);
+  logged_stage_ = active;
 }
 
 }  // namespace robinhoist::controller
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,165 +1,114 @@
-// The host of the release controller's core. Releases are objects (docs/releases.md, docs/api.md):
-// created, read, patched, watched over HTTP; proxies follow them by a watch, say that they are
-// there, and vote; orders go to whoever runs the machines. Nothing is told before it is written
-// down. GET /v1 lists what can be asked for.
+/// The release controller: the host of the rollout's state machine. Releases are API objects
+/// (docs/releases.md, docs/api.md) that clients create, read, patch and watch over HTTP; proxies
+/// follow them by a watch, send heartbeats and vote; commands go to whoever runs the machines.
+/// Nothing is published or commanded before it has been written to the journal. GET /v1 lists the
+/// routes.
 #pragma once
 #include <functional>
-#include <random>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
 
-#include "controller/tokens.h"
-#include "controller/watches.h"
-#include "http/server.h"
+#include "controller/api_server.h"
+#include "controller/fault_injection.h"
+#include "controller/machine_routes.h"
+#include "controller/membership_monitor.h"
+#include "controller/proxy_routes.h"
+#include "controller/release_objects.h"
+#include "controller/release_routes.h"
+#include "controller/release_status.h"
+#include "controller/settings.h"
+#include "controller/step_gates.h"
+#include "controller/step_routes.h"
 #include "journal/journal.h"
-#include "limits/bucket.h"
 #include "log/log.h"
-#include "membership/members.h"
-#include "releases/catalog.h"
+#include "membership/membership.h"
 #include "rollout/rollout.h"
 #include "steps/runner.h"
+#include "steps/target.h"
 #include "time/time_types.h"
 
 namespace robinhoist::controller {
 
-struct Settings {
-  http::ServerSettings server{};
-  rollout::Settings rollout{};
-  int places = 1, build = 1, proxies = 1;
-  std::size_t history = 1000;  // changes kept for those that watch
-  membership::Settings members{.lease = std::chrono::seconds(3),
-                               .memory = std::chrono::minutes(10)};
-  WatchSettings watches{};
-  std::vector<Token> tokens{};
-  double requests_per_s = 0;                   // of one client; 0: any number
-  Duration keys_for = std::chrono::hours(24);  // Idempotency-Key of creations
-  std::string journal{};                       // a file; empty: nothing outlives the process
-  std::string steps_target{};                  // an address; empty: releases have no steps
-  Duration lease{};
-  bool throttle = true;  // backfills back off when clients fare poorly
-  std::string who{"controller"};
-  // Called between writing a change down and telling it, for tests that end the process there.
-  std::function<void(const char* point)> point{};
+/// What the process around the controller wants to know; each may be empty.
+struct ControllerCallbacks {
+  /// Executes a command. Without it commands wait until they are fetched over HTTP.
+  std::function<void(const rollout::Command&)> execute{};
+  Watches::NotifiedCallback notified{};
+  VoteCallback voted{};
 };
 
-// How the controller can fail its proxies, for trying it out.
-enum class Trouble { none, silent, errors };
-
+/// Takes part in a process's event loop and must be destroyed on the loop's thread.
 class Controller {
  public:
-  using Told = Watches::Told;
-  using Orders = std::function<void(const rollout::Command&)>;
-  using Voted =
-      std::function<void(const std::string& proxy, int build, int stage, Verdict, Outcome)>;
-
-  // Orders go to `orders`; where there is none they wait to be fetched.
-  Controller(net::Loop& loop, const Settings& settings, const log::Log& log, Orders orders = {},
-             Told told = {}, Voted voted = {});
+  /// Listens, and resumes from the journal. Throws journal::Failed, and what http::Server throws.
+  Controller(net::Loop& loop, const Settings& settings, const log::Log& log,
+             ControllerCallbacks callbacks = {});
   ~Controller();
+  Controller(const Controller&) = delete;
+  Controller& operator=(const Controller&) = delete;
+
+  rollout::Rollout& rollout() { return *rollout_; }
+  /// Null when releases have no migration steps.
+  steps::Runner* steps() { return runner_.get(); }
+  int port() const { return api_->port(); }
+
+  /// Creates the release of a build and submits it; false when it is rejected.
+  bool create_release(int build, const std::string& author);
+  /// Decides what follows from what is known, writes it down and executes it. To be called after
+  /// each input to rollout() from outside.
+  void decide();
 
-  rollout::Rollout& core() { return *core_; }
-  steps::Runner* runner() { return runner_.get(); }
-  // Creates the release of a build and offers it; false when that is refused.
-  bool offer(int build, const std::string& who);
-  // To be called after anything told to the core from outside.
-  void pull();
-  // News is told so much later from here on; the clock stands still while silent or failing.
-  void told_after(Duration lag) { lag_ = lag; }
-  void trouble(Trouble trouble, double half_count);
-  void break_connections() { server_->cut(); }
-  int port() const { return server_->port(); }
+  /// Delays what proxies are notified of from here on.
+  void set_publish_delay(Duration delay) { objects_->set_publish_delay(delay); }
+  /// Makes it fail towards its proxies; meanwhile the rollout stands still.
+  void inject_fault(Fault fault, double counted_votes);
+  void break_connections() { api_->break_connections(); }
 
  private:
-  struct Asked {  // a request, as far as routes have it read
-    http::ExchangePtr exchange;
-    std::string name{};  // of the object in the path
-    Caller caller{};
+  struct ActiveStage {
+    int build = -1;
+    int stage = -1;
+    bool operator==(const ActiveStage&) const = default;
   };
-  struct Route {
-    const char* method;
-    const char* path;
-    Role role;
-    void (Controller::*does)(const Asked&);
-  };
-  static const std::vector<Route>& routes();
-  void handle(const http::ExchangePtr& exchange);
-  // Releases.
-  void list_routes(const Asked& asked);
-  void list(const Asked& asked);
-  void create(const Asked& asked);
-  void get(const Asked& asked);
-  void patch(const Asked& asked);
-  void remove(const Asked& asked);
-  void hold(const Asked& asked) { act(asked, "hold"); }
-  void resume(const Asked& asked) { act(asked, "resume"); }
-  void back(const Asked& asked) { act(asked, "back"); }
-  void act(const Asked& asked, const std::string& what);
-  void vote(const Asked& asked);
-  void watch(const Asked& asked, objects::Selector selector);
-  void reply(const Asked& asked, const releases::Reply& reply);
-  bool finish(const Asked& asked, releases::Reply& reply,
-              std::optional<journal::RequestKey> key = {});
-  // Proxies.
-  void proxies(const Asked& asked);
-  void heartbeat(const Asked& asked);
-  void proxy_leaves(const Asked& asked);
-  void client_outcomes(const Asked& asked);
-  bool in_trouble(const http::ExchangePtr& exchange);
-  // Steps and machines.
-  void take_plan(const Asked& asked);
-  void steps_status(const Asked& asked);
-  void steps_verify(const Asked& asked);
-  void steps_say(const Asked& asked);
-  void machine(const Asked& asked);
-  void orders(const Asked& asked);
-  void with_steps(const Asked& asked, const std::function<void()>& does);
 
-  bool tell_steps();
-  // The objects as the rollout stands.
-  void restore_objects();
-  releases::Status status_of(const releases::Release& release, TimePoint now) const;
-  std::vector<releases::Draft> observed(bool& urgent);
-  void commit(std::vector<releases::Draft> drafts, std::optional<journal::RequestKey> key = {});
-  void keep(bool all);
-  void keep_soon();
-  void offer_pending();
-  void publish(objects::Event event);
-  void look_at_members();
-  std::string fresh_id();
+  std::unique_ptr<rollout::Rollout> resume_or_start_rollout();
+  void start_steps();
+  void submit_pending_releases();
+  std::vector<Route> routes();
+  void list_routes(const ApiRequest& request) const;
+  bool sync_steps();
+  std::vector<rollout::Command> decide_commands(TimePoint now);
+  void execute(const std::vector<rollout::Command>& commands);
+  void log_progress(TimePoint now);
 
   net::Loop& loop_;
   Settings settings_;
   const log::Log& log_;
-  std::unique_ptr<rollout::Rollout> core_;
-  Orders orders_;
-  Told told_;
-  Voted voted_;
-  std::vector<rollout::Command> untaken_{};  // for whoever fetches orders
-  std::vector<rollout::Command> untold_{};   // decided, but not yet on disk
-  std::size_t seen_changes_ = 0;
-  std::pair<int, int> seen_stage_{-1, -1};  // build and stage
-  Duration lag_{};
-  TimePoint last_due_{};
-  Trouble trouble_ = Trouble::none;
-  double count_share_ = 0;
-  std::minstd_rand random_{1};
-  net::Loop::Timer look_ = net::Loop::no_timer;
+  ControllerCallbacks callbacks_;
+  FaultInjector faults_{};
+  membership::Membership membership_;
+
   std::unique_ptr<journal::Journal> journal_{};
+  std::unique_ptr<rollout::Rollout> rollout_{};
+  std::unique_ptr<ReleaseStatusBuilder> status_{};
   std::unique_ptr<steps::Target> target_{};
   std::unique_ptr<steps::Runner> runner_{};
-  std::map<std::pair<int, int>, bool> gates_{};  // by build and stage, as last told to the core
-  std::string kept_{};
-  std::optional<std::pair<std::string, std::string>>
-      pending_state_{};  // to be written with the objects
-  releases::Catalog catalog_;
-  objects::Store
-      told_objects_;  // as lists and watches have it: the catalog's store, later by the lag
-  std::string series_{};
-  membership::Members members_;
-  Tokens tokens_;
-  limits::Buckets requests_;
-  std::unique_ptr<Watches> watches_{};
-  net::Loop::Timer soon_ = net::Loop::no_timer, members_look_ = net::Loop::no_timer;
+  std::optional<StepGates> step_gates_{};
+  std::unique_ptr<ReleaseObjects> objects_{};
+  std::unique_ptr<MembershipMonitor> monitor_{};
+  std::unique_ptr<ReleaseRoutes> release_routes_{};
+  std::unique_ptr<ProxyRoutes> proxy_routes_{};
+  std::unique_ptr<StepRoutes> step_routes_{};
+  std::unique_ptr<MachineRoutes> machine_routes_{};
+
+  std::vector<rollout::Command> unwritten_commands_{};  // decided, but not yet in the journal
+  std::size_t logged_changes_ = 0;
+  ActiveStage logged_stage_{};
+  net::Loop::Timer check_timer_ = net::Loop::no_timer;
   net::Timers timers_;
-  std::unique_ptr<http::Server> server_;
+  std::unique_ptr<ApiServer> api_;
 };
 
 }  // namespace robinhoist::controller
--- /dev/null
+++ b/src/controller/membership_monitor.h
@@ -0,0 +1,34 @@
+/// Watches over the proxies' leases: ends them in time and keeps the rollout's electorate up to
+/// date.
+#pragma once
+#include <functional>
+
+#include "log/log.h"
+#include "membership/membership.h"
+#include "net/loop.h"
+#include "rollout/rollout.h"
+
+namespace robinhoist::controller {
+
+class MembershipMonitor {
+ public:
+  /// `decide` is called after a check that was due by time.
+  MembershipMonitor(net::Loop& loop, const log::Log& log, membership::Membership& membership,
+                    rollout::Rollout& rollout, std::function<void()> decide);
+  ~MembershipMonitor();
+  MembershipMonitor(const MembershipMonitor&) = delete;
+  MembershipMonitor& operator=(const MembershipMonitor&) = delete;
+
+  /// To be called after each change of the membership.
+  void check();
+
+ private:
+  net::Loop& loop_;
+  const log::Log& log_;
+  membership::Membership& membership_;
+  rollout::Rollout& rollout_;
+  std::function<void()> decide_;
+  net::Loop::Timer timer_ = net::Loop::no_timer;
+};
+
+}  // namespace robinhoist::controller
--- a/src/controller/process.cpp
+++ b/src/controller/process.cpp
@@ -2,12 +2,16 @@
 
 #include <csignal>
 
+#include "controller/controller.h"
+#include "deployment/deployment.h"
 #include "net/signals.h"
 #include "registry/service.h"
 
 namespace robinhoist::controller {
 namespace {
 
+using namespace std::chrono_literals;
+
 Token read_token(settings::Form form) {
   Token token;
   token.name = form.own_word(0, "a name");
@@ -21,19 +25,34 @@
   return token;
 }
 
+void read_steps(settings::Form& steps, settings::Form& controller, Settings& settings) {
+  settings.steps_target = steps.text("target");
+  settings.steps_lease = steps.span("lease", 100ms, 1h, 10s);
+  settings.throttle_backfills = steps.truth("throttle", true);
+  steps.finish();
+  if (settings.journal.empty())
+    controller.problem("steps", "need a (journal FILE): what ran must outlive the process");
+}
+
+bool is_loopback(const std::string& address) {
+  const std::string host = address.substr(0, address.rfind(':'));
+  return host == "localhost" || host == "[::1]" || host.rfind("127.", 0) == 0;
+}
+
 // A series of versions lives as long as the process does.
-std::string fresh_series() {
+std::string new_series() {
   return std::to_string(net::wall_now().time_since_epoch().count());
 }
 
+// Runs the service that `make` creates on a loop until a signal ends it.
 template <class Make>
-int serve(const char* who, Make make) {
-  log::Log log(who);
+int serve(const char* name, Make make) {
+  log::Log log(name);
   net::Loop loop(net::steady_now());
   net::Signals signals(loop, {SIGTERM, SIGINT}, [&](int) { loop.quit(); });
   std::signal(SIGPIPE, SIG_IGN);
   auto service = make(loop, log);
-  log.info("serves", {{"port", log::text(service->port())}});
+  log.info("listening", {{"port", log::text(service->port())}});
   loop.run();
   return 0;
 }
@@ -41,43 +60,33 @@
 }  // namespace
 
 Settings read(settings::Form root) {
-  Settings to;
-  auto deployment = deployment::read(root.sub("deployment"));
+  Settings settings;
+  const auto deployment = deployment::read(root.sub("deployment"));
   settings::Form form = root.sub("controller");
-  to.server.listen = form.text("listen");
-  to.places = form.whole("places", 1, 100000);
-  to.build = form.whole("build", 1, 65535);
-  to.journal = form.text("journal", "");
-  to.who = form.text("name", "controller");
-  if (auto steps = form.maybe("steps")) {
-    to.steps_target = steps->text("target");
-    to.lease = steps->span("lease", std::chrono::milliseconds(100), std::chrono::hours(1),
-                           std::chrono::seconds(10));
-    to.throttle = steps->truth("throttle", true);
-    steps->finish();
-    if (to.journal.empty())
-      form.problem("steps", "need a (journal FILE): what ran must outlive the process");
-  }
+  settings.server.listen = form.text("listen");
+  settings.slots = form.whole("places", 1, 100000);
+  settings.initial_build = form.whole("build", 1, 65535);
+  settings.journal = form.text("journal", "");
+  settings.name = form.text("name", "controller");
+  if (auto steps = form.maybe("steps"))
+    read_steps(*steps, form, settings);
   for (settings::Form& token : form.each("token"))
-    to.tokens.push_back(read_token(token));
+    settings.tokens.push_back(read_token(token));
   // What anybody may do must not be within anybody's reach.
-  const std::string host = to.server.listen.substr(0, to.server.listen.rfind(':'));
-  if (to.tokens.empty() && host != "localhost" && host != "[::1]" && host.rfind("127.", 0) != 0)
+  if (settings.tokens.empty() && !is_loopback(settings.server.listen))
     form.problem("listen", "is not on loopback, and there is no (token ...)");
-  to.requests_per_s = form.number("requests-per-s", 0, 1e6, 0.0);
-  to.history = static_cast<std::size_t>(form.whole("history", 10, 1000000, 1000));
-  to.watches.most = static_cast<std::size_t>(form.whole("watches", 1, 100000, 5000));
-  to.members.lease = form.span("umpire-lease", std::chrono::milliseconds(100),
-                               std::chrono::hours(1), std::chrono::seconds(3));
-  to.members.memory = form.span("umpire-memory", std::chrono::seconds(1),
-                                std::chrono::hours(24 * 7), std::chrono::minutes(10));
-  if (to.members.memory < to.members.lease)
+  settings.requests_per_s = form.number("requests-per-s", 0, 1e6, 0.0);
+  settings.max_events = static_cast<std::size_t>(form.whole("history", 10, 1000000, 1000));
+  settings.watches.max_watches = static_cast<std::size_t>(form.whole("watches", 1, 100000, 5000));
+  settings.membership.lease = form.span("umpire-lease", 100ms, 1h, 3s);
+  settings.membership.retention = form.span("umpire-memory", 1s, 24h * 7, 10min);
+  if (settings.membership.retention < settings.membership.lease)
     form.problem("umpire-memory", "is less than umpire-lease");
   form.finish();
   root.finish();
-  to.proxies = deployment.proxies;
-  to.rollout = deployment.rollout;
-  return to;
+  settings.proxies = deployment.proxies;
+  settings.rollout = deployment.rollout;
+  return settings;
 }
 
 int run(const Settings& settings) {
@@ -87,17 +96,17 @@
 }
 
 ListSettings read_list(settings::Form root) {
-  ListSettings to;
+  ListSettings settings;
   settings::Form form = root.sub("list");
-  to.server.listen = form.text("listen");
+  settings.server.listen = form.text("listen");
   form.finish();
   root.finish();
-  return to;
+  return settings;
 }
 
 int run_list(const ListSettings& settings) {
   return serve("list", [&](net::Loop& loop, const log::Log&) {
-    return std::make_unique<registry::Service>(loop, settings.server, fresh_series());
+    return std::make_unique<registry::Service>(loop, settings.server, new_series());
   });
 }
 
--- a/src/controller/process.h
+++ b/src/controller/process.h
@@ -1,17 +1,24 @@
-// The controller and the list service as processes.
+/// The controller and the endpoint registry as processes of their own.
 #pragma once
-#include "controller/controller.h"
-#include "deployment/deployment.h"
+#include "controller/settings.h"
+#include "http/server.h"
+#include "settings/form.h"
 
 namespace robinhoist::controller {
 
+/// Reads the `deployment` and `controller` sections. What is wrong with them is noted in the form,
+/// which throws settings::Invalid when it is finished.
 Settings read(settings::Form root);
+/// Serves until SIGTERM or SIGINT. Returns the process's exit status.
 int run(const Settings& settings);
 
+/// The settings of the endpoint registry.
 struct ListSettings {
   http::ServerSettings server{};
 };
+/// Reads the `list` section, as read() does.
 ListSettings read_list(settings::Form root);
+/// Serves the endpoint registry until SIGTERM or SIGINT. Returns the process's exit status.
 int run_list(const ListSettings& settings);
 
 }  // namespace robinhoist::controller
--- /dev/null
+++ b/src/controller/proxy_routes.h
@@ -0,0 +1,53 @@
+/// The routes of proxies: heartbeats, votes, reports of client outcomes, and the list of proxies.
+#pragma once
+#include <functional>
+#include <string>
+
+#include "controller/api_request.h"
+#include "controller/fault_injection.h"
+#include "controller/membership_monitor.h"
+#include "controller/settings.h"
+#include "controller/watches.h"
+#include "membership/membership.h"
+#include "policy/release.h"
+#include "policy/request.h"
+#include "releases/catalog.h"
+#include "rollout/rollout.h"
+#include "steps/runner.h"
+
+namespace robinhoist::controller {
+
+/// Told of each vote and what came of it.
+using VoteCallback =
+    std::function<void(const std::string& proxy, int build, int stage, Verdict, Outcome)>;
+
+class ProxyRoutes {
+ public:
+  /// All must outlive it. `steps` may be null, and callbacks but `decide` empty.
+  struct Dependencies {
+    net::Loop& loop;
+    const log::Log& log;
+    const Settings& settings;
+    membership::Membership& membership;
+    MembershipMonitor& monitor;
+    rollout::Rollout& rollout;
+    const releases::Catalog& catalog;
+    const Watches& watches;
+    FaultInjector& faults;
+    steps::Runner* steps;
+    VoteCallback voted;
+    std::function<void()> decide;
+  };
+  explicit ProxyRoutes(Dependencies dependencies) : deps_(std::move(dependencies)) {}
+
+  void list(const ApiRequest& request);
+  void heartbeat(const ApiRequest& request);
+  void leave(const ApiRequest& request);
+  void vote(const ApiRequest& request);
+  void client_outcomes(const ApiRequest& request);
+
+ private:
+  Dependencies deps_;
+};
+
+}  // namespace robinhoist::controller
--- /dev/null
+++ b/src/controller/step_gates.cpp
@@ -0,0 +1,38 @@
+#include "controller/step_gates.h"
+
+namespace robinhoist::controller {
+
+bool StepGates::sync(TimePoint now) {
+  report_releases(now);
+  const int build = rollout_.release_update(now).build;
+  bool changed = false;
+  for (int stage = 0; stage < stages_; ++stage) {
+    const auto gate = runner_.allows(build, stage) ? rollout::Gate::open : rollout::Gate::closed;
+    const auto [present, is_new] = gates_.try_emplace({build, stage}, gate);
+    if (!is_new && present->second == gate)
+      continue;
+    present->second = gate;
+    changed = true;
+    rollout_.set_gate(build, stage, gate);
+  }
+  return changed;
+}
+
+void StepGates::report_releases(TimePoint now) {
+  for (const auto& [build, phase] : rollout_.past_outcomes()) {
+    const bool released = phase == ReleasePhase::released;
+    steps::Release past{.stage = stages_ - 1, .offered = true};
+    past.withdrawn = !released;
+    past.going_back = !released;
+    past.final = released;
+    runner_.release(build, past);
+  }
+  const ReleaseUpdate update = rollout_.release_update(now);
+  steps::Release present{.stage = rollout_.active_stage(), .offered = true};
+  present.going_back = update.phase == ReleasePhase::rolling_back;
+  present.withdrawn = update.phase == ReleasePhase::rolled_back;
+  present.final = update.phase == ReleasePhase::released && !rollout_.can_roll_back(now);
+  runner_.release(update.build, present);
+}
+
+}  // namespace robinhoist::controller
--- /dev/null
+++ b/src/controller/step_gates.h
@@ -0,0 +1,38 @@
+/// The exchange between the rollout and the runner of migration steps: the runner learns where each
+/// release stands, the rollout which stages its steps allow.
+#pragma once
+#include <map>
+
+#include "rollout/rollout.h"
+#include "steps/runner.h"
+#include "time/time_types.h"
+
+namespace robinhoist::controller {
+
+class StepGates {
+ public:
+  /// `stages` is the number of stages of a release. Both must outlive it.
+  StepGates(rollout::Rollout& rollout, steps::Runner& runner, int stages)
+      : rollout_(rollout), runner_(runner), stages_(stages) {}
+
+  /// Brings both up to date; true when a gate has opened or closed.
+  bool sync(TimePoint now);
+
+ private:
+  struct StageId {
+    int build;
+    int stage;
+    friend bool operator<(const StageId& a, const StageId& b) {
+      return a.build != b.build ? a.build < b.build : a.stage < b.stage;
+    }
+  };
+
+  void report_releases(TimePoint now);
+
+  rollout::Rollout& rollout_;
+  steps::Runner& runner_;
+  int stages_;
+  std::map<StageId, rollout::Gate> gates_{};  // as last set
+};
+
+}  // namespace robinhoist::controller
--- /dev/null
+++ b/src/controller/step_routes.cpp
@@ -0,0 +1,97 @@
+#include "controller/step_routes.h"
+
+#include "journal/journal.h"
+#include "settings/form.h"
+
+namespace robinhoist::controller {
+
+void StepRoutes::answer_errors(const ApiRequest& request, const std::function<void()>& handle) {
+  const auto answer = [&](int status, const std::string& text) {
+    request.exchange->answer(http::text_response(status, text + "\n"));
+  };
+  if (!steps_) {
+    answer(404, "this controller runs no steps");
+    return;
+  }
+  try {
+    handle();
+  } catch (const json::BadInput& error) {
+    answer(422, error.what());
+  } catch (const settings::Invalid& error) {
+    answer(422, error.what());
+  } catch (const journal::Failed& error) {
+    answer(503, error.what());
+  }
+}
+
+void StepRoutes::take_plan(const ApiRequest& request) {
+  answer_errors(request, [&] {
+    const std::string author(request.http().headers.get("X-Who"));
+    const int build = steps_->take_plan(request.http().body, "plan",
+                                        author.empty() ? request.caller.name : author);
+    plan_taken_();
+    decide_();
+    json::Out out;
+    out.open().put("build", build).close();
+    request.exchange->answer(http::json_response(200, out.text()));
+  });
+}
+
+void StepRoutes::status(const ApiRequest& request) {
+  answer_errors(request,
+                [&] { request.exchange->answer(http::json_response(200, steps_->status())); });
+}
+
+void StepRoutes::verify(const ApiRequest& request) {
+  answer_errors(request, [&] {
+    steps_->verify([exchange = request.exchange](const std::string& body) {
+      exchange->answer(http::json_response(200, body));
+    });
+  });
+}
+
+StepRoutes::Author StepRoutes::read_author(const ApiRequest& request, const json::Json& body) {
+  return {json::text_or(body, "who", request.caller.name), json::text_or(body, "why", "")};
+}
+
+void StepRoutes::set_paused(const ApiRequest& request, bool paused) {
+  answer_errors(request, [&] {
+    const auto body = json::object_of(request.http().body);
+    const Author author = read_author(request, body);
+    respond(request, steps_->pause(paused, author.who, author.why));
+  });
+}
+
+void StepRoutes::act_on_step(const ApiRequest& request, StepAction action) {
+  answer_errors(request, [&] {
+    const auto body = json::object_of(request.http().body);
+    const Author author = read_author(request, body);
+    const int build = json::whole(body, "build");
+    const std::string step = json::text(body, "step");
+    respond(request, (steps_->*action)(build, step, author.who, author.why));
+  });
+}
+
+void StepRoutes::pause(const ApiRequest& request) {
+  set_paused(request, true);
+}
+
+void StepRoutes::resume(const ApiRequest& request) {
+  set_paused(request, false);
+}
+
+void StepRoutes::retry(const ApiRequest& request) {
+  act_on_step(request, &steps::Runner::retry);
+}
+
+void StepRoutes::skip(const ApiRequest& request) {
+  act_on_step(request, &steps::Runner::skip);
+}
+
+void StepRoutes::respond(const ApiRequest& request, const std::string& rejection) {
+  decide_();
+  request.exchange->answer(rejection.empty() ? http::json_response(200, steps_->status())
+                                             : http::text_response(409, rejection + "\n"));
+}
+
+}  // namespace robinhoist::controller
--- a/src/controller/tokens.h
+++ b/src/controller/tokens.h
@@ -1,5 +1,5 @@
-// Who may do what: API tokens, held as SHA-256 only. Without any token everybody may do everything,
-// which is why the settings then allow no other address than loopback.
+/// Who may do what: API tokens, of which only SHA-256 sums are held. Without any token everybody
+/// may do everything, which is why the settings then allow no other address than loopback.
 #pragma once
 #include <optional>
 #include <string>
@@ -8,11 +8,18 @@
 
 namespace robinhoist::controller {
 
-// read: get, list, watch. proxy: the same, and heartbeats and votes. operate: everything.
+/// Each may do what the one before may. `read`: get, list, watch. `proxy`: heartbeats and votes.
+/// `operate`: everything.
 enum class Role { read, proxy, operate };
 
+/// Whether one role includes another.
+bool may(Role role, Role required);
+
 struct Token {
-  std::string name{}, sha256{};  // lower-case hex
+  /// Of the caller.
+  std::string name{};
+  /// Of the token's text, in lower-case hexadecimal.
+  std::string sha256{};
   Role role = Role::read;
 };
 
@@ -24,15 +31,14 @@
 class Tokens {
  public:
   explicit Tokens(std::vector<Token> tokens) : tokens_(std::move(tokens)) {}
-  // Of an Authorization header; nothing when it is none that is known.
+  /// The caller that an Authorization header names; nothing when it holds no known token.
   std::optional<Caller> caller(std::string_view authorization) const;
-  bool open() const { return tokens_.empty(); }
 
  private:
   std::vector<Token> tokens_;
 };
 
-bool may(Role has, Role needs);
-std::string sha256(std::string_view text);  // lower-case hex
+/// In lower-case hexadecimal.
+std::string sha256(std::string_view text);
 
 }  // namespace robinhoist::controller
--- a/src/controller/watches.cpp
+++ b/src/controller/watches.cpp
@@ -4,183 +4,205 @@
 
 namespace robinhoist::controller {
 namespace {
+
 using namespace std::chrono_literals;
-constexpr int at_a_time = 50;
+
+constexpr int batch_size = 50;
 
 std::string error_line(int code, const char* reason, std::int64_t version) {
-  return json::Out()
-             .open()
-             .put("type", "ERROR")
-             .open("object")
-             .put("code", code)
-             .put("reason", reason)
-             .put("resourceVersion", std::to_string(version))
-             .close()
-             .close()
-             .text() +
-         "\n";
+  json::Out out;
+  out.open();
+  out.put("type", "ERROR");
+  out.open("object");
+  out.put("code", code);
+  out.put("reason", reason);
+  out.put("resourceVersion", std::to_string(version));
+  out.close();
+  out.close();
+  return out.text() + "\n";
+}
+
+// How long ago the state that an object shows began.
+double age_ms(const objects::Snapshot& object) {
+  const double now_ms = static_cast<double>(net::wall_now().time_since_epoch().count()) / 1e3;
+  const double age = now_ms - static_cast<double>(object.since.time_since_epoch().count());
+  return age > 0 ? age : 0;
 }
+
 }  // namespace
 
 Watches::Watches(net::Loop& loop, const objects::Store& store, const std::string& series,
-                 const WatchSettings& settings, Told told)
+                 const WatchSettings& settings, NotifiedCallback notified)
     : loop_(loop),
       store_(store),
       series_(series),
       settings_(settings),
-      told_(std::move(told)),
+      notified_(std::move(notified)),
       timers_(loop) {
-  timers_.in(settings_.bookmark_every, [this] { bookmarks(); });
+  timers_.in(settings_.bookmark_interval, [this] { send_bookmarks(); });
 }
 
 Watches::~Watches() {
-  for (Watcher& one : watchers_) {
-    loop_.cancel(one.end);
-    one.exchange->on_disconnect = nullptr;
+  for (Watch& watch : watches_) {
+    loop_.cancel(watch.timeout);
+    watch.exchange->on_disconnect = nullptr;
   }
 }
 
-double Watches::age_ms(const objects::Snapshot& what) const {
-  const double age = static_cast<double>(net::wall_now().time_since_epoch().count()) / 1e3 -
-                     static_cast<double>(what.since_ms);
-  return age > 0 ? age : 0;
-}
-
-bool Watches::write(Watcher& watcher, const char* type, const objects::Snapshot& what) {
-  std::string line = json::Out()
-                         .open()
-                         .put("type", type)
-                         .put("version", static_cast<long>(what.version))
-                         .put("ageMs", age_ms(what))
-                         .close()
-                         .text();
-  line.pop_back();
-  line += ",\"object\":" + (watcher.ask.brief ? what.brief : what.full) + "}\n";
-  if (told_ && !watcher.ask.proxy.empty())
-    told_(watcher.ask.proxy, what);
-  return watcher.exchange->write(line);
-}
-
-bool Watches::bookmark(Watcher& watcher) {
-  return watcher.exchange->write(json::Out()
-                                     .open()
-                                     .put("type", "BOOKMARK")
-                                     .put("version", static_cast<long>(watcher.version))
-                                     .put("series", series_)
-                                     .close()
-                                     .text() +
-                                 "\n");
-}
-
-bool Watches::add(const http::ExchangePtr& exchange, WatchAsk ask) {
-  if (watchers_.size() >= settings_.most)
+bool Watches::add(const http::ExchangePtr& exchange, WatchOptions options) {
+  if (watches_.size() >= settings_.max_watches)
     return false;
-  const bool first = !ask.proxy.empty();
-  const At at =
-      watchers_.insert(first ? watchers_.begin() : watchers_.end(), {exchange, std::move(ask)});
+  const bool is_proxy = !options.proxy.empty();
+  const Position watch =
+      watches_.insert(is_proxy ? watches_.begin() : watches_.end(), {exchange, std::move(options)});
   http::Response head;
   head.headers.add("Content-Type", "application/json;stream=watch");
   head.headers.add("Cache-Control", "no-store");
   exchange->begin_stream(head);
-  exchange->on_disconnect = [this, at] {
-    at->gone = true;
-    remove(at);
+  set_end(watch);
+  // The first bookmark tells that all objects have been listed, and of which series the versions
+  // are.
+  if (!(send_initial(*watch) && send_bookmark(*watch) && send_changes(*watch)))
+    remove(watch);
+  return true;
+}
+
+void Watches::set_end(Position watch) {
+  watch->exchange->on_disconnect = [this, watch] {
+    watch->disconnected = true;
+    remove(watch);
   };
-  if (at->ask.within > Duration{})
-    at->end = loop_.in(at->ask.within, [this, at] {
-      at->end = net::Loop::no_timer;
-      remove(at);
+  if (watch->options.timeout > Duration{})
+    watch->timeout = loop_.in(watch->options.timeout, [this, watch] {
+      watch->timeout = net::Loop::no_timer;
+      remove(watch);
     });
-  bool well = true;
-  if (at->ask.since) {
-    at->version = *at->ask.since;
-  } else {
-    at->version = store_.version();
-    for (auto& [name, object] : store_.objects())
-      if (at->ask.selector.takes(object->labels, object->fields))
-        well = well && write(*at, "ADDED", *object);
+}
+
+bool Watches::send_initial(Watch& watch) {
+  if (watch.options.resume_after) {
+    watch.version = *watch.options.resume_after;
+    return true;
+  }
+  watch.version = store_.version();
+  for (const auto& [name, object] : store_.objects()) {
+    if (!watch.options.selector.matches(object->labels, object->fields))
+      continue;
+    if (!send_object(watch, objects::to_string(objects::Change::added), *object))
+      return false;
   }
-  // The first bookmark says that all there was has been told, and of which series the versions are.
-  if (!(well && bookmark(*at) && serve(*at)))
-    remove(at);
   return true;
 }
 
-// False: it is to be removed.
-bool Watches::serve(Watcher& watcher) {
-  if (watcher.gone)
+bool Watches::send_object(Watch& watch, const char* type, const objects::Snapshot& object) {
+  json::Out out;
+  out.open();
+  out.put("type", type);
+  out.put("version", static_cast<long>(object.version));
+  out.put("ageMs", age_ms(object));
+  out.close();
+  std::string line = out.text();
+  line.pop_back();
+  line += ",\"object\":" + (watch.options.brief ? object.brief : object.full) + "}\n";
+  if (notified_ && !watch.options.proxy.empty())
+    notified_(watch.options.proxy, object);
+  return watch.exchange->write(line);
+}
+
+bool Watches::send_bookmark(Watch& watch) {
+  json::Out out;
+  out.open();
+  out.put("type", "BOOKMARK");
+  out.put("version", static_cast<long>(watch.version));
+  out.put("series", series_);
+  out.close();
+  return watch.exchange->write(out.text() + "\n");
+}
+
+bool Watches::send_changes(Watch& watch) {
+  if (watch.disconnected)
     return false;
-  if (store_.since(watcher.version) != objects::Since::held) {
-    watcher.exchange->write(error_line(410, "Expired", watcher.version));
+  if (store_.history_after(watch.version) != objects::History::available) {
+    watch.exchange->write(error_line(410, "Expired", watch.version));
     return false;
   }
-  while (const objects::Event* event = store_.after(watcher.version)) {
-    watcher.version = event->now->version;
-    const auto change = objects::seen(*event, watcher.ask.selector, watcher.ask.brief);
+  while (const objects::Event* event = store_.first_event_after(watch.version)) {
+    watch.version = event->now->version;
+    const auto change = objects::change_for(*event, watch.options.selector, watch.options.brief);
     if (!change)
       continue;
-    if (!write(watcher, objects::to_string(*change), *event->now)) {
-      ++cut_;
-      watcher.exchange->write(error_line(429, "TooSlow", watcher.version));
+    if (!send_object(watch, objects::to_string(*change), *event->now)) {
+      ++dropped_;
+      watch.exchange->write(error_line(429, "TooSlow", watch.version));
       return false;
     }
   }
   return true;
 }
 
-void Watches::wake() {
-  for (At at = watchers_.begin(); at != watchers_.end() && !at->ask.proxy.empty();) {
-    const At one = at++;
-    if (!serve(*one))
-      remove(one);
-  }
-  if (serving_) {
-    again_ = true;
+void Watches::notify() {
+  serve_proxies();
+  if (pass_running_) {
+    pass_wanted_ = true;
     return;
   }
-  serving_ = true;
-  next_ = watchers_.begin();
-  serve_some();
+  start_pass();
+  serve_batch();
+}
+
+void Watches::serve_proxies() {
+  Position next = watches_.begin();
+  while (next != watches_.end() && !next->options.proxy.empty()) {
+    const Position watch = next++;
+    if (!send_changes(*watch))
+      remove(watch);
+  }
+}
+
+void Watches::start_pass() {
+  pass_running_ = true;
+  pass_wanted_ = false;
+  next_ = watches_.begin();
 }
 
-void Watches::serve_some() {
-  for (int served = 0; served < at_a_time && next_ != watchers_.end();) {
-    const At at = next_++;
-    if (!at->ask.proxy.empty())
+void Watches::serve_batch() {
+  int served = 0;
+  while (served < batch_size && next_ != watches_.end()) {
+    const Position watch = next_++;
+    if (!watch->options.proxy.empty())
       continue;
     ++served;
-    if (!serve(*at))
-      remove(at);
+    if (!send_changes(*watch))
+      remove(watch);
   }
-  if (next_ == watchers_.end()) {
-    serving_ = false;
-    if (!again_)
+  if (next_ == watches_.end()) {
+    pass_running_ = false;
+    if (!pass_wanted_)
       return;
-    again_ = false;
-    serving_ = true;
-    next_ = watchers_.begin();
+    start_pass();
   }
-  timers_.in(0ms, [this] { serve_some(); });
+  timers_.in(0ms, [this] { serve_batch(); });
 }
 
-void Watches::remove(At at) {
-  if (next_ == at)
+void Watches::remove(Position watch) {
+  if (next_ == watch)
     ++next_;
-  loop_.cancel(at->end);
-  if (!at->gone) {
-    at->exchange->on_disconnect = nullptr;
-    at->exchange->end();
+  loop_.cancel(watch->timeout);
+  if (!watch->disconnected) {
+    watch->exchange->on_disconnect = nullptr;
+    watch->exchange->end();
   }
-  watchers_.erase(at);
+  watches_.erase(watch);
 }
 
-void Watches::bookmarks() {
-  for (At at = watchers_.begin(); at != watchers_.end();) {
-    const At one = at++;
-    if (one->version == store_.version() && !bookmark(*one))
-      remove(one);
+void Watches::send_bookmarks() {
+  Position next = watches_.begin();
+  while (next != watches_.end()) {
+    const Position watch = next++;
+    if (watch->version == store_.version() && !send_bookmark(*watch))
+      remove(watch);
   }
-  timers_.in(settings_.bookmark_every, [this] { bookmarks(); });
+  timers_.in(settings_.bookmark_interval, [this] { send_bookmarks(); });
 }
 
 }  // namespace robinhoist::controller
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -4,6 +4,7 @@
 #include <filesystem>
 
 #include "record/lines.h"
+#include "releases/release_codec.h"
 #include "rollout/names.h"
 
 namespace robinhoist::day {
@@ -75,26 +76,31 @@
   controller::Settings settings;
   settings.server.listen = "127.0.0.1:" + std::to_string(controller_port_);
   settings.rollout = day_.deployment.rollout;
-  settings.places = day_.places;
-  settings.build = day_.first.number;
+  settings.slots = day_.places;
+  settings.initial_build = day_.first.number;
   settings.proxies = day_.deployment.proxies;
   settings.journal = folder_ + "/journal";
-  settings.lease = 2s;
-  settings.throttle = day_.throttle;
+  settings.steps_lease = 2s;
+  settings.throttle_backfills = day_.throttle;
   if (database_)
     settings.steps_target = "127.0.0.1:" + std::to_string(database_->port());
   controller_ = std::make_unique<controller::Controller>(
-      loop_, settings, log_, [this](const rollout::Command& command) { execute(command); },
-      [this](const std::string& proxy, const objects::Snapshot& what) { told_news(proxy, what); },
-      [this](const std::string& proxy, int build, int stage, Verdict verdict, Outcome outcome) {
-        record::voted(told_, loop_.now(), proxy, build, stage, rollout::to_string(verdict),
-                      rollout::to_string(outcome));
-      });
+      loop_, settings, log_,
+      controller::ControllerCallbacks{
+          .execute = [this](const rollout::Command& command) { execute(command); },
+          .notified = [this](const std::string& proxy,
+                             const objects::Snapshot& what) { told_news(proxy, what); },
+          .voted =
+              [this](const std::string& proxy, int build, int stage, Verdict verdict,
+                     Outcome outcome) {
+                record::voted(told_, loop_.now(), proxy, build, stage, rollout::to_string(verdict),
+                              rollout::to_string(outcome));
+              }});
   controller_port_ = controller_->port();
   changes_ = 0;
   for (auto& [id, place] : places_)
     if (place.listed)
-      controller_->core().machine_started(id, loop_.now());
+      controller_->rollout().machine_started(id, loop_.now());
 }
 
 World::~World() = default;
@@ -135,7 +141,7 @@
   down(command.machine, false);
   places_.erase(command.machine);
   if (controller_)
-    controller_->core().machine_stopped(command.machine, loop_.now());
+    controller_->rollout().machine_stopped(command.machine, loop_.now());
 }
 
 void World::enlist(int machine) {
@@ -172,8 +178,8 @@
   enlist(machine);
   if (!controller_)
     return;
-  controller_->core().machine_started(machine, loop_.now());
-  controller_->pull();
+  controller_->rollout().machine_started(machine, loop_.now());
+  controller_->decide();
 }
 
 // The list hears of it after its lag, of a silent one later still.
@@ -231,7 +237,7 @@
       for (int id : pick(trouble.part)) {
         down(id, trouble.kind == Kind::vanish);
         if (controller_)
-          controller_->core().machine_stopped(id, loop_.now());
+          controller_->rollout().machine_stopped(id, loop_.now());
         loop_.at(end, [this, id] {
           auto at = places_.find(id);
           if (at == places_.end())
@@ -305,16 +311,16 @@
       if (!controller_)
         return;
       if (trouble.how == "stale")
-        controller_->told_after(day_.news_most + seconds(size));
+        controller_->set_publish_delay(day_.news_most + seconds(size));
       else
-        controller_->trouble(
-            trouble.how == "silence" ? controller::Trouble::silent : controller::Trouble::errors,
+        controller_->inject_fault(
+            trouble.how == "silence" ? controller::Fault::unresponsive : controller::Fault::errors,
             size);
       loop_.at(end, [this] {
         if (!controller_)
           return;
-        controller_->told_after(drawn(day_.news_least, day_.news_most));
-        controller_->trouble(controller::Trouble::none, 0);
+        controller_->set_publish_delay(drawn(day_.news_least, day_.news_most));
+        controller_->inject_fault(controller::Fault::none, 0);
       });
       break;
     default:
@@ -326,7 +332,7 @@
 void World::begin(TimePoint from) {
   from_ = from;
   list_->told_after(drawn(day_.list_least, day_.list_most));
-  controller_->told_after(drawn(day_.news_least, day_.news_most));
+  controller_->set_publish_delay(drawn(day_.news_least, day_.news_most));
   for (const Trouble& trouble : day_.troubles)
     loop_.at(from + trouble.at, [this, &trouble] { begin_trouble(trouble); });
   for (const Offer& offer : day_.offers)
@@ -342,8 +348,8 @@
     return;
   }
   if (!offer.plan.empty())
-    controller_->runner()->take_plan(offer.plan, "plan", "day");
-  controller_->offer(offer.build.number, "day");
+    controller_->steps()->take_plan(offer.plan, "plan", "day");
+  controller_->create_release(offer.build.number, "day");
 }
 
 // A build that harms all machines does so in step with the traffic that it gets.
@@ -371,7 +377,7 @@
   loop_.in(50ms, [this] { watch_changes(); });
   if (!controller_)
     return;
-  const auto& changes = controller_->core().changes();
+  const auto& changes = controller_->rollout().changes();
   for (; changes_ < changes.size(); ++changes_) {
     const rollout::Change& change = changes[changes_];
     record::release_moved(told_, change.at, change.build, change.stage,
@@ -385,14 +391,14 @@
 
 // As the proxy takes it: the newest release that has begun.
 void World::told_news(const std::string& proxy, const objects::Snapshot& what) {
-  const releases::Release release = releases::decoded(what.full);
+  const releases::Release release = releases::decode(what.full);
   const releases::Status& status = release.status;
   int& newest = newest_told_[proxy];
-  if (status.phase == "pending" || release.build < newest)
+  if (!status.phase || release.build < newest)
     return;
   newest = release.build;
-  record::told_news(told_, loop_.now(), proxy, release.build, status.stage, status.phase,
-                    status.cap);
+  record::told_news(told_, loop_.now(), proxy, release.build, status.stage,
+                    rollout::to_string(*status.phase), status.cap);
 }
 
 }  // namespace robinhoist::day
--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -121,7 +121,7 @@
   // The controller.
   std::unique_ptr<rollout::Rollout> core_{};
   rollout::RolloutState state_{};
-  membership::Members members_;
+  membership::Membership members_;
   ReleaseUpdate published_{};
   TimePoint published_at_{};
   Duration news_lag_{};
@@ -418,7 +418,7 @@
   if (!core_ || silent_ || errors_)
     return;
   const TimePoint now = engine_.now();
-  core_->set_electorate({members_.to_go_on(), members_.to_go_back()});
+  core_->set_electorate({members_.promotion_electorate(), members_.rollback_electorate()});
   while (auto one = core_->next_command(now)) {
     execute(*one);
     if (!core_)
@@ -484,7 +484,7 @@
     const bool counts = !errors_ && (!silent_ || uniform_sample() < counted_);
     Outcome outcome = Outcome::error;
     if (counts) {
-      members_.heard(name_of(u), std::to_string(proxies_[u]->life()), engine_.now());
+      members_.heartbeat(name_of(u), std::to_string(proxies_[u]->life()), engine_.now());
       outcome = core_->vote(name_of(u), build, stage, verdict, engine_.now());
     }
     if (told_)
@@ -500,10 +500,10 @@
 void Run::beat() {
   for (int u = 0; core_ && !silent_ && !errors_ && u < static_cast<int>(proxies_.size()); ++u)
     if (proxies_[u]->up())
-      members_.heard(name_of(u), std::to_string(proxies_[u]->life()), engine_.now());
+      members_.heartbeat(name_of(u), std::to_string(proxies_[u]->life()), engine_.now());
   if (core_)
-    members_.canary_running(core_->release_update(engine_.now()).phase == ReleasePhase::canary);
-  members_.tick(engine_.now());
+    members_.set_canary_running(core_->release_update(engine_.now()).phase == ReleasePhase::canary);
+  members_.expire(engine_.now());
   engine_.in(beat_every, [this] { beat(); });
 }
 
--- a/src/emulator/run.h
+++ b/src/emulator/run.h
@@ -9,7 +9,7 @@
 
 #include "day/notation.h"
 #include "emulator/simulated_proxy.h"
-#include "membership/members.h"
+#include "membership/membership.h"
 #include "rollout/rollout.h"
 #include "time/time_types.h"
 
--- a/src/objects/selector.h
+++ b/src/objects/selector.h
@@ -1,6 +1,6 @@
-// Which objects somebody wants: requirements on labels and fields, as Kubernetes writes them:
-// `team=front,tier!=test,zone in (a,b),zone notin (c),canary,!old`, and for fields
-// `status.phase=canary`.
+/// Selectors of objects: requirements on labels and fields in the syntax of Kubernetes, such as
+/// `team=front,tier!=test,zone in (a,b),zone notin (c),canary,!old`, and for fields
+/// `status.phase=released`.
 #pragma once
 #include <map>
 #include <stdexcept>
@@ -10,36 +10,45 @@
 
 namespace robinhoist::objects {
 
+/// Labels or fields of an object, by name.
 using Fields = std::map<std::string, std::string>;
 
-// Where a selector makes no sense, in words.
-struct BadSelector : std::runtime_error {
+/// A selector that can't be read; what() tells which requirement and why.
+struct SelectorError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 class Selector {
  public:
-  Selector() = default;  // takes all
+  /// Matches every object.
+  Selector() = default;
+  /// Throws SelectorError.
   Selector(std::string_view labels, std::string_view fields);
-  bool takes(const Fields& labels, const Fields& fields) const;
+  bool matches(const Fields& labels, const Fields& fields) const;
 
  private:
-  enum class Op { in, not_in, there, not_there };
-  struct Need {
+  enum class Operator { in, not_in, exists, does_not_exist };
+  struct Requirement {
     std::string key{};
-    Op op = Op::there;
+    Operator op = Operator::exists;
     std::vector<std::string> values{};
   };
-  static std::vector<Need> parse(std::string_view text);
-  static bool met(const Need& need, const Fields& of);
-  std::vector<Need> labels_{}, fields_{};
+  static std::vector<Requirement> parse(std::string_view text);
+  static Requirement parse_requirement(std::string_view text);
+  static Requirement parse_set(std::string_view text, std::size_t parenthesis);
+  static Requirement parse_equality(std::string_view text, std::size_t equals);
+  static bool satisfies(const Fields& fields, const Requirement& requirement);
+
+  std::vector<Requirement> labels_{};
+  std::vector<Requirement> fields_{};
 };
 
-// Words that may stand in labels: at most 63 of [A-Za-z0-9._-], and a name may have a prefix before
-// a slash.
-bool label_name(std::string_view text);
-bool label_value(std::string_view text);
-// Of objects: at most 63 of [a-z0-9-], no dash at either end.
-bool object_name(std::string_view text);
+/// Whether a text can name a label: at most 63 of [A-Za-z0-9._-], perhaps behind a prefix and a
+/// slash.
+bool is_label_name(std::string_view text);
+/// Whether a text can be a label's value: at most 63 of [A-Za-z0-9._-].
+bool is_label_value(std::string_view text);
+/// Whether a text can name an object: at most 63 of [a-z0-9-], no dash at either end.
+bool is_object_name(std::string_view text);
 
 }  // namespace robinhoist::objects
--- a/src/objects/store.h
+++ b/src/objects/store.h
@@ -1,7 +1,8 @@
-// Objects of one kind as they are told to others: each change has a version that only grows, and
-// the last changes are kept for those that watch. Free of I/O and clocks. What is taken here is
-// final: whoever calls has written it down before.
+/// A versioned store of the API's objects of one kind: each change has a version that only grows,
+/// and the last changes are kept for watches that resume. Free of I/O and clocks; not thread safe.
+/// The store does not persist: a change is appended only after it has been written to disk.
 #pragma once
+#include <chrono>
 #include <cstdint>
 #include <deque>
 #include <map>
@@ -13,57 +14,72 @@
 
 namespace robinhoist::objects {
 
+/// Wall-clock time at the resolution that objects have. The epoch stands for "none".
+using WallMillis = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
+
+/// In the order in which the journal numbers them.
 enum class Change { added, modified, deleted };
 
-// An object as it stood at a version. The texts are JSON; `brief` is the part that a watcher of
-// `brief` sees.
+/// The name of a kind of change in a watch event.
+const char* to_string(Change change);
+
+/// An object as it stood at a version, ready to be sent.
 struct Snapshot {
   std::string name{};
   std::int64_t version = 0;
-  Fields labels{}, fields{};  // for selectors
-  std::string full{}, brief{};
-  std::int64_t since_ms = 0;  // wall clock: when its state began, as far as ages are told
+  /// What selectors are matched against.
+  Fields labels{};
+  Fields fields{};
+  /// The object as JSON, and the part of it that a brief view shows.
+  std::string full{};
+  std::string brief{};
+  /// When the state that the object shows began.
+  WallMillis since{};
 };
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
 struct Event {
   Change change;
-  SnapshotPtr now;     // of a deleted one: as it last was, with the version of its end
-  SnapshotPtr before;  // null for an added one
+  /// Of a deleted object: its last state, with the version of the deletion.
+  SnapshotPtr now;
+  /// Null for an added object.
+  SnapshotPtr before;
 };
 
-enum class Since { held, compacted, ahead };
+/// Whether the events after a version are all there: `compacted` when some were let go, `ahead`
+/// when the version has not been reached.
+enum class History { available, compacted, ahead };
 
 class Store {
  public:
-  // Keeps so many changes.
-  explicit Store(std::size_t window) : window_(window) {}
-  // As it stood when the process last ended; `oldest` is the version before the first event given.
+  /// Keeps the last `max_events` events.
+  explicit Store(std::size_t max_events) : max_events_(max_events) {}
+  /// Takes over the state that was persisted. `oldest` is the version before the first event.
   void restore(std::int64_t version, std::int64_t oldest,
                std::map<std::string, SnapshotPtr> objects, std::deque<Event> events);
 
-  // In the order of versions.
-  void take(Event event);
+  /// Applies an event; its version is the next after version().
+  void append(Event event);
 
   std::int64_t version() const { return version_; }
   const std::map<std::string, SnapshotPtr>& objects() const { return objects_; }
+  /// Null when there is none of that name.
   SnapshotPtr find(const std::string& name) const;
-  // Whether all that came after a version can be told.
-  Since since(std::int64_t version) const;
-  // The first change after a version; null when there is none.
-  const Event* after(std::int64_t version) const;
+  History history_after(std::int64_t version) const;
+  /// The first event after a version; null when there is none.
+  const Event* first_event_after(std::int64_t version) const;
 
  private:
-  std::size_t window_;
-  std::int64_t version_ = 0, oldest_ = 0;  // oldest_: what came up to it has been let go
+  std::size_t max_events_;
+  std::int64_t version_ = 0;
+  std::int64_t oldest_ = 0;  // events up to this version were let go
   std::map<std::string, SnapshotPtr> objects_{};
   std::deque<Event> events_{};
 };
 
-// What a watcher with a selector is told of an event; nothing when it is none of its own. One that
-// comes into the selection is added to it, one that leaves is deleted from it. With `brief` what
-// changes elsewhere is passed over.
-std::optional<Change> seen(const Event& event, const Selector& selector, bool brief);
-const char* to_string(Change change);
+/// What an event is to a watch with a selector; nothing when it does not concern it. An object that
+/// comes to match is added, one that no longer does is deleted. With `brief`, a change that the
+/// brief view does not show is passed over.
+std::optional<Change> change_for(const Event& event, const Selector& selector, bool brief);
 
 }  // namespace robinhoist::objects
--- a/src/proxy/sources.cpp
+++ b/src/proxy/sources.cpp
@@ -151,7 +151,7 @@
         "&series=" + follower_.series() + "&resourceVersion=" + std::to_string(follower_.version());
   if (!settings_.token.empty())
     request.headers.add("Authorization", "Bearer " + settings_.token);
-  follower_.begins(anew);
+  follower_.begin(anew);
   stream_.start(
       request, {silent_most, silent_most}, [this](std::string& body) { return take(body); },
       [this](int status, const std::string&) { ended(status); });
@@ -160,16 +160,16 @@
 bool WatchReleaseSource::take(std::string& body) {
   bool alive = false;
   for (;;) {
-    const auto line = follower_.take(body, loop_.now());
+    const auto line = follower_.consume_line(body, loop_.now());
     if (line == releases::Follower::Line::none)
       break;
     alive = true;
-    if (line == releases::Follower::Line::taken)
+    if (line == releases::Follower::Line::accepted)
       continue;
     // Told that it can't go on from there, or not understood: all of it again.
     follower_ = {};
     stream_.stop();
-    ended(line == releases::Follower::Line::begin_anew ? 410 : 0);
+    ended(line == releases::Follower::Line::expired ? 410 : 0);
     return false;
   }
   if (!alive)
@@ -178,7 +178,7 @@
     log_.info("releases are heard of again", {{"from", stream_.peer().toString()}});
   failing_ = false;
   backoff_.worked();
-  if (auto news = follower_.news(loop_.now())) {
+  if (auto news = follower_.next_update(loop_.now())) {
     newest_ = news->name;
     heard_(news->release);
     acknowledged_ = news;
--- a/src/proxy/sources.h
+++ b/src/proxy/sources.h
@@ -104,7 +104,7 @@
   retry::Backoff backoff_;
   releases::Follower follower_{};
   std::string session_{}, newest_{};  // of this process; the name of the release that it goes by
-  std::optional<releases::Follower::Heard> acknowledged_{};
+  std::optional<releases::Follower::Update> acknowledged_{};
   Heard heard_{};
   Duration beat_every_{};
   net::Loop::Timer again_ = net::Loop::no_timer, beat_ = net::Loop::no_timer;
--- a/src/releases/catalog.cpp
+++ b/src/releases/catalog.cpp
@@ -2,183 +2,156 @@
 
 #include <algorithm>
 
+#include "releases/release_codec.h"
+
 namespace robinhoist::releases {
+namespace {
+
+// Clients read it in the first release's spec.
+constexpr const char* initial_description = "ran already when the controller first started";
+
+std::string default_name(int build) {
+  return "build-" + std::to_string(build);
+}
+
+void check_version(const Release& release, ExpectedVersion expected) {
+  if (expected && *expected != release.version)
+    throw version_conflict(release, *expected);
+}
+
+// The fields of a release that the controller sets when it is created.
+void initialize(Release& release, const std::string& uid, std::int64_t version, WallMillis now) {
+  release.uid = uid;
+  release.created = now;
+  release.version = version;
+  release.finalizers = {machines_finalizer};
+  release.status.since = now;
+}
+
+}  // namespace
 
 void Catalog::restore(std::map<std::string, Release> releases, std::int64_t version,
                       std::int64_t oldest, std::deque<objects::Event> events) {
   releases_ = std::move(releases);
   std::map<std::string, objects::SnapshotPtr> objects;
-  for (auto& [name, release] : releases_)
-    objects[name] = snapshot(release);
+  for (const auto& [name, release] : releases_)
+    objects[name] = make_snapshot(release);
   store_.restore(version, oldest, std::move(objects), std::move(events));
 }
 
 const Release* Catalog::find(const std::string& name) const {
-  auto at = releases_.find(name);
-  return at == releases_.end() ? nullptr : &at->second;
+  const auto found = releases_.find(name);
+  return found == releases_.end() ? nullptr : &found->second;
 }
 
-const Release* Catalog::of_build(int build) const {
-  auto at = std::find_if(releases_.begin(), releases_.end(),
-                         [&](auto& r) { return r.second.build == build; });
-  return at == releases_.end() ? nullptr : &at->second;
+const Release* Catalog::find_build(int build) const {
+  const auto found = std::find_if(releases_.begin(), releases_.end(),
+                                  [&](const auto& each) { return each.second.build == build; });
+  return found == releases_.end() ? nullptr : &found->second;
 }
 
-Reply Catalog::missing(const std::string& name) const {
-  return {.status = 404,
-          .title = "no such release",
-          .detail = "there is no release " + name,
-          .name = name};
-}
-
-std::optional<Reply> Catalog::refused(const Release& release, Believed believed) const {
-  if (!believed || *believed == release.version)
-    return {};
-  return Reply{.status = 409,
-               .title = "the release has changed",
-               .detail = "it is of version " + std::to_string(release.version) + ", not " +
-                         std::to_string(*believed),
-               .name = release.name,
-               .present_version = release.version};
+const Release& Catalog::get(const std::string& name, ExpectedVersion expected) const {
+  const Release* release = find(name);
+  if (!release)
+    throw no_such_release(name);
+  check_version(*release, expected);
+  return *release;
 }
 
-Reply Catalog::create(const Json& body, const std::string& uid, int newest_build,
-                      std::int64_t now_ms) const {
-  Reply reply{.status = 201};
-  auto release = created(body, reply.problems);
-  if (!release)
-    return {.status = 422,
-            .title = "the release makes no sense",
-            .detail = "see errors",
-            .problems = reply.problems};
-  reply.name = release->name;
-  if (const Release* same = find(release->name))
-    return {.status = 409,
-            .title = "the name is taken",
-            .detail = "there is a release " + release->name + " already",
-            .name = release->name,
-            .present_version = same->version};
-  if (release->build <= newest_build)
-    return {.status = 422,
-            .title = "the release makes no sense",
-            .detail = "builds only grow",
-            .problems = {{"/spec/build", "is not newer than " + std::to_string(newest_build)}},
-            .name = release->name};
-  release->uid = uid;
-  release->created_ms = now_ms;
-  release->version = next_version();
-  release->finalizers = {machines_run};
-  release->status.since_ms = now_ms;
-  reply.draft = Draft{objects::Change::added, *release};
-  return reply;
+ChangeResult Catalog::create(const Json& body, const std::string& uid, int newest_build,
+                             WallMillis now) const {
+  Release release = parse_creation(body);
+  if (const Release* present = find(release.name))
+    throw name_taken(*present);
+  if (release.build <= newest_build)
+    throw build_not_newer(newest_build);
+  initialize(release, uid, next_version(), now);
+  return {release.name, Completion::created, Draft{objects::Change::added, release}};
 }
 
-Draft Catalog::found(int build, const std::string& uid, std::int64_t now_ms) const {
+Draft Catalog::initial_release(int build, const std::string& uid, WallMillis now) const {
   Release release;
-  release.name = "build-" + std::to_string(build);
+  release.name = default_name(build);
   // Somebody may have taken that name for another build.
-  for (int n = 2; find(release.name); ++n)
-    release.name = "build-" + std::to_string(build) + "-" + std::to_string(n);
-  release.uid = uid;
-  release.created_ms = now_ms;
-  release.version = next_version();
+  for (int suffix = 2; find(release.name); ++suffix)
+    release.name = default_name(build) + "-" + std::to_string(suffix);
   release.build = build;
-  release.description = "ran already when the controller first started";
-  release.finalizers = {machines_run};
-  release.status.since_ms = now_ms;
+  release.description = initial_description;
+  initialize(release, uid, next_version(), now);
   return {objects::Change::added, release};
 }
 
-Reply Catalog::patch(const std::string& name, const Json& body, Believed believed) const {
-  const Release* release = find(name);
-  if (!release)
-    return missing(name);
-  Reply reply{.name = name};
-  std::optional<std::int64_t> named;
-  auto to = patched(*release, body, named, reply.problems);
-  if (!to)
-    return {.status = 422,
-            .title = "the patch makes no sense",
-            .detail = "see errors",
-            .problems = reply.problems,
-            .name = name};
-  for (Believed one : {believed, named})
-    if (auto no = refused(*release, one))
-      return *no;
-  if (to->labels == release->labels && to->description == release->description)
-    return reply;
-  to->version = next_version();
-  reply.draft = Draft{objects::Change::modified, *to};
-  return reply;
-}
-
-Reply Catalog::act(const std::string& name, Believed believed) const {
-  const Release* release = find(name);
-  if (!release)
-    return missing(name);
-  if (auto no = refused(*release, believed))
-    return *no;
-  return {.name = name};
+ChangeResult Catalog::patch(const std::string& name, const Json& body,
+                            ExpectedVersion expected) const {
+  const Release& release = get(name);
+  PatchedRelease patched = apply_patch(release, body);
+  check_version(release, expected);
+  check_version(release, patched.expected_version);
+  ChangeResult result{name};
+  if (patched.release.labels == release.labels &&
+      patched.release.description == release.description)
+    return result;
+  patched.release.version = next_version();
+  result.draft = Draft{objects::Change::modified, patched.release};
+  return result;
 }
 
-Reply Catalog::remove(const std::string& name, Believed believed, std::int64_t now_ms) const {
-  Reply reply = act(name, believed);
-  if (reply.status != 200)
-    return reply;
-  Release release = *find(name);
-  reply.status = 202;
-  if (release.deleting_ms > 0)
-    return reply;
+ChangeResult Catalog::remove(const std::string& name, ExpectedVersion expected,
+                             WallMillis now) const {
+  Release release = get(name, expected);
+  ChangeResult result{name, Completion::accepted};
+  if (release.is_deleting())
+    return result;
   release.version = next_version();
-  release.deleting_ms = now_ms;
-  if (release.status.machines == 0 && release.status.phase != "pending")
+  release.deletion_requested = now;
+  if (release.status.machines == 0 && release.status.phase)
     release.finalizers.clear();
   const bool gone = release.finalizers.empty();
   if (gone)
-    reply.status = 200;
-  reply.draft = Draft{gone ? objects::Change::deleted : objects::Change::modified, release};
-  return reply;
+    result.completion = Completion::done;
+  result.draft = Draft{gone ? objects::Change::deleted : objects::Change::modified, release};
+  return result;
 }
 
-std::optional<Draft> Catalog::observe(const std::string& name, Status status,
-                                      std::int64_t now_ms) const {
-  const Release* held = find(name);
-  if (!held)
+std::optional<Draft> Catalog::update_status(const std::string& name, Status status,
+                                            WallMillis now) const {
+  const Release* present = find(name);
+  if (!present)
     return {};
-  // What does not turn keeps its time.
-  Release release = *held;
-  const std::vector<Condition> fresh = std::move(status.conditions);
-  status.conditions = held->status.conditions;
-  for (const Condition& one : fresh)
-    status.condition(one.type, one.status, one.reason, one.message, now_ms);
-  status.observed_generation = release.generation;
-  if (status.phase == held->status.phase && status.stage == held->status.stage &&
-      held->status.since_ms > 0)
-    status.since_ms = held->status.since_ms;
-  const bool leaves = release.deleting_ms > 0 && status.machines == 0 &&
-                      (status.phase == "withdrawn" || status.phase == "released");
-  if (status == held->status && !leaves)
+  // Conditions and phases that have not changed keep their times.
+  const std::vector<Condition> conditions = std::move(status.conditions);
+  status.conditions = present->status.conditions;
+  for (const Condition& condition : conditions)
+    status.set_condition(condition, now);
+  status.observed_generation = present->generation;
+  if (status.phase == present->status.phase && status.stage == present->status.stage &&
+      present->status.since > WallMillis{})
+    status.since = present->status.since;
+
+  const bool gone = present->is_deleting() && status.machines == 0 && status.is_final();
+  if (status == present->status && !gone)
     return {};
+  Release release = *present;
   release.status = std::move(status);
   release.version = next_version();
-  if (leaves)
+  if (gone)
     release.finalizers.clear();
-  return Draft{leaves ? objects::Change::deleted : objects::Change::modified, release};
+  return Draft{gone ? objects::Change::deleted : objects::Change::modified, release};
 }
 
-bool Catalog::urgent(const Draft& draft) const {
-  const auto held = store_.find(draft.release.name);
-  return draft.change != objects::Change::modified || !held ||
-         held->brief != encoded_brief(draft.release);
+bool Catalog::is_urgent(const Draft& draft) const {
+  const auto present = store_.find(draft.release.name);
+  return draft.change != objects::Change::modified || !present ||
+         present->brief != encode_brief(draft.release);
 }
 
-objects::Event Catalog::committed(const Draft& draft, objects::SnapshotPtr as) {
-  objects::Event event{draft.change, std::move(as), store_.find(draft.release.name)};
+objects::Event Catalog::commit(const Draft& draft, objects::SnapshotPtr snapshot) {
+  objects::Event event{draft.change, std::move(snapshot), store_.find(draft.release.name)};
   if (draft.change == objects::Change::deleted)
     releases_.erase(draft.release.name);
   else
     releases_[draft.release.name] = draft.release;
-  store_.take(event);
+  store_.append(event);
   return event;
 }
 
--- a/src/releases/catalog.h
+++ b/src/releases/catalog.h
@@ -1,68 +1,75 @@
-// The releases of a controller as objects: what a request may change, what the rollout shows, and
-// in which order. Free of I/O and clocks. Whatever changes comes out as a draft; the host writes it
-// down and then says committed(), and only then is it so. Drafts of one commit are made and
-// committed in order.
+/// The releases of a controller as API objects: what a request may change and how the rollout shows
+/// in them. Free of I/O and clocks; not thread safe.
+///
+/// Nothing changes by itself: each change comes out as a draft, which the host writes to disk and
+/// then hands to commit(). Drafts of one transaction are made and committed in order.
 #pragma once
+#include <cstdint>
+#include <map>
 #include <optional>
 #include <string>
-#include <vector>
 
 #include "objects/store.h"
 #include "releases/release.h"
+#include "releases/release_input.h"
+#include "releases/request_error.h"
 
 namespace robinhoist::releases {
 
+/// A change that has not been committed.
 struct Draft {
   objects::Change change;
   Release release;
 };
 
-// A request's fate. With a draft it has a status once that is committed.
-struct Reply {
-  int status = 200;
-  std::string title{}, detail{};
-  std::vector<Problem> problems{};
+/// `accepted`: it is begun, and completes later.
+enum class Completion { done, created, accepted };
+
+/// What a request that was not rejected comes to. There is no draft when it changes nothing.
+struct ChangeResult {
+  std::string name;
+  Completion completion = Completion::done;
   std::optional<Draft> draft{};
-  std::string name{};                // of the object that it is about
-  std::int64_t present_version = 0;  // told with a 409
 };
 
-// If-Match and metadata.resourceVersion: what the client believes to change.
-using Believed = std::optional<std::int64_t>;
+/// The version that the client believes an object to have, from If-Match or the body.
+using ExpectedVersion = std::optional<std::int64_t>;
 
 class Catalog {
  public:
-  explicit Catalog(std::size_t window) : store_(window) {}
-  // As written down: bodies by name, and the changes kept.
+  /// Keeps the last `max_events` changes for watches.
+  explicit Catalog(std::size_t max_events) : store_(max_events) {}
+  /// Takes over what was persisted: releases by name, and the last changes.
   void restore(std::map<std::string, Release> releases, std::int64_t version, std::int64_t oldest,
                std::deque<objects::Event> events);
 
-  // `newest_build` is the newest that was ever offered: builds only grow.
-  Reply create(const Json& body, const std::string& uid, int newest_build,
-               std::int64_t now_ms) const;
-  Reply patch(const std::string& name, const Json& body, Believed believed) const;
-  Reply remove(const std::string& name, Believed believed, std::int64_t now_ms) const;
-  // Whether an action may be taken on it: 404, 409 for another version, else 200.
-  Reply act(const std::string& name, Believed believed) const;
-  // A build that runs without anybody having created its release: the first.
-  Draft found(int build, const std::string& uid, std::int64_t now_ms) const;
-  // As the rollout stands: nothing when the object shows it already. Conditions keep their times.
-  std::optional<Draft> observe(const std::string& name, Status status, std::int64_t now_ms) const;
-  // Whether a draft changes what proxies go by; the rest may wait for more to come.
-  bool urgent(const Draft& draft) const;
+  /// These throw RequestError. `newest_build` is the newest that was ever submitted.
+  ChangeResult create(const Json& body, const std::string& uid, int newest_build,
+                      WallMillis now) const;
+  ChangeResult patch(const std::string& name, const Json& body, ExpectedVersion expected) const;
+  ChangeResult remove(const std::string& name, ExpectedVersion expected, WallMillis now) const;
+  /// The release of that name and version.
+  const Release& get(const std::string& name, ExpectedVersion expected = {}) const;
+
+  /// The release of a build that ran before any was created.
+  Draft initial_release(int build, const std::string& uid, WallMillis now) const;
+  /// Updates a release's status; nothing when it shows that already.
+  std::optional<Draft> update_status(const std::string& name, Status status, WallMillis now) const;
+  /// Whether a draft changes what proxies go by; others may be written later, together.
+  bool is_urgent(const Draft& draft) const;
 
-  // The version follows the last committed one; `as` is the draft's own snapshot.
-  objects::Event committed(const Draft& draft, objects::SnapshotPtr as);
+  /// Applies a draft that has been written to disk, with the snapshot made from it.
+  objects::Event commit(const Draft& draft, objects::SnapshotPtr snapshot);
 
   const std::map<std::string, Release>& all() const { return releases_; }
+  /// Null when there is none.
   const Release* find(const std::string& name) const;
-  const Release* of_build(int build) const;
+  const Release* find_build(int build) const;
   const objects::Store& store() const { return store_; }
 
  private:
-  Reply missing(const std::string& name) const;
-  std::optional<Reply> refused(const Release& release, Believed believed) const;
   std::int64_t next_version() const { return store_.version() + 1; }
+
   std::map<std::string, Release> releases_{};
   objects::Store store_;
 };
--- a/src/releases/follower.cpp
+++ b/src/releases/follower.cpp
@@ -2,107 +2,122 @@
 
 #include <algorithm>
 
-#include "json/fields.h"
+#include "releases/release_codec.h"
 
 namespace robinhoist::releases {
 namespace {
 
-std::optional<ReleasePhase> begun(const json::Json& status) {
-  return json::enumerator<std::optional<ReleasePhase>>(status, "phase",
-                                                       {{"pending", std::nullopt},
-                                                        {"trial", ReleasePhase::canary},
-                                                        {"going-back", ReleasePhase::rolling_back},
-                                                        {"released", ReleasePhase::released},
-                                                        {"withdrawn", ReleasePhase::rolled_back}});
+constexpr int max_build = 65535;
+constexpr int max_stage = 1000;
+
+std::int64_t version_of(const json::Json& event) {
+  return static_cast<std::int64_t>(json::number(event, "version"));
+}
+
+bool same_state(const ReleaseUpdate& a, const ReleaseUpdate& b) {
+  return a.build == b.build && a.stage == b.stage && a.phase == b.phase && a.cap == b.cap;
 }
 
 }  // namespace
 
-void Follower::begins(bool anew) {
-  anew_ = anew;
-  fresh_.clear();
+void Follower::begin(bool anew) {
+  listing_ = anew;
+  incoming_.clear();
 }
 
-Follower::Line Follower::take(std::string& body, TimePoint now) {
+Follower::Line Follower::consume_line(std::string& body, TimePoint now) {
   const std::size_t end = body.find('\n');
   if (end == std::string::npos)
     return Line::none;
   const std::string line = body.substr(0, end);
   body.erase(0, end + 1);
   try {
-    return read(line, now);
+    return read_line(line, now);
   } catch (const json::BadInput&) {
-    return Line::senseless;
+    return Line::malformed;
   }
 }
 
-Follower::Line Follower::read(const std::string& line, TimePoint now) {
+Follower::Line Follower::read_line(const std::string& line, TimePoint now) {
   const auto event = json::object_of(line);
   const std::string type = json::text(event, "type");
   if (type == "ERROR")
-    return Line::begin_anew;
-  const auto version = static_cast<std::int64_t>(json::number(event, "version"));
+    return Line::expired;
   if (type == "BOOKMARK") {
-    series_ = json::text(event, "series");
-    if (anew_) {
-      known_ = std::move(fresh_);
-      fresh_.clear();
-      anew_ = false;
-      synced_ = true;
-      version_ = version;
-    }
-    version_ = std::max(version_, version);
-    return Line::taken;
+    read_bookmark(event);
+    return Line::accepted;
   }
-  if (!anew_ && version <= version_)
-    return Line::taken;  // late, or told twice
+  const std::int64_t version = version_of(event);
+  const bool late_or_repeated = !listing_ && version <= version_;
+  if (!late_or_repeated)
+    read_event(event, now);
+  return Line::accepted;
+}
+
+void Follower::read_bookmark(const json::Json& event) {
+  const std::int64_t version = version_of(event);
+  series_ = json::text(event, "series");
+  if (listing_) {
+    known_ = std::move(incoming_);
+    incoming_.clear();
+    listing_ = false;
+    synced_ = true;
+    version_ = version;
+  }
+  version_ = std::max(version_, version);
+}
+
+void Follower::read_event(const json::Json& event, TimePoint now) {
   const json::Json& object = json::inner(event, "object");
   const std::string name = json::text(json::inner(object, "metadata"), "name");
-  auto& into = anew_ ? fresh_ : known_;
-  if (type == "DELETED") {
-    into.erase(name);
-  } else {
-    const json::Json& status = json::inner(object, "status");
-    const auto phase = begun(status);
-    Known known;
-    known.begun = phase.has_value();
-    known.release.build = json::whole(json::inner(object, "spec"), "build", 0, 65535);
-    known.release.stage = json::whole(status, "stage", 0, 1000);
-    known.release.phase = phase.value_or(ReleasePhase::canary);
-    known.release.cap = json::number(status, "cap");
-    if (!(known.release.cap >= 0 && known.release.cap <= 1))
-      json::mistyped("cap", "a share from 0 to 1");
-    known.since = now - json::duration_of(event, "ageMs");
-    known.version = version;
-    into[name] = known;
-  }
-  if (!anew_)
-    version_ = version;
-  return Line::taken;
+  auto& releases = listing_ ? incoming_ : known_;
+  if (json::text(event, "type") == objects::to_string(objects::Change::deleted))
+    releases.erase(name);
+  else
+    releases[name] = read_release(event, now);
+  if (!listing_)
+    version_ = version_of(event);
+}
+
+Follower::KnownRelease Follower::read_release(const json::Json& event, TimePoint now) {
+  const json::Json& object = json::inner(event, "object");
+  const json::Json& status = json::inner(object, "status");
+  const auto phase = decode_phase(status);
+  KnownRelease known;
+  known.begun = phase.has_value();
+  known.release.build = json::whole(json::inner(object, "spec"), "build", 0, max_build);
+  known.release.stage = json::whole(status, "stage", 0, max_stage);
+  known.release.phase = phase.value_or(ReleasePhase::canary);
+  known.release.cap = json::number(status, "cap");
+  if (!(known.release.cap >= 0 && known.release.cap <= 1))
+    json::mistyped("cap", "a share from 0 to 1");
+  known.since = now - json::duration_of(event, "ageMs");
+  known.version = version_of(event);
+  return known;
 }
 
-std::optional<Follower::Heard> Follower::news(TimePoint now) {
+std::optional<Follower::Update> Follower::next_update(TimePoint now) {
   if (!synced_)
     return {};
-  const std::pair<const std::string, Known>* newest = nullptr;
-  for (auto& each : known_)
+  const std::pair<const std::string, KnownRelease>* newest = nullptr;
+  for (const auto& each : known_)
     if (each.second.begun && (!newest || each.second.release.build > newest->second.release.build))
       newest = &each;
   if (!newest)
     return {};
-  const Known& known = newest->second;
-  // Builds only grow: that the newest has been deleted is no news of the one before it.
-  if (told_ && known.release.build < told_->release.build)
-    return {};
-  if (told_ && told_name_ == newest->first && told_->release.build == known.release.build &&
-      told_->release.stage == known.release.stage && told_->release.phase == known.release.phase &&
-      told_->release.cap == known.release.cap)
-    return {};
-  told_ = known;
-  told_name_ = newest->first;
+  const auto& [name, known] = *newest;
+  if (current_) {
+    // Builds only grow: that the newest has been deleted does not bring back the one before it.
+    if (known.release.build < current_->release.build)
+      return {};
+    if (current_name_ == name && same_state(current_->release, known.release))
+      return {};
+  }
+  current_ = known;
+  current_name_ = name;
   ReleaseUpdate release = known.release;
   release.since = std::max(Duration{}, now - known.since);
-  return Heard{release, known.version, newest->first};
+  return Update{release, known.version, name};
 }
 
 }  // namespace robinhoist::releases
--- a/src/releases/follower.h
+++ b/src/releases/follower.h
@@ -1,56 +1,64 @@
-// What an proxy makes of a watch of releases: where the newest release that has begun stands. Free
-// of I/O and clocks. Lines may come in pieces, twice or late; a watch that has broken goes on from
-// `version`, and one that can't go on begins anew with all that there is.
+/// How a proxy follows the controller's releases by a watch: it keeps the state of each release and
+/// says which one to go by. Free of I/O and clocks. Lines may come in pieces, twice or late; a
+/// watch that broke resumes from version(), and one that can't begins anew with all releases.
 #pragma once
 #include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
 
-#include "policy/endpoint.h"
+#include "json/fields.h"
 #include "policy/release.h"
-#include "policy/request.h"
 #include "time/time_types.h"
 
 namespace robinhoist::releases {
 
 class Follower {
  public:
-  enum class Line { none, taken, begin_anew, senseless };
-
-  // A new answer begins: what was half read is dropped. `anew`: it tells all that there is, up to a
-  // bookmark.
-  void begins(bool anew);
-  // Takes whole lines from the front of a body, one a call: none when there is no whole one.
-  Line take(std::string& body, TimePoint now);
-  // The release to go by, and whether it differs from the last that was asked for.
-  struct Heard {
+  /// `expired`: the controller can't resume this watch, so begin anew. `malformed`: not understood.
+  enum class Line { none, accepted, expired, malformed };
+
+  /// Starts to read a new answer; what was half read is dropped. `anew`: the answer lists all
+  /// releases first, up to a bookmark.
+  void begin(bool anew);
+  /// Removes one line from the front of a body and reads it; `none` when no whole line is there.
+  Line consume_line(std::string& body, TimePoint now);
+
+  /// The release to go by.
+  struct Update {
     ReleaseUpdate release;
     std::int64_t version;
     std::string name;
   };
-  std::optional<Heard> news(TimePoint now);
+  /// The newest release that has begun, when it differs from the one returned last.
+  std::optional<Update> next_update(TimePoint now);
 
+  /// Whether all releases have been listed once.
   bool synced() const { return synced_; }
   std::int64_t version() const { return version_; }
+  /// Identifies the sequence that the versions belong to.
   const std::string& series() const { return series_; }
 
  private:
-  struct Known {
+  struct KnownRelease {
     ReleaseUpdate release{};
     bool begun = false;
-    TimePoint since{};  // when its state began, by our own clock
+    TimePoint since{};  // when its state began, by this process's clock
     std::int64_t version = 0;
   };
-  Line read(const std::string& line, TimePoint now);
+  Line read_line(const std::string& line, TimePoint now);
+  void read_bookmark(const json::Json& event);
+  void read_event(const json::Json& event, TimePoint now);
+  static KnownRelease read_release(const json::Json& event, TimePoint now);
 
-  std::map<std::string, Known> known_{},
-      fresh_{};  // fresh_: as an answer that begins anew fills it
+  std::map<std::string, KnownRelease> known_{};     // by name
+  std::map<std::string, KnownRelease> incoming_{};  // what an answer that begins anew has listed
   std::int64_t version_ = 0;
   std::string series_{};
-  bool synced_ = false, anew_ = true;
-  std::optional<Known> told_{};
-  std::string told_name_{};
+  bool synced_ = false;
+  bool listing_ = true;  // the answer has not come to its first bookmark
+  std::optional<KnownRelease> current_{};
+  std::string current_name_{};
 };
 
 }  // namespace robinhoist::releases
--- a/src/releases/release.h
+++ b/src/releases/release.h
@@ -1,106 +1,107 @@
-// The release object of the API: its shape, what may be written to it, and how it reads as JSON.
-// Free of I/O and clocks. Times are wall clock, in ms since 1970; shares are 0 to 1.
-//
-// Like a Kubernetes object it has metadata (name, uid, generation, resourceVersion, labels,
-// finalizers), a spec that its author writes and a status that only the controller writes.
-// `generation` grows with the spec.
+/// The release object of the API. Plain data, free of I/O and clocks; shares are 0 to 1.
+///
+/// Like a Kubernetes object it has metadata (name, uid, generation, version, labels, finalizers), a
+/// spec that its author writes and a status that only the controller writes. The generation grows
+/// with the spec, the version with every change.
 #pragma once
-#include <rapidjson/document.h>
-
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <vector>
 
 #include "objects/store.h"
+#include "policy/release.h"
 
 namespace robinhoist::releases {
 
-using Json = rapidjson::Value;
+using objects::WallMillis;
 
-// What is wrong with one field of what a client sent: a JSON pointer (RFC 6901) and words.
-struct Problem {
-  std::string pointer, detail;
-};
+/// Present until the last machine of a release is gone; a deleted release stays until then.
+inline constexpr const char* machines_finalizer = "robinhoist/machines-run";
 
+/// One aspect of a release's state, in the sense of Kubernetes' conditions.
 struct Condition {
-  std::string type{}, reason{}, message{};
+  std::string type{};
+  std::string reason{};
+  std::string message{};
   bool status = false;
-  std::int64_t at_ms = 0;  // when it last turned
+  WallMillis last_transition{};
   bool operator==(const Condition&) const = default;
 };
 
-struct Stage {
-  double share = 0, cap = 0;
-  std::string state{};  // done, running, next, waiting for steps, not reached
-  bool operator==(const Stage&) const = default;
+enum class StageState { done, running, next, waiting_for_steps, not_reached, rolled_back };
+
+struct StageStatus {
+  /// Of the slots that run the release.
+  double share = 0;
+  /// Of a proxy's requests that may go to it.
+  double cap = 0;
+  StageState state = StageState::not_reached;
+  bool operator==(const StageStatus&) const = default;
 };
 
-// What one proxy has said: of the cap that it keeps to, and its vote.
-struct ProxyReport {
-  std::string proxy{}, vote{};
+/// A proxy's vote, and the stage and cap that it has acknowledged to go by.
+struct ProxyStatus {
+  std::string proxy{};
+  Verdict vote = Verdict::none;
   int stage = -1;
   std::optional<double> cap{};
-  std::int64_t at_ms = 0;
-  bool operator==(const ProxyReport&) const = default;
+  WallMillis acknowledged_at{};
+  bool operator==(const ProxyStatus&) const = default;
 };
 
-struct StepSeen {
-  std::string id{}, phase{}, state{};
-  bool operator==(const StepSeen&) const = default;
+/// A migration step of the release's plan.
+struct StepStatus {
+  std::string id{};
+  std::string phase{};
+  std::string state{};
+  bool operator==(const StepStatus&) const = default;
 };
 
 struct Status {
-  std::string phase{"pending"};  // pending, canary, going-back, withdrawn, released
+  /// Nothing while the release is pending.
+  std::optional<ReleasePhase> phase{};
   int stage = 0;
   double cap = 0;
-  std::int64_t since_ms = 0;
+  /// When the phase and stage began.
+  WallMillis since{};
   bool held = false;
-  std::string why{};  // of the last change
+  /// The reason of the last change.
+  std::string why{};
+  /// The generation of the spec that this status is of.
   std::int64_t observed_generation = 0;
-  int machines = 0, machines_up = 0;
-  std::vector<Stage> stages{};
-  std::vector<ProxyReport> proxies{};
-  std::vector<StepSeen> steps{};  // of its plan, in the order in which they run
+  int machines = 0;
+  int machines_up = 0;
+  std::vector<StageStatus> stages{};
+  std::vector<ProxyStatus> proxies{};
+  /// In the order in which they run.
+  std::vector<StepStatus> steps{};
   std::vector<Condition> conditions{};
-  // Sets a condition; its time moves only when it turns.
-  void condition(const std::string& type, bool status, const std::string& reason,
-                 const std::string& message, std::int64_t now_ms);
+
+  /// Whether the rollout of the release has come to its end, one way or the other.
+  bool is_final() const {
+    return phase == ReleasePhase::released || phase == ReleasePhase::rolled_back;
+  }
+  /// Sets a condition; the time of its last transition changes only with its status.
+  void set_condition(const Condition& condition, WallMillis now);
   bool operator==(const Status&) const = default;
 };
 
 struct Release {
-  std::string name{}, uid{};
-  std::int64_t generation = 1, version = 0, created_ms = 0, deleting_ms = 0;
+  std::string name{};
+  std::string uid{};
+  std::int64_t generation = 1;
+  std::int64_t version = 0;
+  WallMillis created{};
+  /// When its deletion was asked for; the epoch: not at all.
+  WallMillis deletion_requested{};
   objects::Fields labels{};
   std::vector<std::string> finalizers{};
   int build = 0;
   std::string description{};
   Status status{};
-};
 
-// A release whose machines run is not gone before they are.
-constexpr const char* machines_run = "robinhoist/machines-run";
-
-// What a client wants made: {metadata: {name, labels}, spec: {build, description}}. The name may be
-// left out. Nothing when there are problems.
-std::optional<Release> created(const Json& body, std::vector<Problem>& problems);
-// A merge patch (RFC 7396) on what a client may write; what it may not write must be left out or as
-// it is. `version`: the metadata.resourceVersion that the patch names, if it names one.
-std::optional<Release> patched(const Release& from, const Json& patch,
-                               std::optional<std::int64_t>& version,
-                               std::vector<Problem>& problems);
-
-std::string encoded(const Release& release);
-// Without what changes with each proxy's word: votes, acknowledgements, conditions.
-std::string encoded_brief(const Release& release);
-Release decoded(const std::string& text);  // what encoded() gave; throws json::BadInput
-objects::SnapshotPtr snapshot(const Release& release);
-
-std::string rfc3339(std::int64_t ms);  // "" for 0
-
-// A document read as strictly as the API needs: throws json::BadInput on bad syntax or encoding, on
-// numbers out of range, and on nesting too deep to be meant.
-rapidjson::Document strict(std::string_view text);
+  bool is_deleting() const { return deletion_requested > WallMillis{}; }
+};
 
 }  // namespace robinhoist::releases
--- /dev/null
+++ b/src/releases/release_codec.cpp
@@ -0,0 +1,280 @@
+#include "releases/release_codec.h"
+
+#include <ctime>
+
+#include "rollout/names.h"
+
+namespace robinhoist::releases {
+namespace {
+
+// The names of fields that differ from the terms used in the code. The others are written as they
+// are where they are read and written.
+namespace field {
+constexpr const char* stages = "waves";
+constexpr const char* proxies = "umpires";
+constexpr const char* milliseconds = "ms";
+constexpr const char* deletion_requested = "deleting";
+}  // namespace field
+
+constexpr const char* pending = "pending";
+
+const char* to_string(StageState state) {
+  static const char* const names[] = {"done",        "running",  "next", "waiting for steps",
+                                      "not reached", "sent back"};
+  return names[static_cast<int>(state)];
+}
+
+long milliseconds(WallMillis time) {
+  return time.time_since_epoch().count();
+}
+
+std::int64_t read_integer(const json::Json& object, const char* name) {
+  return static_cast<std::int64_t>(json::number_or(object, name, 0));
+}
+
+WallMillis read_time(const json::Json& object, const char* name) {
+  return WallMillis(std::chrono::milliseconds(read_integer(object, name)));
+}
+
+void write_metadata(json::Out& out, const Release& release) {
+  out.open("metadata");
+  out.put("name", release.name);
+  out.put("uid", release.uid);
+  out.put("generation", static_cast<long>(release.generation));
+  out.put("resourceVersion", std::to_string(release.version));
+  out.put("creationTimestamp", rfc3339(release.created));
+  if (release.is_deleting())
+    out.put("deletionTimestamp", rfc3339(release.deletion_requested));
+  out.open("labels");
+  for (const auto& [name, value] : release.labels)
+    out.put(name.c_str(), value);
+  out.close();
+  out.open_list("finalizers");
+  for (const std::string& finalizer : release.finalizers)
+    out.put(nullptr, finalizer);
+  out.close_list();
+  out.close();
+}
+
+// The part of the status that proxies go by.
+void write_state(json::Out& out, const Status& status) {
+  out.put("phase", phase_name(status.phase));
+  out.put("stage", status.stage);
+  out.put("cap", status.cap);
+  out.put("since", rfc3339(status.since));
+  out.put("held", status.held);
+  out.put("why", status.why);
+}
+
+void write_stages(json::Out& out, const std::vector<StageStatus>& stages) {
+  out.open_list(field::stages);
+  for (const StageStatus& stage : stages) {
+    out.open();
+    out.put("share", stage.share);
+    out.put("cap", stage.cap);
+    out.put("state", to_string(stage.state));
+    out.close();
+  }
+  out.close_list();
+}
+
+void write_proxies(json::Out& out, const std::vector<ProxyStatus>& proxies) {
+  out.open_list(field::proxies);
+  for (const ProxyStatus& proxy : proxies) {
+    out.open();
+    out.put("name", proxy.proxy);
+    out.put("vote", rollout::to_string(proxy.vote));
+    if (proxy.cap) {
+      out.put("acknowledgedCap", *proxy.cap);
+      out.put("stage", proxy.stage);
+      out.put("acknowledgedAt", rfc3339(proxy.acknowledged_at));
+    }
+    out.close();
+  }
+  out.close_list();
+}
+
+void write_steps(json::Out& out, const std::vector<StepStatus>& steps) {
+  out.open_list("steps");
+  for (const StepStatus& step : steps) {
+    out.open();
+    out.put("id", step.id);
+    out.put("phase", step.phase);
+    out.put("state", step.state);
+    out.close();
+  }
+  out.close_list();
+}
+
+void write_conditions(json::Out& out, const std::vector<Condition>& conditions) {
+  out.open_list("conditions");
+  for (const Condition& condition : conditions) {
+    out.open();
+    out.put("type", condition.type);
+    out.put("status", condition.status ? "True" : "False");
+    out.put("reason", condition.reason);
+    out.put("message", condition.message);
+    out.put("lastTransitionTime", rfc3339(condition.last_transition));
+    out.close();
+  }
+  out.close_list();
+}
+
+void write_status(json::Out& out, const Status& status) {
+  out.open("status");
+  write_state(out, status);
+  out.put("observedGeneration", static_cast<long>(status.observed_generation));
+  out.open("machines");
+  out.put("all", status.machines);
+  out.put("up", status.machines_up);
+  out.close();
+  write_stages(out, status.stages);
+  write_proxies(out, status.proxies);
+  write_steps(out, status.steps);
+  write_conditions(out, status.conditions);
+  out.close();
+}
+
+// For decode(): times as numbers, which the RFC 3339 texts repeat.
+void write_times(json::Out& out, const Release& release) {
+  out.open(field::milliseconds);
+  out.put("created", milliseconds(release.created));
+  out.put(field::deletion_requested, milliseconds(release.deletion_requested));
+  out.put("since", milliseconds(release.status.since));
+  out.open_list("conditions");
+  for (const Condition& condition : release.status.conditions)
+    out.open().put("at", milliseconds(condition.last_transition)).close();
+  out.close_list();
+  out.close();
+}
+
+void read_metadata(const json::Json& metadata, Release& release) {
+  release.name = json::text(metadata, "name");
+  release.uid = json::text(metadata, "uid");
+  release.generation = read_integer(metadata, "generation");
+  release.version = std::strtoll(json::text(metadata, "resourceVersion").c_str(), nullptr, 10);
+  for (const auto& label : json::inner(metadata, "labels").GetObject())
+    release.labels[label.name.GetString()] = label.value.GetString();
+  for (const auto& finalizer : json::array(metadata, "finalizers").GetArray())
+    release.finalizers.emplace_back(finalizer.GetString());
+}
+
+std::vector<Condition> read_conditions(const json::Json& status, const json::Json& times) {
+  std::vector<Condition> conditions;
+  const json::Json& transitions = json::array(times, "conditions");
+  for (const auto& item : json::array(status, "conditions").GetArray()) {
+    const auto index = static_cast<rapidjson::SizeType>(conditions.size());
+    if (index >= transitions.Size())
+      throw json::BadInput("field ms.conditions is too short");
+    Condition condition;
+    condition.type = json::text(item, "type");
+    condition.reason = json::text(item, "reason");
+    condition.message = json::text(item, "message");
+    condition.status = json::text(item, "status") == "True";
+    condition.last_transition = read_time(transitions[index], "at");
+    conditions.push_back(std::move(condition));
+  }
+  return conditions;
+}
+
+Status read_status(const json::Json& object, const json::Json& times) {
+  Status status;
+  status.phase = decode_phase(object);
+  status.stage = json::whole(object, "stage");
+  status.cap = json::number(object, "cap");
+  status.since = read_time(times, "since");
+  status.held = json::truth(object, "held");
+  status.why = json::text(object, "why");
+  status.observed_generation = read_integer(object, "observedGeneration");
+  status.conditions = read_conditions(object, times);
+  return status;
+}
+
+}  // namespace
+
+const char* phase_name(const std::optional<ReleasePhase>& phase) {
+  return phase ? rollout::to_string(*phase) : pending;
+}
+
+std::optional<ReleasePhase> decode_phase(const json::Json& status) {
+  const auto named = [](ReleasePhase phase) {
+    return std::pair<const char*, std::optional<ReleasePhase>>(rollout::to_string(phase), phase);
+  };
+  return json::enumerator<std::optional<ReleasePhase>>(status, "phase",
+                                                       {{pending, std::nullopt},
+                                                        named(ReleasePhase::canary),
+                                                        named(ReleasePhase::rolling_back),
+                                                        named(ReleasePhase::released),
+                                                        named(ReleasePhase::rolled_back)});
+}
+
+std::string rfc3339(WallMillis time) {
+  const long ms = milliseconds(time);
+  if (ms <= 0)
+    return "";
+  const std::time_t seconds = ms / 1000;
+  std::tm parts{};
+  gmtime_r(&seconds, &parts);
+  char text[40];
+  const std::size_t size = std::strftime(text, sizeof text, "%FT%T.", &parts);
+  const std::string fraction = std::to_string(1000 + ms % 1000);
+  return std::string(text, size) + fraction.substr(1) + "Z";
+}
+
+std::string encode_brief(const Release& release) {
+  json::Out out;
+  out.open();
+  out.put("kind", "Release");
+  out.put("apiVersion", "v1");
+  // Without versions: they grow with each change, also with one that this part does not show.
+  out.open("metadata").put("name", release.name).put("uid", release.uid).close();
+  out.open("spec").put("build", release.build).close();
+  out.open("status");
+  write_state(out, release.status);
+  out.close();
+  out.close();
+  return out.text();
+}
+
+std::string encode(const Release& release) {
+  json::Out out;
+  out.open();
+  out.put("kind", "Release");
+  out.put("apiVersion", "v1");
+  write_metadata(out, release);
+  out.open("spec").put("build", release.build).put("description", release.description).close();
+  write_status(out, release.status);
+  write_times(out, release);
+  out.close();
+  return out.text();
+}
+
+Release decode(const std::string& text) {
+  const auto document = json::object_of(text);
+  const json::Json& spec = json::inner(document, "spec");
+  const json::Json& times = json::inner(document, field::milliseconds);
+  Release release;
+  read_metadata(json::inner(document, "metadata"), release);
+  release.created = read_time(times, "created");
+  release.deletion_requested = read_time(times, field::deletion_requested);
+  release.build = json::whole(spec, "build");
+  release.description = json::text(spec, "description");
+  release.status = read_status(json::inner(document, "status"), times);
+  return release;
+}
+
+objects::SnapshotPtr make_snapshot(const Release& release) {
+  auto snapshot = std::make_shared<objects::Snapshot>();
+  snapshot->name = release.name;
+  snapshot->version = release.version;
+  snapshot->labels = release.labels;
+  snapshot->fields = {{"metadata.name", release.name},
+                      {"spec.build", std::to_string(release.build)},
+                      {"status.phase", phase_name(release.status.phase)}};
+  snapshot->full = encode(release);
+  snapshot->brief = encode_brief(release);
+  snapshot->since = release.status.since;
+  return snapshot;
+}
+
+}  // namespace robinhoist::releases
--- /dev/null
+++ b/src/releases/release_input.cpp
@@ -0,0 +1,274 @@
+#include "releases/release_input.h"
+
+#include <algorithm>
+#include <initializer_list>
+#include <string>
+#include <vector>
+
+#include "json/fields.h"
+
+namespace robinhoist::releases {
+namespace {
+
+constexpr int max_depth = 32;
+constexpr std::size_t max_labels = 64;
+constexpr int max_build = 65535;
+constexpr std::size_t max_name_size = 63;
+constexpr std::size_t max_version_size = 20;
+constexpr std::size_t max_description_size = 4096;
+
+constexpr const char* metadata_pointer = "/metadata";
+constexpr const char* name_pointer = "/metadata/name";
+constexpr const char* labels_pointer = "/metadata/labels";
+constexpr const char* version_pointer = "/metadata/resourceVersion";
+constexpr const char* spec_pointer = "/spec";
+constexpr const char* build_pointer = "/spec/build";
+constexpr const char* description_pointer = "/spec/description";
+
+// A name as a part of a JSON pointer.
+std::string escaped(std::string_view name) {
+  std::string text;
+  for (const char c : name) {
+    if (c == '~')
+      text += "~0";
+    else if (c == '/')
+      text += "~1";
+    else
+      text += c;
+  }
+  return text;
+}
+
+// How deep a value is nested; counts no further than `limit`.
+int depth_of(const Json& value, int limit) {
+  if (limit == 0)
+    return 1;
+  int deepest = 0;
+  if (value.IsObject())
+    for (const auto& member : value.GetObject())
+      deepest = std::max(deepest, depth_of(member.value, limit - 1));
+  if (value.IsArray())
+    for (const auto& item : value.GetArray())
+      deepest = std::max(deepest, depth_of(item, limit - 1));
+  return deepest + 1;
+}
+
+std::string text_of(const Json& value) {
+  return {value.GetString(), value.GetStringLength()};
+}
+
+// Null when the object has no such member.
+const Json* find(const Json& object, const char* name) {
+  const auto found = object.FindMember(name);
+  return found == object.MemberEnd() ? nullptr : &found->value;
+}
+
+enum class LabelNulls { reject, remove };
+
+// Reads fields of a body and collects what is wrong with them.
+class Validator {
+ public:
+  const std::vector<FieldError>& errors() const { return errors_; }
+
+  void add_error(std::string pointer, std::string detail) {
+    errors_.push_back({std::move(pointer), std::move(detail)});
+  }
+
+  // The member that holds an object; null when it is absent or, which is an error, no object.
+  const Json* object(const Json& parent, const char* name) {
+    const Json* value = find(parent, name);
+    if (value && !value->IsObject()) {
+      add_error(std::string("/") + name, "is not an object");
+      return nullptr;
+    }
+    return value;
+  }
+
+  // Checks that an object has no other members, and none twice.
+  void allow_only(const Json& object, const std::string& pointer,
+                  std::initializer_list<const char*> allowed) {
+    std::vector<std::string> seen;
+    for (const auto& member : object.GetObject()) {
+      const std::string name = text_of(member.name);
+      if (std::find(allowed.begin(), allowed.end(), name) == allowed.end())
+        add_error(pointer + "/" + escaped(name), "is no field here");
+      if (std::find(seen.begin(), seen.end(), name) != seen.end())
+        add_error(pointer + "/" + escaped(name), "is there twice");
+      seen.push_back(name);
+    }
+  }
+
+  std::optional<std::string> text(const Json& value, const char* pointer, std::size_t max_size) {
+    if (!value.IsString()) {
+      add_error(pointer, "is not a string");
+      return {};
+    }
+    if (value.GetStringLength() > max_size) {
+      add_error(pointer, "is longer than " + std::to_string(max_size) + " bytes");
+      return {};
+    }
+    return text_of(value);
+  }
+
+  // The labels of a body added to `labels`. In a patch, null removes one.
+  objects::Fields add_labels(const Json& value, objects::Fields labels, LabelNulls nulls) {
+    if (!value.IsObject()) {
+      add_error(labels_pointer, "is not an object");
+      return labels;
+    }
+    for (const auto& member : value.GetObject()) {
+      const std::string name = text_of(member.name);
+      const bool removes = nulls == LabelNulls::remove && member.value.IsNull();
+      if (removes && objects::is_label_name(name))
+        labels.erase(name);
+      else if (check_label(name, member.value))
+        labels[name] = member.value.GetString();
+    }
+    if (labels.size() > max_labels)
+      add_error(labels_pointer, "has more than " + std::to_string(max_labels) + " labels");
+    return labels;
+  }
+
+  // Checks that a field that can't be changed is absent or as it is.
+  void require_unchanged(const Json& object, const char* name, const std::string& parent_pointer,
+                         const std::string& present) {
+    const Json* value = find(object, name);
+    if (!value)
+      return;
+    const bool same = value->IsString()
+                          ? present == value->GetString()
+                          : value->IsInt64() && present == std::to_string(value->GetInt64());
+    if (!same)
+      add_error(parent_pointer + "/" + name, "can't be changed");
+  }
+
+ private:
+  bool check_label(const std::string& name, const Json& value) {
+    const std::string pointer = std::string(labels_pointer) + "/" + escaped(name);
+    if (!objects::is_label_name(name)) {
+      add_error(pointer, "is no name that a label can have");
+      return false;
+    }
+    if (!value.IsString()) {
+      add_error(pointer, "is not a string");
+      return false;
+    }
+    if (!objects::is_label_value(value.GetString())) {
+      add_error(pointer, "is no value that a label can have");
+      return false;
+    }
+    return true;
+  }
+
+  std::vector<FieldError> errors_{};
+};
+
+void read_new_metadata(Validator& validator, const Json& metadata, Release& release) {
+  validator.allow_only(metadata, metadata_pointer, {"name", "labels"});
+  if (const Json* value = find(metadata, "name")) {
+    release.name = validator.text(*value, name_pointer, max_name_size).value_or("");
+    const bool is_text = value->IsString() && value->GetStringLength() <= max_name_size;
+    if (is_text && !objects::is_object_name(release.name))
+      validator.add_error(name_pointer,
+                          "is not made of a-z, 0-9 and dashes, with no dash at either end");
+  }
+  if (const Json* value = find(metadata, "labels"))
+    release.labels = validator.add_labels(*value, {}, LabelNulls::reject);
+}
+
+void read_new_spec(Validator& validator, const Json& spec, Release& release) {
+  validator.allow_only(spec, spec_pointer, {"build", "description"});
+  const Json* build = find(spec, "build");
+  if (!build)
+    validator.add_error(build_pointer, "is missing");
+  else if (!build->IsInt() || build->GetInt() < 1 || build->GetInt() > max_build)
+    validator.add_error(build_pointer,
+                        "is not a whole number from 1 to " + std::to_string(max_build));
+  else
+    release.build = build->GetInt();
+  if (const Json* value = find(spec, "description"))
+    release.description =
+        validator.text(*value, description_pointer, max_description_size).value_or("");
+}
+
+std::optional<std::int64_t> read_version(Validator& validator, const Json& value) {
+  const auto text = validator.text(value, version_pointer, max_version_size);
+  if (!text)
+    return {};
+  char* end = nullptr;
+  const std::int64_t version = std::strtoll(text->c_str(), &end, 10);
+  if (text->empty() || *end != '\0')
+    validator.add_error(version_pointer, "is no version");
+  return version;
+}
+
+void patch_metadata(Validator& validator, const Json& metadata, PatchedRelease& patched) {
+  Release& release = patched.release;
+  validator.allow_only(metadata, metadata_pointer, {"name", "uid", "labels", "resourceVersion"});
+  validator.require_unchanged(metadata, "name", metadata_pointer, release.name);
+  validator.require_unchanged(metadata, "uid", metadata_pointer, release.uid);
+  if (const Json* value = find(metadata, "resourceVersion"))
+    patched.expected_version = read_version(validator, *value);
+  if (const Json* value = find(metadata, "labels")) {
+    if (value->IsNull())
+      release.labels.clear();
+    else
+      release.labels = validator.add_labels(*value, release.labels, LabelNulls::remove);
+  }
+}
+
+void patch_spec(Validator& validator, const Json& spec, Release& release) {
+  validator.allow_only(spec, spec_pointer, {"build", "description"});
+  validator.require_unchanged(spec, "build", spec_pointer, std::to_string(release.build));
+  if (const Json* value = find(spec, "description")) {
+    if (value->IsNull())
+      release.description.clear();
+    else
+      release.description = validator.text(*value, description_pointer, max_description_size)
+                                .value_or(release.description);
+  }
+}
+
+}  // namespace
+
+rapidjson::Document parse_document(std::string_view text) {
+  rapidjson::Document document = json::object_of(text);
+  // Protects whoever walks a document by recursion.
+  if (depth_of(document, max_depth + 1) > max_depth)
+    throw json::BadInput("nested deeper than " + std::to_string(max_depth));
+  return document;
+}
+
+Release parse_creation(const Json& body) {
+  Validator validator;
+  Release release;
+  validator.allow_only(body, "", {"metadata", "spec", "apiVersion", "kind"});
+  if (const Json* metadata = validator.object(body, "metadata"))
+    read_new_metadata(validator, *metadata, release);
+  if (!body.HasMember("spec"))
+    validator.add_error(spec_pointer, "is missing");
+  else if (const Json* spec = validator.object(body, "spec"))
+    read_new_spec(validator, *spec, release);
+  if (!validator.errors().empty())
+    throw invalid_release(validator.errors());
+  if (release.name.empty())
+    release.name = "build-" + std::to_string(release.build);
+  return release;
+}
+
+PatchedRelease apply_patch(const Release& release, const Json& patch) {
+  Validator validator;
+  PatchedRelease patched{release, {}};
+  validator.allow_only(patch, "", {"metadata", "spec", "apiVersion", "kind"});
+  if (const Json* metadata = validator.object(patch, "metadata"))
+    patch_metadata(validator, *metadata, patched);
+  if (const Json* spec = validator.object(patch, "spec"))
+    patch_spec(validator, *spec, patched.release);
+  if (!validator.errors().empty())
+    throw invalid_patch(validator.errors());
+  if (patched.release.description != release.description)
+    ++patched.release.generation;
+  return patched;
+}
+
+}  // namespace robinhoist::releases
