--- a/fuzz/api_fuzz.cpp
+++ b/fuzz/api_fuzz.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "releases/follower.h"
 #include "releases/release_codec.h"
 #include "releases/release_input.h"
@@ -28,7 +28,7 @@
     present.build = 2;
     if (release::apply_patch(present, body).release.build != 2)
       std::abort();
-  } catch (const robinhoist::json::BadInput&) {
+  } catch (const robinhoist::json::DecodeError&) {
     // Rejected, as it should be.
   } catch (const release::RequestError&) {
     // The same.
--- a/src/controller/api_error.cpp
+++ b/src/controller/api_error.cpp
@@ -1,6 +1,6 @@
 #include "controller/api_error.h"
 
-#include "json/fields.h"
+#include "json/writer.h"
 #include "releases/release_codec.h"
 
 namespace robinhoist::controller {
@@ -25,8 +25,8 @@
 }  // namespace
 
 http::Response to_response(const ApiError& error) {
-  json::Out out;
-  out.open();
+  json::Writer out;
+  out.begin_object();
   out.put("type", "about:blank");
   out.put("title", error.title);
   out.put("status", error.status);
@@ -34,12 +34,12 @@
   if (error.present_version > 0)
     out.put("presentVersion", std::to_string(error.present_version));
   if (!error.field_errors.empty()) {
-    out.open_list("errors");
+    out.begin_array("errors");
     for (const releases::FieldError& field : error.field_errors)
-      out.open().put("pointer", field.pointer).put("detail", field.detail).close();
-    out.close_list();
+      out.begin_object().put("pointer", field.pointer).put("detail", field.detail).end_object();
+    out.end_array();
   }
-  out.close();
+  out.end_object();
   http::Response response = http::json_response(error.status, out.text());
   response.headers.set("Content-Type", "application/problem+json");
   for (const ApiError::Header& header : error.headers)
--- a/src/controller/api_request.cpp
+++ b/src/controller/api_request.cpp
@@ -3,7 +3,7 @@
 #include <string_view>
 
 #include "controller/api_error.h"
-#include "json/fields.h"
+#include "json/reader.h"
 
 namespace robinhoist::controller {
 namespace {
@@ -47,7 +47,7 @@
     throw unsupported_media_type(std::string(type));
   try {
     return releases::parse_document(request.http().body);
-  } catch (const json::BadInput& error) {
+  } catch (const json::DecodeError& error) {
     throw malformed_body(error.what());
   }
 }
--- a/src/controller/api_server.cpp
+++ b/src/controller/api_server.cpp
@@ -5,7 +5,7 @@
 
 #include "controller/api_error.h"
 #include "journal/journal.h"
-#include "json/fields.h"
+#include "json/reader.h"
 #include "objects/selector.h"
 
 namespace robinhoist::controller {
@@ -46,7 +46,7 @@
     exchange->answer(to_response(error));
   } catch (const releases::RequestError& error) {
     exchange->answer(to_response(to_api_error(error)));
-  } catch (const json::BadInput& error) {
+  } catch (const json::DecodeError& error) {
     exchange->answer(to_response(invalid_body(error.what())));
   } catch (const objects::SelectorError& error) {
     exchange->answer(to_response(invalid_selector(error.what())));
@@ -65,7 +65,7 @@
   const auto caller = tokens_.caller(request.headers.get("Authorization"));
   if (!caller)
     throw unauthenticated();
-  if (const auto wait = rate_limits_.take(caller->name, loop_.now())) {
+  if (const auto wait = rate_limits_.try_acquire(caller->name, loop_.now())) {
     const auto whole_seconds = std::chrono::duration_cast<std::chrono::seconds>(*wait);
     throw too_many_requests("of " + caller->name, whole_seconds.count() + 1);
   }
--- a/src/controller/api_server.h
+++ b/src/controller/api_server.h
@@ -8,7 +8,7 @@
 #include "controller/api_request.h"
 #include "controller/tokens.h"
 #include "http/server.h"
-#include "limits/bucket.h"
+#include "limits/token_bucket.h"
 #include "net/loop.h"
 
 namespace robinhoist::controller {
@@ -34,7 +34,7 @@
   const std::vector<Route>& routes() const { return routes_; }
 
   int port() const { return server_.port(); }
-  void break_connections() { server_.cut(); }
+  void break_connections() { server_.reset_connections(); }
 
  private:
   void handle(const http::ExchangePtr& exchange);
@@ -42,7 +42,7 @@
 
   net::Loop& loop_;
   Tokens tokens_;
-  limits::Buckets rate_limits_;
+  limits::TokenBucketLimiter rate_limits_;
   std::vector<Route> routes_{};
   http::Server server_;
 };
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "json/fields.h"
+#include "json/writer.h"
 #include "rollout/names.h"
 
 namespace robinhoist::controller {
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Controller::Controller(net::Loop& loop, const Settings& settings, const log::Log& log,
+Controller::Controller(net::Loop& loop, const Settings& settings, const log::Logger& log,
                        ControllerCallbacks callbacks)
     : loop_(loop),
       settings_(settings),
@@ -83,12 +83,12 @@
 
 void Controller::start_steps() {
   const int stages = static_cast<int>(settings_.rollout.stages.size());
-  target_ = std::make_unique<steps::Target>(loop_, settings_.steps_target);
-  steps::RunnerSettings runner_settings;
+  target_ = std::make_unique<migration::Target>(loop_, settings_.steps_target);
+  migration::RunnerSettings runner_settings;
   runner_settings.who = settings_.name;
   runner_settings.lease = settings_.steps_lease;
   runner_settings.stages = stages;
-  runner_ = std::make_unique<steps::Runner>(loop_, runner_settings, *journal_, *target_, log_);
+  runner_ = std::make_unique<migration::Runner>(loop_, runner_settings, *journal_, *target_, log_);
   step_gates_.emplace(*rollout_, *runner_, stages);
   status_->set_steps(runner_.get());
   runner_->changed = [this] {
@@ -149,13 +149,13 @@
 }
 
 void Controller::list_routes(const ApiRequest& request) const {
-  json::Out out;
-  out.open();
-  out.open_list("routes");
+  json::Writer out;
+  out.begin_object();
+  out.begin_array("routes");
   for (const Route& route : api_->routes())
-    out.open().put("method", route.method).put("path", route.path).close();
-  out.close_list();
-  out.close();
+    out.begin_object().put("method", route.method).put("path", route.path).end_object();
+  out.end_array();
+  out.end_object();
   request.exchange->answer(http::json_response(200, out.text()));
 }
 
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -22,11 +22,11 @@
 #include "controller/step_gates.h"
 #include "controller/step_routes.h"
 #include "journal/journal.h"
-#include "log/log.h"
+#include "log/logger.h"
 #include "membership/membership.h"
+#include "migration/runner.h"
+#include "migration/target.h"
 #include "rollout/rollout.h"
-#include "steps/runner.h"
-#include "steps/target.h"
 #include "time/time_types.h"
 
 namespace robinhoist::controller {
@@ -43,7 +43,7 @@
 class Controller {
  public:
   /// Listens, and resumes from the journal. Throws journal::Failed, and what http::Server throws.
-  Controller(net::Loop& loop, const Settings& settings, const log::Log& log,
+  Controller(net::Loop& loop, const Settings& settings, const log::Logger& log,
              ControllerCallbacks callbacks = {});
   ~Controller();
   Controller(const Controller&) = delete;
@@ -51,7 +51,7 @@
 
   rollout::Rollout& rollout() { return *rollout_; }
   /// Null when releases have no migration steps.
-  steps::Runner* steps() { return runner_.get(); }
+  migration::Runner* steps() { return runner_.get(); }
   int port() const { return api_->port(); }
 
   /// Creates the release of a build and submits it; false when it is rejected.
@@ -85,7 +85,7 @@
 
   net::Loop& loop_;
   Settings settings_;
-  const log::Log& log_;
+  const log::Logger& log_;
   ControllerCallbacks callbacks_;
   FaultInjector faults_{};
   membership::Membership membership_;
@@ -93,8 +93,8 @@
   std::unique_ptr<journal::Journal> journal_{};
   std::unique_ptr<rollout::Rollout> rollout_{};
   std::unique_ptr<ReleaseStatusBuilder> status_{};
-  std::unique_ptr<steps::Target> target_{};
-  std::unique_ptr<steps::Runner> runner_{};
+  std::unique_ptr<migration::Target> target_{};
+  std::unique_ptr<migration::Runner> runner_{};
   std::optional<StepGates> step_gates_{};
   std::unique_ptr<ReleaseObjects> objects_{};
   std::unique_ptr<MembershipMonitor> monitor_{};
--- a/src/controller/machine_routes.cpp
+++ b/src/controller/machine_routes.cpp
@@ -1,6 +1,7 @@
 #include "controller/machine_routes.h"
 
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 
 namespace robinhoist::controller {
 namespace {
@@ -15,33 +16,33 @@
 }  // namespace
 
 void MachineRoutes::fetch_commands(const ApiRequest& request) {
-  json::Out out;
-  out.open();
-  out.open_list(field::commands);
+  json::Writer out;
+  out.begin_object();
+  out.begin_array(field::commands);
   for (const rollout::Command& command : commands_) {
-    out.open();
+    out.begin_object();
     out.put(field::kind, rollout::to_string(command.kind));
     out.put("machine", command.machine);
     out.put(field::slot, command.slot);
     out.put("build", command.build);
-    out.close();
+    out.end_object();
   }
-  out.close_list();
-  out.close();
+  out.end_array();
+  out.end_object();
   commands_.clear();
   request.exchange->answer(http::json_response(200, out.text()));
 }
 
 void MachineRoutes::report(const ApiRequest& request) {
   try {
-    const auto body = json::object_of(request.http().body);
-    const int machine = json::whole(body, "machine");
+    const auto body = json::parse_object(request.http().body);
+    const int machine = json::integer(body, "machine");
     const bool is_up = json::enumerator<bool>(body, "state", {{"up", true}, {"gone", false}});
     if (is_up)
       rollout_.machine_started(machine, loop_.now());
     else
       rollout_.machine_stopped(machine, loop_.now());
-  } catch (const json::BadInput& error) {
+  } catch (const json::DecodeError& error) {
     request.exchange->answer(http::text_response(422, std::string(error.what()) + "\n"));
     return;
   }
--- a/src/controller/membership_monitor.cpp
+++ b/src/controller/membership_monitor.cpp
@@ -6,7 +6,7 @@
 
 using namespace std::chrono_literals;
 
-MembershipMonitor::MembershipMonitor(net::Loop& loop, const log::Log& log,
+MembershipMonitor::MembershipMonitor(net::Loop& loop, const log::Logger& log,
                                      membership::Membership& membership, rollout::Rollout& rollout,
                                      std::function<void()> decide)
     : loop_(loop),
--- a/src/controller/membership_monitor.h
+++ b/src/controller/membership_monitor.h
@@ -3,7 +3,7 @@
 #pragma once
 #include <functional>
 
-#include "log/log.h"
+#include "log/logger.h"
 #include "membership/membership.h"
 #include "net/loop.h"
 #include "rollout/rollout.h"
@@ -13,7 +13,7 @@
 class MembershipMonitor {
  public:
   /// `decide` is called after a check that was due by time.
-  MembershipMonitor(net::Loop& loop, const log::Log& log, membership::Membership& membership,
+  MembershipMonitor(net::Loop& loop, const log::Logger& log, membership::Membership& membership,
                     rollout::Rollout& rollout, std::function<void()> decide);
   ~MembershipMonitor();
   MembershipMonitor(const MembershipMonitor&) = delete;
@@ -24,7 +24,7 @@
 
  private:
   net::Loop& loop_;
-  const log::Log& log_;
+  const log::Logger& log_;
   membership::Membership& membership_;
   rollout::Rollout& rollout_;
   std::function<void()> decide_;
--- a/src/controller/process.cpp
+++ b/src/controller/process.cpp
@@ -12,26 +12,26 @@
 
 using namespace std::chrono_literals;
 
-Token read_token(settings::Form form) {
+Token read_token(settings::SexpReader form) {
   Token token;
-  token.name = form.own_word(0, "a name");
+  token.name = form.positional(0, "a name");
   token.role = form.enumerator<Role>(
       "role", {{"read", Role::read}, {"umpire", Role::proxy}, {"operate", Role::operate}});
   token.sha256 = form.text("sha256");
   if (token.sha256.size() != 64 ||
       token.sha256.find_first_not_of("0123456789abcdef") != std::string::npos)
-    form.problem("sha256", "is not 64 digits of lower-case hex (printf %s TOKEN | sha256sum)");
+    form.add_problem("sha256", "is not 64 digits of lower-case hex (printf %s TOKEN | sha256sum)");
   form.finish();
   return token;
 }
 
-void read_steps(settings::Form& steps, settings::Form& controller, Settings& settings) {
+void read_steps(settings::SexpReader& steps, settings::SexpReader& controller, Settings& settings) {
   settings.steps_target = steps.text("target");
-  settings.steps_lease = steps.span("lease", 100ms, 1h, 10s);
-  settings.throttle_backfills = steps.truth("throttle", true);
+  settings.steps_lease = steps.duration("lease", 100ms, 1h, 10s);
+  settings.throttle_backfills = steps.boolean("throttle", true);
   steps.finish();
   if (settings.journal.empty())
-    controller.problem("steps", "need a (journal FILE): what ran must outlive the process");
+    controller.add_problem("steps", "need a (journal FILE): what ran must outlive the process");
 }
 
 bool is_loopback(const std::string& address) {
@@ -47,7 +47,7 @@
 // Runs the service that `make` creates on a loop until a signal ends it.
 template <class Make>
 int serve(const char* name, Make make) {
-  log::Log log(name);
+  log::Logger log(name);
   net::Loop loop(net::steady_now());
   net::Signals signals(loop, {SIGTERM, SIGINT}, [&](int) { loop.quit(); });
   std::signal(SIGPIPE, SIG_IGN);
@@ -59,29 +59,29 @@
 
 }  // namespace
 
-Settings read(settings::Form root) {
+Settings read(settings::SexpReader root) {
   Settings settings;
-  const auto deployment = deployment::read(root.sub("deployment"));
-  settings::Form form = root.sub("controller");
+  const auto deployment = deployment::read(root.child("deployment"));
+  settings::SexpReader form = root.child("controller");
   settings.server.listen = form.text("listen");
-  settings.slots = form.whole("places", 1, 100000);
-  settings.initial_build = form.whole("build", 1, 65535);
+  settings.slots = form.integer("places", 1, 100000);
+  settings.initial_build = form.integer("build", 1, 65535);
   settings.journal = form.text("journal", "");
   settings.name = form.text("name", "controller");
-  if (auto steps = form.maybe("steps"))
+  if (auto steps = form.optional_child("steps"))
     read_steps(*steps, form, settings);
-  for (settings::Form& token : form.each("token"))
+  for (settings::SexpReader& token : form.children("token"))
     settings.tokens.push_back(read_token(token));
   // What anybody may do must not be within anybody's reach.
   if (settings.tokens.empty() && !is_loopback(settings.server.listen))
-    form.problem("listen", "is not on loopback, and there is no (token ...)");
+    form.add_problem("listen", "is not on loopback, and there is no (token ...)");
   settings.requests_per_s = form.number("requests-per-s", 0, 1e6, 0.0);
-  settings.max_events = static_cast<std::size_t>(form.whole("history", 10, 1000000, 1000));
-  settings.watches.max_watches = static_cast<std::size_t>(form.whole("watches", 1, 100000, 5000));
-  settings.membership.lease = form.span("umpire-lease", 100ms, 1h, 3s);
-  settings.membership.retention = form.span("umpire-memory", 1s, 24h * 7, 10min);
+  settings.max_events = static_cast<std::size_t>(form.integer("history", 10, 1000000, 1000));
+  settings.watches.max_watches = static_cast<std::size_t>(form.integer("watches", 1, 100000, 5000));
+  settings.membership.lease = form.duration("umpire-lease", 100ms, 1h, 3s);
+  settings.membership.retention = form.duration("umpire-memory", 1s, 24h * 7, 10min);
   if (settings.membership.retention < settings.membership.lease)
-    form.problem("umpire-memory", "is less than umpire-lease");
+    form.add_problem("umpire-memory", "is less than umpire-lease");
   form.finish();
   root.finish();
   settings.proxies = deployment.proxies;
@@ -90,14 +90,14 @@
 }
 
 int run(const Settings& settings) {
-  return serve("controller", [&](net::Loop& loop, const log::Log& log) {
+  return serve("controller", [&](net::Loop& loop, const log::Logger& log) {
     return std::make_unique<Controller>(loop, settings, log);
   });
 }
 
-ListSettings read_list(settings::Form root) {
+ListSettings read_list(settings::SexpReader root) {
   ListSettings settings;
-  settings::Form form = root.sub("list");
+  settings::SexpReader form = root.child("list");
   settings.server.listen = form.text("listen");
   form.finish();
   root.finish();
@@ -105,7 +105,7 @@
 }
 
 int run_list(const ListSettings& settings) {
-  return serve("list", [&](net::Loop& loop, const log::Log&) {
+  return serve("list", [&](net::Loop& loop, const log::Logger&) {
     return std::make_unique<registry::Service>(loop, settings.server, new_series());
   });
 }
--- a/src/controller/process.h
+++ b/src/controller/process.h
@@ -2,13 +2,13 @@
 #pragma once
 #include "controller/settings.h"
 #include "http/server.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 
 namespace robinhoist::controller {
 
 /// Reads the `deployment` and `controller` sections. What is wrong with them is noted in the form,
-/// which throws settings::Invalid when it is finished.
-Settings read(settings::Form root);
+/// which throws settings::ValidationError when it is finished.
+Settings read(settings::SexpReader root);
 /// Serves until SIGTERM or SIGINT. Returns the process's exit status.
 int run(const Settings& settings);
 
@@ -17,7 +17,7 @@
   http::ServerSettings server{};
 };
 /// Reads the `list` section, as read() does.
-ListSettings read_list(settings::Form root);
+ListSettings read_list(settings::SexpReader root);
 /// Serves the endpoint registry until SIGTERM or SIGINT. Returns the process's exit status.
 int run_list(const ListSettings& settings);
 
--- a/src/controller/proxy_routes.cpp
+++ b/src/controller/proxy_routes.cpp
@@ -3,7 +3,8 @@
 #include <optional>
 
 #include "controller/api_error.h"
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "releases/release_input.h"
 #include "rollout/names.h"
 
@@ -35,11 +36,11 @@
   Verdict verdict;
 };
 
-VoteRequest read_vote(const json::Json& body) {
+VoteRequest read_vote(const json::Value& body) {
   VoteRequest vote;
   vote.proxy = json::text(body, field::proxy);
   vote.incarnation = json::text(body, field::incarnation);
-  vote.stage = json::whole(body, "stage", 0, max_stage);
+  vote.stage = json::integer(body, "stage", 0, max_stage);
   vote.verdict =
       json::enumerator<Verdict>(body, "verdict",
                                 {{rollout::to_string(Verdict::none), Verdict::none},
@@ -47,14 +48,14 @@
                                  {rollout::to_string(Verdict::hold), Verdict::hold},
                                  {rollout::to_string(Verdict::roll_back), Verdict::roll_back}});
   if (vote.proxy.empty())
-    json::mistyped(field::proxy, "a name");
+    json::throw_wrong_type(field::proxy, "a name");
   return vote;
 }
 
-membership::Acknowledgement read_acknowledgement(const json::Json& object, TimePoint now) {
+membership::Acknowledgement read_acknowledgement(const json::Value& object, TimePoint now) {
   membership::Acknowledgement acknowledgement;
-  acknowledgement.build = json::whole(object, "build", 0, max_build);
-  acknowledgement.stage = json::whole(object, "stage", 0, max_stage);
+  acknowledgement.build = json::integer(object, "build", 0, max_build);
+  acknowledgement.stage = json::integer(object, "stage", 0, max_stage);
   acknowledgement.cap = json::number(object, "cap");
   acknowledgement.version = static_cast<std::int64_t>(json::number(object, "version"));
   acknowledgement.at = now;
@@ -71,24 +72,24 @@
   return http::json_response(200, "{\"result\":\"ok\"}");
 }
 
-void write_member(json::Out& out, const std::string& name, const membership::Member& member,
+void write_member(json::Writer& out, const std::string& name, const membership::Member& member,
                   TimePoint now) {
-  out.open();
+  out.begin_object();
   out.put("name", name);
   out.put("live", member.live);
   out.put("restarts", member.restarts);
   out.put_ms(field::last_heartbeat, now - member.last_heartbeat);
   out.put_ms(field::uptime, now - member.since);
   if (member.acknowledged) {
-    out.open("acknowledged");
+    out.begin_object("acknowledged");
     out.put("build", member.acknowledged->build);
     out.put("stage", member.acknowledged->stage);
     out.put("cap", member.acknowledged->cap);
     out.put("version", static_cast<long>(member.acknowledged->version));
     out.put_ms("msAgo", now - member.acknowledged->at);
-    out.close();
+    out.end_object();
   }
-  out.close();
+  out.end_object();
 }
 
 }  // namespace
@@ -99,7 +100,7 @@
   const auto body = read_body(request);
   const std::string incarnation = json::text(body, field::incarnation);
   if (!objects::is_label_value(request.name) || incarnation.empty())
-    json::mistyped(field::incarnation, "a word");
+    json::throw_wrong_type(field::incarnation, "a word");
   const TimePoint now = deps_.loop.now();
   membership::Membership& membership = deps_.membership;
   const auto result = membership.heartbeat(request.name, incarnation, now);
@@ -107,19 +108,19 @@
     deps_.log.info("proxy", {{"name", request.name}, {"state", membership::to_string(result)}});
   if (result == membership::HeartbeatResult::superseded)
     throw superseded("another process has taken the name " + request.name);
-  if (json::present(body, "acknowledged"))
+  if (json::has_value(body, "acknowledged"))
     membership.acknowledge(request.name, incarnation,
-                           read_acknowledgement(json::inner(body, "acknowledged"), now));
+                           read_acknowledgement(json::nested_object(body, "acknowledged"), now));
   deps_.monitor.check();
   deps_.decide();
   const auto lease =
       std::chrono::duration_cast<std::chrono::milliseconds>(deps_.settings.membership.lease);
-  json::Out out;
-  out.open();
+  json::Writer out;
+  out.begin_object();
   out.put("leaseMs", lease.count());
   out.put("known", membership.known());
   out.put("live", membership.live());
-  out.close();
+  out.end_object();
   request.exchange->answer(http::json_response(200, out.text()));
 }
 
@@ -157,8 +158,8 @@
 void ProxyRoutes::list(const ApiRequest& request) {
   const membership::Membership& membership = deps_.membership;
   const TimePoint now = deps_.loop.now();
-  json::Out out;
-  out.open();
+  json::Writer out;
+  out.begin_object();
   out.put("kind", list_kind);
   out.put("known", membership.known());
   out.put("live", membership.live());
@@ -166,18 +167,18 @@
   out.put(field::rollback_electorate, membership.rollback_electorate());
   out.put("watches", deps_.watches.count());
   out.put(field::watches_dropped, deps_.watches.dropped());
-  out.open_list("items");
+  out.begin_array("items");
   for (const auto& [name, member] : membership.all())
     write_member(out, name, member, now);
-  out.close_list();
-  out.close();
+  out.end_array();
+  out.end_object();
   request.exchange->answer(http::json_response(200, out.text()));
 }
 
 void ProxyRoutes::client_outcomes(const ApiRequest& request) {
   const auto body = releases::parse_document(request.http().body);
-  const int requests = json::whole(body, field::requests);
-  const int unsuccessful = json::whole(body, field::unsuccessful);
+  const int requests = json::integer(body, field::requests);
+  const int unsuccessful = json::integer(body, field::unsuccessful);
   if (deps_.steps && deps_.settings.throttle_backfills)
     deps_.steps->client_outcomes(requests, unsuccessful);
   request.exchange->answer(http::json_response(200, "{}"));
--- a/src/controller/proxy_routes.h
+++ b/src/controller/proxy_routes.h
@@ -9,11 +9,11 @@
 #include "controller/settings.h"
 #include "controller/watches.h"
 #include "membership/membership.h"
+#include "migration/runner.h"
 #include "policy/release.h"
 #include "policy/request.h"
 #include "releases/catalog.h"
 #include "rollout/rollout.h"
-#include "steps/runner.h"
 
 namespace robinhoist::controller {
 
@@ -26,7 +26,7 @@
   /// All must outlive it. `steps` may be null, and callbacks but `decide` empty.
   struct Dependencies {
     net::Loop& loop;
-    const log::Log& log;
+    const log::Logger& log;
     const Settings& settings;
     membership::Membership& membership;
     MembershipMonitor& monitor;
@@ -34,7 +34,7 @@
     const releases::Catalog& catalog;
     const Watches& watches;
     FaultInjector& faults;
-    steps::Runner* steps;
+    migration::Runner* steps;
     VoteCallback voted;
     std::function<void()> decide;
   };
--- a/src/controller/release_list.cpp
+++ b/src/controller/release_list.cpp
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "controller/api_error.h"
-#include "json/fields.h"
+#include "json/writer.h"
 
 namespace robinhoist::controller {
 namespace {
@@ -45,15 +45,15 @@
     else
       ++remaining;
   }
-  json::Out metadata;
-  metadata.open();
+  json::Writer metadata;
+  metadata.begin_object();
   metadata.put("resourceVersion", std::to_string(page.version));
   metadata.put("series", series);
   if (remaining > 0) {
     metadata.put("continue", std::to_string(page.version) + "." + items.back()->name);
     metadata.put("remainingItemCount", remaining);
   }
-  metadata.close();
+  metadata.end_object();
   std::string body =
       "{\"kind\":\"ReleaseList\",\"apiVersion\":\"v1\",\"metadata\":" + metadata.text() +
       ",\"items\":[";
--- a/src/controller/release_objects.h
+++ b/src/controller/release_objects.h
@@ -11,7 +11,7 @@
 #include "controller/settings.h"
 #include "controller/watches.h"
 #include "journal/journal.h"
-#include "log/log.h"
+#include "log/logger.h"
 #include "net/loop.h"
 #include "releases/catalog.h"
 #include "rollout/rollout.h"
@@ -29,7 +29,7 @@
   struct Dependencies {
     net::Loop& loop;
     const Settings& settings;
-    const log::Log& log;
+    const log::Logger& log;
     journal::Journal* journal;
     const rollout::Rollout& rollout;
     const ReleaseStatusBuilder& status;
@@ -77,7 +77,7 @@
 
   net::Loop& loop_;
   const Settings& settings_;
-  const log::Log& log_;
+  const log::Logger& log_;
   journal::Journal* journal_;
   const rollout::Rollout& rollout_;
   const ReleaseStatusBuilder& status_;
--- a/src/controller/release_routes.cpp
+++ b/src/controller/release_routes.cpp
@@ -3,7 +3,7 @@
 #include "controller/api_error.h"
 #include "controller/idempotent_creation.h"
 #include "controller/release_list.h"
-#include "json/fields.h"
+#include "json/reader.h"
 #include "releases/release_codec.h"
 
 namespace robinhoist::controller {
@@ -122,7 +122,7 @@
 }
 
 bool ReleaseRoutes::create_release(int build, const std::string& author) {
-  const auto body = json::object_of("{\"spec\":{\"build\":" + std::to_string(build) + "}}");
+  const auto body = json::parse_object("{\"spec\":{\"build\":" + std::to_string(build) + "}}");
   try {
     const releases::ChangeResult result = deps_.objects.catalog().create(
         body, random_id(), deps_.rollout.newest_build(), wall_clock_ms());
@@ -172,7 +172,7 @@
   const std::string reason = json::text(body, "reason");
   const std::string author = json::text_or(body, "author", request.caller.name);
   if (reason.empty() || author.empty())
-    json::mistyped(reason.empty() ? "reason" : "author", "a word");
+    json::throw_wrong_type(reason.empty() ? "reason" : "author", "a word");
   const releases::Catalog& catalog = deps_.objects.catalog();
   const releases::Release& release = catalog.get(request.name, expected_version(request));
   if (is_dry_run(request)) {
--- a/src/controller/release_routes.h
+++ b/src/controller/release_routes.h
@@ -18,7 +18,7 @@
   /// changed.
   struct Dependencies {
     net::Loop& loop;
-    const log::Log& log;
+    const log::Logger& log;
     const Settings& settings;
     journal::Journal* journal;
     rollout::Rollout& rollout;
--- a/src/controller/release_status.h
+++ b/src/controller/release_status.h
@@ -3,9 +3,9 @@
 #include <string>
 
 #include "membership/membership.h"
+#include "migration/runner.h"
 #include "releases/release.h"
 #include "rollout/rollout.h"
-#include "steps/runner.h"
 #include "time/time_types.h"
 
 namespace robinhoist::controller {
@@ -18,7 +18,7 @@
       : settings_(settings), rollout_(rollout), membership_(membership) {}
 
   /// The runner of migration steps; without one, no stage waits for steps.
-  void set_steps(const steps::Runner* steps) { steps_ = steps; }
+  void set_steps(const migration::Runner* steps) { steps_ = steps; }
 
   /// `wall_now` is the same moment as `now`.
   releases::Status build(const releases::Release& release, TimePoint now,
@@ -46,7 +46,7 @@
   const rollout::Settings& settings_;
   const rollout::Rollout& rollout_;
   const membership::Membership& membership_;
-  const steps::Runner* steps_ = nullptr;
+  const migration::Runner* steps_ = nullptr;
 };
 
 }  // namespace robinhoist::controller
--- a/src/controller/step_gates.cpp
+++ b/src/controller/step_gates.cpp
@@ -21,14 +21,14 @@
 void StepGates::report_releases(TimePoint now) {
   for (const auto& [build, phase] : rollout_.past_outcomes()) {
     const bool released = phase == ReleasePhase::released;
-    steps::Release past{.stage = stages_ - 1, .offered = true};
+    migration::ReleaseState past{.stage = stages_ - 1, .offered = true};
     past.withdrawn = !released;
     past.going_back = !released;
     past.final = released;
     runner_.release(build, past);
   }
   const ReleaseUpdate update = rollout_.release_update(now);
-  steps::Release present{.stage = rollout_.active_stage(), .offered = true};
+  migration::ReleaseState present{.stage = rollout_.active_stage(), .offered = true};
   present.going_back = update.phase == ReleasePhase::rolling_back;
   present.withdrawn = update.phase == ReleasePhase::rolled_back;
   present.final = update.phase == ReleasePhase::released && !rollout_.can_roll_back(now);
--- a/src/controller/step_gates.h
+++ b/src/controller/step_gates.h
@@ -3,8 +3,8 @@
 #pragma once
 #include <map>
 
+#include "migration/runner.h"
 #include "rollout/rollout.h"
-#include "steps/runner.h"
 #include "time/time_types.h"
 
 namespace robinhoist::controller {
@@ -12,7 +12,7 @@
 class StepGates {
  public:
   /// `stages` is the number of stages of a release. Both must outlive it.
-  StepGates(rollout::Rollout& rollout, steps::Runner& runner, int stages)
+  StepGates(rollout::Rollout& rollout, migration::Runner& runner, int stages)
       : rollout_(rollout), runner_(runner), stages_(stages) {}
 
   /// Brings both up to date; true when a gate has opened or closed.
@@ -30,7 +30,7 @@
   void report_releases(TimePoint now);
 
   rollout::Rollout& rollout_;
-  steps::Runner& runner_;
+  migration::Runner& runner_;
   int stages_;
   std::map<StageId, rollout::Gate> gates_{};  // as last set
 };
--- a/src/controller/step_routes.cpp
+++ b/src/controller/step_routes.cpp
@@ -1,7 +1,8 @@
 #include "controller/step_routes.h"
 
 #include "journal/journal.h"
-#include "settings/form.h"
+#include "json/writer.h"
+#include "settings/sexp_reader.h"
 
 namespace robinhoist::controller {
 
@@ -15,9 +16,9 @@
   }
   try {
     handle();
-  } catch (const json::BadInput& error) {
+  } catch (const json::DecodeError& error) {
     answer(422, error.what());
-  } catch (const settings::Invalid& error) {
+  } catch (const settings::ValidationError& error) {
     answer(422, error.what());
   } catch (const journal::Failed& error) {
     answer(503, error.what());
@@ -31,8 +32,8 @@
                                         author.empty() ? request.caller.name : author);
     plan_taken_();
     decide_();
-    json::Out out;
-    out.open().put("build", build).close();
+    json::Writer out;
+    out.begin_object().put("build", build).end_object();
     request.exchange->answer(http::json_response(200, out.text()));
   });
 }
@@ -50,13 +51,13 @@
   });
 }
 
-StepRoutes::Author StepRoutes::read_author(const ApiRequest& request, const json::Json& body) {
+StepRoutes::Author StepRoutes::read_author(const ApiRequest& request, const json::Value& body) {
   return {json::text_or(body, "who", request.caller.name), json::text_or(body, "why", "")};
 }
 
 void StepRoutes::set_paused(const ApiRequest& request, bool paused) {
   answer_errors(request, [&] {
-    const auto body = json::object_of(request.http().body);
+    const auto body = json::parse_object(request.http().body);
     const Author author = read_author(request, body);
     respond(request, steps_->pause(paused, author.who, author.why));
   });
@@ -64,9 +65,9 @@
 
 void StepRoutes::act_on_step(const ApiRequest& request, StepAction action) {
   answer_errors(request, [&] {
-    const auto body = json::object_of(request.http().body);
+    const auto body = json::parse_object(request.http().body);
     const Author author = read_author(request, body);
-    const int build = json::whole(body, "build");
+    const int build = json::integer(body, "build");
     const std::string step = json::text(body, "step");
     respond(request, (steps_->*action)(build, step, author.who, author.why));
   });
@@ -81,11 +82,11 @@
 }
 
 void StepRoutes::retry(const ApiRequest& request) {
-  act_on_step(request, &steps::Runner::retry);
+  act_on_step(request, &migration::Runner::retry);
 }
 
 void StepRoutes::skip(const ApiRequest& request) {
-  act_on_step(request, &steps::Runner::skip);
+  act_on_step(request, &migration::Runner::skip);
 }
 
 void StepRoutes::respond(const ApiRequest& request, const std::string& rejection) {
--- a/src/controller/watches.cpp
+++ b/src/controller/watches.cpp
@@ -1,6 +1,6 @@
 #include "controller/watches.h"
 
-#include "json/fields.h"
+#include "json/writer.h"
 
 namespace robinhoist::controller {
 namespace {
@@ -10,15 +10,15 @@
 constexpr int batch_size = 50;
 
 std::string error_line(int code, const char* reason, std::int64_t version) {
-  json::Out out;
-  out.open();
+  json::Writer out;
+  out.begin_object();
   out.put("type", "ERROR");
-  out.open("object");
+  out.begin_object("object");
   out.put("code", code);
   out.put("reason", reason);
   out.put("resourceVersion", std::to_string(version));
-  out.close();
-  out.close();
+  out.end_object();
+  out.end_object();
   return out.text() + "\n";
 }
 
@@ -95,12 +95,12 @@
 }
 
 bool Watches::send_object(Watch& watch, const char* type, const objects::Snapshot& object) {
-  json::Out out;
-  out.open();
+  json::Writer out;
+  out.begin_object();
   out.put("type", type);
   out.put("version", static_cast<long>(object.version));
   out.put("ageMs", age_ms(object));
-  out.close();
+  out.end_object();
   std::string line = out.text();
   line.pop_back();
   line += ",\"object\":" + (watch.options.brief ? object.brief : object.full) + "}\n";
@@ -110,12 +110,12 @@
 }
 
 bool Watches::send_bookmark(Watch& watch) {
-  json::Out out;
-  out.open();
+  json::Writer out;
+  out.begin_object();
   out.put("type", "BOOKMARK");
   out.put("version", static_cast<long>(watch.version));
   out.put("series", series_);
-  out.close();
+  out.end_object();
   return watch.exchange->write(out.text() + "\n");
 }
 
--- a/src/platform/sources.cpp
+++ b/src/platform/sources.cpp
@@ -67,7 +67,7 @@
 }  // namespace
 
 Watch::Watch(net::Loop& loop, const std::string& address, const Settings& settings,
-             const log::Log& log)
+             const log::Logger& log)
     : loop_(loop),
       address_(address),
       settings_(settings),
@@ -94,7 +94,7 @@
   if (address == address_)
     return;
   address_ = address;
-  backoff_.worked();
+  backoff_.reset();
   if (stream_)
     stream_->stop();
   again();
@@ -116,12 +116,12 @@
   const std::size_t lines = framer_.lines();
   std::size_t objects = 0;
   try {
-    json::Framed framed;
-    for (; (framed = framer_.next(body)) == json::Framed::object; ++objects)
-      event_(json::object_of(framer_.object()));
-    if (framed == json::Framed::bad)
-      throw json::BadInput("what comes is no JSON object");
-  } catch (const json::BadInput& bad) {
+    json::FrameStatus framed;
+    for (; (framed = framer_.next(body)) == json::FrameStatus::object; ++objects)
+      event_(json::parse_object(framer_.object()));
+    if (framed == json::FrameStatus::bad)
+      throw json::DecodeError("what comes is no JSON object");
+  } catch (const json::DecodeError& bad) {
     stream_->stop();
     broken(bad.what());
     return false;
@@ -129,7 +129,7 @@
   body.erase(0, framer_.done());
   if (objects == 0 && framer_.lines() == lines)
     return false;
-  backoff_.worked();
+  backoff_.reset();
   if (failing_)
     log_.info("heard again", {{"of", settings_.what}, {"from", address_}});
   failing_ = false;
@@ -145,24 +145,24 @@
     log_.warn("not heard", {{"of", settings_.what}, {"from", address_}, {"why", why}});
   failing_ = true;
   loop_.cancel(timer_);
-  timer_ = loop_.in(backoff_.failed(), [this] { ask(); });
+  timer_ = loop_.in(backoff_.next_delay(), [this] { ask(); });
 }
 
 Watch::Settings Discovery::watching(unsigned salt) {
   return {.what = "nodes",
-          .silence = {.first = endpoints_first, .most = endpoints_silent},
+          .silence = {.first = endpoints_first, .next = endpoints_silent},
           .pause_most = endpoints_pause,
           .salt = salt};
 }
 
 Discovery::Discovery(net::Loop& loop, const std::string& address, std::int64_t version,
-                     const Watch::Settings& watch, const log::Log& log)
+                     const Watch::Settings& watch, const log::Logger& log)
     : loop_(loop), version_(version), watch_(loop, address, watch, log) {}
 
 void Discovery::start(Heard heard) {
   heard_ = std::move(heard);
   watch_.start([this] { return "/discovery/hosts?watch=1&from=" + std::to_string(version_); },
-               [this](const json::Json& object) { told(endpoints_of(object)); });
+               [this](const json::Value& object) { told(endpoints_of(object)); });
 }
 
 // A list older than the one held is not believed, unless nothing else has been told for as long as
@@ -172,8 +172,8 @@
     if (!older_from_)
       older_from_ = loop_.now();
     if (!news.whole || loop_.now() < *older_from_ + told_after)
-      throw json::BadInput("revision " + std::to_string(news.version) +
-                           " is older than the one held, " + std::to_string(version_));
+      throw json::DecodeError("revision " + std::to_string(news.version) +
+                              " is older than the one held, " + std::to_string(version_));
   }
   older_from_.reset();
   version_ = news.version;
@@ -187,13 +187,13 @@
 
 Watch::Settings ReleaseApi::watching(unsigned salt) {
   return {.what = "releases",
-          .silence = {.first = releases_silent, .most = releases_silent},
+          .silence = {.first = releases_silent, .next = releases_silent},
           .pause_most = releases_pause,
           .salt = salt};
 }
 
 ReleaseApi::ReleaseApi(net::Loop& loop, const std::string& address, const ReleaseUpdate& known,
-                       Duration vote_within, unsigned salt, const log::Log& log)
+                       Duration vote_within, unsigned salt, const log::Logger& log)
     : loop_(loop),
       vote_within_(vote_within),
       known_(known),
@@ -208,15 +208,15 @@
   at_start.since = std::max(Duration{}, loop_.now() - known_from_);
   heard_(at_start);
   watch_.start([] { return "/v1/watch"; },
-               [this](const json::Json& line) {
+               [this](const json::Value& line) {
                  if (line.ObjectEmpty())
                    return;  // a sign of life
                  const std::string type = json::text(line, "type");
-                 const json::Json& object = json::inner(line, "object");
+                 const json::Value& object = json::nested_object(line, "object");
                  if (type == "ROLLOUT")
                    return told(release_update_of(object));
                  if (type == "DISPUTE" && flagged_)
-                   flagged_(json::text(object, "InstanceId"), json::duration_of(object, "AgeMs"));
+                   flagged_(json::text(object, "InstanceId"), json::duration(object, "AgeMs"));
                });
 }
 
@@ -242,12 +242,12 @@
   request.method = "POST";
   request.target = "/v1/verdicts";
   request.headers.add("Content-Type", "application/json");
-  request.body = json::Out()
-                     .open()
+  request.body = json::Writer()
+                     .begin_object()
                      .put("Revision", build)
                      .put("Wave", stage)
                      .put("Decision", word_of(verdict))
-                     .close()
+                     .end_object()
                      .text();
   caller_->call(request, vote_within_,
                 [this, answered](http::CallResult how, http::Response&& response) {
@@ -263,8 +263,8 @@
                     return answered(Outcome::error);
                   ReleaseUpdate release{};
                   try {
-                    release = release_update_of(json::object_of(response.body));
-                  } catch (const json::BadInput&) {
+                    release = release_update_of(json::parse_object(response.body));
+                  } catch (const json::DecodeError&) {
                     return answered(Outcome::timeout);  // it can't be read: the vote may count
                   }
                   answered(Outcome::ok);
--- a/src/proxy/process.cpp
+++ b/src/proxy/process.cpp
@@ -2,7 +2,7 @@
 
 #include <csignal>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "net/signals.h"
 #include "proxy/http_protocol.h"
 #include "proxy/router.h"
@@ -10,7 +10,7 @@
 namespace robinhoist::proxy {
 
 int run(const Settings& settings) {
-  log::Log log(settings.name, settings.log_level);
+  log::Logger log(settings.name, settings.log_level);
   net::Loop loop(net::steady_now());
   std::signal(SIGPIPE, SIG_IGN);
   HttpEndpointSource endpoints(loop, settings.list_from, settings.name, settings.salt, log);
@@ -46,11 +46,11 @@
       }
       if (request.method == "POST" && request.path() == "/wrong") {
         try {
-          const std::string endpoint = json::text(json::object_of(request.body), "node");
+          const std::string endpoint = json::text(json::parse_object(request.body), "node");
           if (router.found_wrong(endpoint))
             return exchange->answer(http::json_response(200, "{}"));
           return exchange->answer(http::text_response(404, "no node " + endpoint + "\n"));
-        } catch (const json::BadInput& bad) {
+        } catch (const json::DecodeError& bad) {
           return exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
         }
       }
--- a/src/releases/catalog.cpp
+++ b/src/releases/catalog.cpp
@@ -58,7 +58,7 @@
   return *release;
 }
 
-ChangeResult Catalog::create(const Json& body, const std::string& uid, int newest_build,
+ChangeResult Catalog::create(const json::Value& body, const std::string& uid, int newest_build,
                              WallMillis now) const {
   Release release = parse_creation(body);
   if (const Release* present = find(release.name))
@@ -81,7 +81,7 @@
   return {objects::Change::added, release};
 }
 
-ChangeResult Catalog::patch(const std::string& name, const Json& body,
+ChangeResult Catalog::patch(const std::string& name, const json::Value& body,
                             ExpectedVersion expected) const {
   const Release& release = get(name);
   PatchedRelease patched = apply_patch(release, body);
--- a/src/releases/catalog.h
+++ b/src/releases/catalog.h
@@ -44,9 +44,10 @@
                std::deque<objects::Event> events);
 
   /// These throw RequestError. `newest_build` is the newest that was ever submitted.
-  ChangeResult create(const Json& body, const std::string& uid, int newest_build,
+  ChangeResult create(const json::Value& body, const std::string& uid, int newest_build,
                       WallMillis now) const;
-  ChangeResult patch(const std::string& name, const Json& body, ExpectedVersion expected) const;
+  ChangeResult patch(const std::string& name, const json::Value& body,
+                     ExpectedVersion expected) const;
   ChangeResult remove(const std::string& name, ExpectedVersion expected, WallMillis now) const;
   /// The release of that name and version.
   const Release& get(const std::string& name, ExpectedVersion expected = {}) const;
--- a/src/releases/follower.cpp
+++ b/src/releases/follower.cpp
@@ -10,7 +10,7 @@
 constexpr int max_build = 65535;
 constexpr int max_stage = 1000;
 
-std::int64_t version_of(const json::Json& event) {
+std::int64_t version_of(const json::Value& event) {
   return static_cast<std::int64_t>(json::number(event, "version"));
 }
 
@@ -33,13 +33,13 @@
   body.erase(0, end + 1);
   try {
     return read_line(line, now);
-  } catch (const json::BadInput&) {
+  } catch (const json::DecodeError&) {
     return Line::malformed;
   }
 }
 
 Follower::Line Follower::read_line(const std::string& line, TimePoint now) {
-  const auto event = json::object_of(line);
+  const auto event = json::parse_object(line);
   const std::string type = json::text(event, "type");
   if (type == "ERROR")
     return Line::expired;
@@ -54,7 +54,7 @@
   return Line::accepted;
 }
 
-void Follower::read_bookmark(const json::Json& event) {
+void Follower::read_bookmark(const json::Value& event) {
   const std::int64_t version = version_of(event);
   series_ = json::text(event, "series");
   if (listing_) {
@@ -67,9 +67,9 @@
   version_ = std::max(version_, version);
 }
 
-void Follower::read_event(const json::Json& event, TimePoint now) {
-  const json::Json& object = json::inner(event, "object");
-  const std::string name = json::text(json::inner(object, "metadata"), "name");
+void Follower::read_event(const json::Value& event, TimePoint now) {
+  const json::Value& object = json::nested_object(event, "object");
+  const std::string name = json::text(json::nested_object(object, "metadata"), "name");
   auto& releases = listing_ ? incoming_ : known_;
   if (json::text(event, "type") == objects::to_string(objects::Change::deleted))
     releases.erase(name);
@@ -79,19 +79,19 @@
     version_ = version_of(event);
 }
 
-Follower::KnownRelease Follower::read_release(const json::Json& event, TimePoint now) {
-  const json::Json& object = json::inner(event, "object");
-  const json::Json& status = json::inner(object, "status");
+Follower::KnownRelease Follower::read_release(const json::Value& event, TimePoint now) {
+  const json::Value& object = json::nested_object(event, "object");
+  const json::Value& status = json::nested_object(object, "status");
   const auto phase = decode_phase(status);
   KnownRelease known;
   known.begun = phase.has_value();
-  known.release.build = json::whole(json::inner(object, "spec"), "build", 0, max_build);
-  known.release.stage = json::whole(status, "stage", 0, max_stage);
+  known.release.build = json::integer(json::nested_object(object, "spec"), "build", 0, max_build);
+  known.release.stage = json::integer(status, "stage", 0, max_stage);
   known.release.phase = phase.value_or(ReleasePhase::canary);
   known.release.cap = json::number(status, "cap");
   if (!(known.release.cap >= 0 && known.release.cap <= 1))
-    json::mistyped("cap", "a share from 0 to 1");
-  known.since = now - json::duration_of(event, "ageMs");
+    json::throw_wrong_type("cap", "a share from 0 to 1");
+  known.since = now - json::duration(event, "ageMs");
   known.version = version_of(event);
   return known;
 }
--- a/src/releases/follower.h
+++ b/src/releases/follower.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "policy/release.h"
 #include "time/time_types.h"
 
@@ -47,9 +47,9 @@
     std::int64_t version = 0;
   };
   Line read_line(const std::string& line, TimePoint now);
-  void read_bookmark(const json::Json& event);
-  void read_event(const json::Json& event, TimePoint now);
-  static KnownRelease read_release(const json::Json& event, TimePoint now);
+  void read_bookmark(const json::Value& event);
+  void read_event(const json::Value& event, TimePoint now);
+  static KnownRelease read_release(const json::Value& event, TimePoint now);
 
   std::map<std::string, KnownRelease> known_{};     // by name
   std::map<std::string, KnownRelease> incoming_{};  // what an answer that begins anew has listed
--- a/src/releases/release_codec.cpp
+++ b/src/releases/release_codec.cpp
@@ -2,6 +2,7 @@
 
 #include <ctime>
 
+#include "json/writer.h"
 #include "rollout/names.h"
 
 namespace robinhoist::releases {
@@ -28,16 +29,16 @@
   return time.time_since_epoch().count();
 }
 
-std::int64_t read_integer(const json::Json& object, const char* name) {
+std::int64_t read_integer(const json::Value& object, const char* name) {
   return static_cast<std::int64_t>(json::number_or(object, name, 0));
 }
 
-WallMillis read_time(const json::Json& object, const char* name) {
+WallMillis read_time(const json::Value& object, const char* name) {
   return WallMillis(std::chrono::milliseconds(read_integer(object, name)));
 }
 
-void write_metadata(json::Out& out, const Release& release) {
-  out.open("metadata");
+void write_metadata(json::Writer& out, const Release& release) {
+  out.begin_object("metadata");
   out.put("name", release.name);
   out.put("uid", release.uid);
   out.put("generation", static_cast<long>(release.generation));
@@ -45,19 +46,19 @@
   out.put("creationTimestamp", rfc3339(release.created));
   if (release.is_deleting())
     out.put("deletionTimestamp", rfc3339(release.deletion_requested));
-  out.open("labels");
+  out.begin_object("labels");
   for (const auto& [name, value] : release.labels)
     out.put(name.c_str(), value);
-  out.close();
-  out.open_list("finalizers");
+  out.end_object();
+  out.begin_array("finalizers");
   for (const std::string& finalizer : release.finalizers)
     out.put(nullptr, finalizer);
-  out.close_list();
-  out.close();
+  out.end_array();
+  out.end_object();
 }
 
 // The part of the status that proxies go by.
-void write_state(json::Out& out, const Status& status) {
+void write_state(json::Writer& out, const Status& status) {
   out.put("phase", phase_name(status.phase));
   out.put("stage", status.stage);
   out.put("cap", status.cap);
@@ -66,22 +67,22 @@
   out.put("why", status.why);
 }
 
-void write_stages(json::Out& out, const std::vector<StageStatus>& stages) {
-  out.open_list(field::stages);
+void write_stages(json::Writer& out, const std::vector<StageStatus>& stages) {
+  out.begin_array(field::stages);
   for (const StageStatus& stage : stages) {
-    out.open();
+    out.begin_object();
     out.put("share", stage.share);
     out.put("cap", stage.cap);
     out.put("state", to_string(stage.state));
-    out.close();
+    out.end_object();
   }
-  out.close_list();
+  out.end_array();
 }
 
-void write_proxies(json::Out& out, const std::vector<ProxyStatus>& proxies) {
-  out.open_list(field::proxies);
+void write_proxies(json::Writer& out, const std::vector<ProxyStatus>& proxies) {
+  out.begin_array(field::proxies);
   for (const ProxyStatus& proxy : proxies) {
-    out.open();
+    out.begin_object();
     out.put("name", proxy.proxy);
     out.put("vote", rollout::to_string(proxy.vote));
     if (proxy.cap) {
@@ -89,83 +90,83 @@
       out.put("stage", proxy.stage);
       out.put("acknowledgedAt", rfc3339(proxy.acknowledged_at));
     }
-    out.close();
+    out.end_object();
   }
-  out.close_list();
+  out.end_array();
 }
 
-void write_steps(json::Out& out, const std::vector<StepStatus>& steps) {
-  out.open_list("steps");
+void write_steps(json::Writer& out, const std::vector<StepStatus>& steps) {
+  out.begin_array("steps");
   for (const StepStatus& step : steps) {
-    out.open();
+    out.begin_object();
     out.put("id", step.id);
     out.put("phase", step.phase);
     out.put("state", step.state);
-    out.close();
+    out.end_object();
   }
-  out.close_list();
+  out.end_array();
 }
 
-void write_conditions(json::Out& out, const std::vector<Condition>& conditions) {
-  out.open_list("conditions");
+void write_conditions(json::Writer& out, const std::vector<Condition>& conditions) {
+  out.begin_array("conditions");
   for (const Condition& condition : conditions) {
-    out.open();
+    out.begin_object();
     out.put("type", condition.type);
     out.put("status", condition.status ? "True" : "False");
     out.put("reason", condition.reason);
     out.put("message", condition.message);
     out.put("lastTransitionTime", rfc3339(condition.last_transition));
-    out.close();
+    out.end_object();
   }
-  out.close_list();
+  out.end_array();
 }
 
-void write_status(json::Out& out, const Status& status) {
-  out.open("status");
+void write_status(json::Writer& out, const Status& status) {
+  out.begin_object("status");
   write_state(out, status);
   out.put("observedGeneration", static_cast<long>(status.observed_generation));
-  out.open("machines");
+  out.begin_object("machines");
   out.put("all", status.machines);
   out.put("up", status.machines_up);
-  out.close();
+  out.end_object();
   write_stages(out, status.stages);
   write_proxies(out, status.proxies);
   write_steps(out, status.steps);
   write_conditions(out, status.conditions);
-  out.close();
+  out.end_object();
 }
 
 // For decode(): times as numbers, which the RFC 3339 texts repeat.
-void write_times(json::Out& out, const Release& release) {
-  out.open(field::milliseconds);
+void write_times(json::Writer& out, const Release& release) {
+  out.begin_object(field::milliseconds);
   out.put("created", milliseconds(release.created));
   out.put(field::deletion_requested, milliseconds(release.deletion_requested));
   out.put("since", milliseconds(release.status.since));
-  out.open_list("conditions");
+  out.begin_array("conditions");
   for (const Condition& condition : release.status.conditions)
-    out.open().put("at", milliseconds(condition.last_transition)).close();
-  out.close_list();
-  out.close();
+    out.begin_object().put("at", milliseconds(condition.last_transition)).end_object();
+  out.end_array();
+  out.end_object();
 }
 
-void read_metadata(const json::Json& metadata, Release& release) {
+void read_metadata(const json::Value& metadata, Release& release) {
   release.name = json::text(metadata, "name");
   release.uid = json::text(metadata, "uid");
   release.generation = read_integer(metadata, "generation");
   release.version = std::strtoll(json::text(metadata, "resourceVersion").c_str(), nullptr, 10);
-  for (const auto& label : json::inner(metadata, "labels").GetObject())
+  for (const auto& label : json::nested_object(metadata, "labels").GetObject())
     release.labels[label.name.GetString()] = label.value.GetString();
   for (const auto& finalizer : json::array(metadata, "finalizers").GetArray())
     release.finalizers.emplace_back(finalizer.GetString());
 }
 
-std::vector<Condition> read_conditions(const json::Json& status, const json::Json& times) {
+std::vector<Condition> read_conditions(const json::Value& status, const json::Value& times) {
   std::vector<Condition> conditions;
-  const json::Json& transitions = json::array(times, "conditions");
+  const json::Value& transitions = json::array(times, "conditions");
   for (const auto& item : json::array(status, "conditions").GetArray()) {
     const auto index = static_cast<rapidjson::SizeType>(conditions.size());
     if (index >= transitions.Size())
-      throw json::BadInput("field ms.conditions is too short");
+      throw json::DecodeError("field ms.conditions is too short");
     Condition condition;
     condition.type = json::text(item, "type");
     condition.reason = json::text(item, "reason");
@@ -177,13 +178,13 @@
   return conditions;
 }
 
-Status read_status(const json::Json& object, const json::Json& times) {
+Status read_status(const json::Value& object, const json::Value& times) {
   Status status;
   status.phase = decode_phase(object);
-  status.stage = json::whole(object, "stage");
+  status.stage = json::integer(object, "stage");
   status.cap = json::number(object, "cap");
   status.since = read_time(times, "since");
-  status.held = json::truth(object, "held");
+  status.held = json::boolean(object, "held");
   status.why = json::text(object, "why");
   status.observed_generation = read_integer(object, "observedGeneration");
   status.conditions = read_conditions(object, times);
@@ -196,7 +197,7 @@
   return phase ? rollout::to_string(*phase) : pending;
 }
 
-std::optional<ReleasePhase> decode_phase(const json::Json& status) {
+std::optional<ReleasePhase> decode_phase(const json::Value& status) {
   const auto named = [](ReleasePhase phase) {
     return std::pair<const char*, std::optional<ReleasePhase>>(rollout::to_string(phase), phase);
   };
@@ -222,44 +223,47 @@
 }
 
 std::string encode_brief(const Release& release) {
-  json::Out out;
-  out.open();
+  json::Writer out;
+  out.begin_object();
   out.put("kind", "Release");
   out.put("apiVersion", "v1");
   // Without versions: they grow with each change, also with one that this part does not show.
-  out.open("metadata").put("name", release.name).put("uid", release.uid).close();
-  out.open("spec").put("build", release.build).close();
-  out.open("status");
+  out.begin_object("metadata").put("name", release.name).put("uid", release.uid).end_object();
+  out.begin_object("spec").put("build", release.build).end_object();
+  out.begin_object("status");
   write_state(out, release.status);
-  out.close();
-  out.close();
+  out.end_object();
+  out.end_object();
   return out.text();
 }
 
 std::string encode(const Release& release) {
-  json::Out out;
-  out.open();
+  json::Writer out;
+  out.begin_object();
   out.put("kind", "Release");
   out.put("apiVersion", "v1");
   write_metadata(out, release);
-  out.open("spec").put("build", release.build).put("description", release.description).close();
+  out.begin_object("spec")
+      .put("build", release.build)
+      .put("description", release.description)
+      .end_object();
   write_status(out, release.status);
   write_times(out, release);
-  out.close();
+  out.end_object();
   return out.text();
 }
 
 Release decode(const std::string& text) {
-  const auto document = json::object_of(text);
-  const json::Json& spec = json::inner(document, "spec");
-  const json::Json& times = json::inner(document, field::milliseconds);
+  const auto document = json::parse_object(text);
+  const json::Value& spec = json::nested_object(document, "spec");
+  const json::Value& times = json::nested_object(document, field::milliseconds);
   Release release;
-  read_metadata(json::inner(document, "metadata"), release);
+  read_metadata(json::nested_object(document, "metadata"), release);
   release.created = read_time(times, "created");
   release.deletion_requested = read_time(times, field::deletion_requested);
-  release.build = json::whole(spec, "build");
+  release.build = json::integer(spec, "build");
   release.description = json::text(spec, "description");
-  release.status = read_status(json::inner(document, "status"), times);
+  release.status = read_status(json::nested_object(document, "status"), times);
   return release;
 }
 
--- a/src/releases/release_codec.h
+++ b/src/releases/release_codec.h
@@ -2,7 +2,7 @@
 #pragma once
 #include <string>
 
-#include "json/fields.h"
+#include "json/reader.h"
 #include "releases/release.h"
 
 namespace robinhoist::releases {
@@ -14,15 +14,15 @@
 std::string encode_brief(const Release& release);
 
 /// Reads what encode() gave, as far as the controller needs it after a restart: stages, proxies and
-/// steps of the status are left out. Throws json::BadInput.
+/// steps of the status are left out. Throws json::DecodeError.
 Release decode(const std::string& text);
 
 /// The name of a phase in the API; nothing is a release that is pending.
 const char* phase_name(const std::optional<ReleasePhase>& phase);
 
 /// Reads the field `phase` of a status; nothing for a release that is pending. Throws
-/// json::BadInput.
-std::optional<ReleasePhase> decode_phase(const json::Json& status);
+/// json::DecodeError.
+std::optional<ReleasePhase> decode_phase(const json::Value& status);
 
 /// The object as the store and watches have it.
 objects::SnapshotPtr make_snapshot(const Release& release);
--- a/src/releases/release_input.cpp
+++ b/src/releases/release_input.cpp
@@ -5,8 +5,6 @@
 #include <string>
 #include <vector>
 
-#include "json/fields.h"
-
 namespace robinhoist::releases {
 namespace {
 
@@ -40,7 +38,7 @@
 }
 
 // How deep a value is nested; counts no further than `limit`.
-int depth_of(const Json& value, int limit) {
+int depth_of(const json::Value& value, int limit) {
   if (limit == 0)
     return 1;
   int deepest = 0;
@@ -53,12 +51,12 @@
   return deepest + 1;
 }
 
-std::string text_of(const Json& value) {
+std::string text_of(const json::Value& value) {
   return {value.GetString(), value.GetStringLength()};
 }
 
 // Null when the object has no such member.
-const Json* find(const Json& object, const char* name) {
+const json::Value* find(const json::Value& object, const char* name) {
   const auto found = object.FindMember(name);
   return found == object.MemberEnd() ? nullptr : &found->value;
 }
@@ -75,8 +73,8 @@
   }
 
   // The member that holds an object; null when it is absent or, which is an error, no object.
-  const Json* object(const Json& parent, const char* name) {
-    const Json* value = find(parent, name);
+  const json::Value* object(const json::Value& parent, const char* name) {
+    const json::Value* value = find(parent, name);
     if (value && !value->IsObject()) {
       add_error(std::string("/") + name, "is not an object");
       return nullptr;
@@ -85,7 +83,7 @@
   }
 
   // Checks that an object has no other members, and none twice.
-  void allow_only(const Json& object, const std::string& pointer,
+  void allow_only(const json::Value& object, const std::string& pointer,
                   std::initializer_list<const char*> allowed) {
     std::vector<std::string> seen;
     for (const auto& member : object.GetObject()) {
@@ -98,7 +96,8 @@
     }
   }
 
-  std::optional<std::string> text(const Json& value, const char* pointer, std::size_t max_size) {
+  std::optional<std::string> text(const json::Value& value, const char* pointer,
+                                  std::size_t max_size) {
     if (!value.IsString()) {
       add_error(pointer, "is not a string");
       return {};
@@ -111,7 +110,7 @@
   }
 
   // The labels of a body added to `labels`. In a patch, null removes one.
-  objects::Fields add_labels(const Json& value, objects::Fields labels, LabelNulls nulls) {
+  objects::Fields add_labels(const json::Value& value, objects::Fields labels, LabelNulls nulls) {
     if (!value.IsObject()) {
       add_error(labels_pointer, "is not an object");
       return labels;
@@ -130,9 +129,9 @@
   }
 
   // Checks that a field that can't be changed is absent or as it is.
-  void require_unchanged(const Json& object, const char* name, const std::string& parent_pointer,
-                         const std::string& present) {
-    const Json* value = find(object, name);
+  void require_unchanged(const json::Value& object, const char* name,
+                         const std::string& parent_pointer, const std::string& present) {
+    const json::Value* value = find(object, name);
     if (!value)
       return;
     const bool same = value->IsString()
@@ -143,7 +142,7 @@
   }
 
  private:
-  bool check_label(const std::string& name, const Json& value) {
+  bool check_label(const std::string& name, const json::Value& value) {
     const std::string pointer = std::string(labels_pointer) + "/" + escaped(name);
     if (!objects::is_label_name(name)) {
       add_error(pointer, "is no name that a label can have");
@@ -163,22 +162,22 @@
   std::vector<FieldError> errors_{};
 };
 
-void read_new_metadata(Validator& validator, const Json& metadata, Release& release) {
+void read_new_metadata(Validator& validator, const json::Value& metadata, Release& release) {
   validator.allow_only(metadata, metadata_pointer, {"name", "labels"});
-  if (const Json* value = find(metadata, "name")) {
+  if (const json::Value* value = find(metadata, "name")) {
     release.name = validator.text(*value, name_pointer, max_name_size).value_or("");
     const bool is_text = value->IsString() && value->GetStringLength() <= max_name_size;
     if (is_text && !objects::is_object_name(release.name))
       validator.add_error(name_pointer,
                           "is not made of a-z, 0-9 and dashes, with no dash at either end");
   }
-  if (const Json* value = find(metadata, "labels"))
+  if (const json::Value* value = find(metadata, "labels"))
     release.labels = validator.add_labels(*value, {}, LabelNulls::reject);
 }
 
-void read_new_spec(Validator& validator, const Json& spec, Release& release) {
+void read_new_spec(Validator& validator, const json::Value& spec, Release& release) {
   validator.allow_only(spec, spec_pointer, {"build", "description"});
-  const Json* build = find(spec, "build");
+  const json::Value* build = find(spec, "build");
   if (!build)
     validator.add_error(build_pointer, "is missing");
   else if (!build->IsInt() || build->GetInt() < 1 || build->GetInt() > max_build)
@@ -186,12 +185,12 @@
                         "is not a whole number from 1 to " + std::to_string(max_build));
   else
     release.build = build->GetInt();
-  if (const Json* value = find(spec, "description"))
+  if (const json::Value* value = find(spec, "description"))
     release.description =
         validator.text(*value, description_pointer, max_description_size).value_or("");
 }
 
-std::optional<std::int64_t> read_version(Validator& validator, const Json& value) {
+std::optional<std::int64_t> read_version(Validator& validator, const json::Value& value) {
   const auto text = validator.text(value, version_pointer, max_version_size);
   if (!text)
     return {};
@@ -202,14 +201,14 @@
   return version;
 }
 
-void patch_metadata(Validator& validator, const Json& metadata, PatchedRelease& patched) {
+void patch_metadata(Validator& validator, const json::Value& metadata, PatchedRelease& patched) {
   Release& release = patched.release;
   validator.allow_only(metadata, metadata_pointer, {"name", "uid", "labels", "resourceVersion"});
   validator.require_unchanged(metadata, "name", metadata_pointer, release.name);
   validator.require_unchanged(metadata, "uid", metadata_pointer, release.uid);
-  if (const Json* value = find(metadata, "resourceVersion"))
+  if (const json::Value* value = find(metadata, "resourceVersion"))
     patched.expected_version = read_version(validator, *value);
-  if (const Json* value = find(metadata, "labels")) {
+  if (const json::Value* value = find(metadata, "labels")) {
     if (value->IsNull())
       release.labels.clear();
     else
@@ -217,10 +216,10 @@
   }
 }
 
-void patch_spec(Validator& validator, const Json& spec, Release& release) {
+void patch_spec(Validator& validator, const json::Value& spec, Release& release) {
   validator.allow_only(spec, spec_pointer, {"build", "description"});
   validator.require_unchanged(spec, "build", spec_pointer, std::to_string(release.build));
-  if (const Json* value = find(spec, "description")) {
+  if (const json::Value* value = find(spec, "description")) {
     if (value->IsNull())
       release.description.clear();
     else
@@ -232,22 +231,22 @@
 }  // namespace
 
 rapidjson::Document parse_document(std::string_view text) {
-  rapidjson::Document document = json::object_of(text);
+  rapidjson::Document document = json::parse_object(text);
   // Protects whoever walks a document by recursion.
   if (depth_of(document, max_depth + 1) > max_depth)
-    throw json::BadInput("nested deeper than " + std::to_string(max_depth));
+    throw json::DecodeError("nested deeper than " + std::to_string(max_depth));
   return document;
 }
 
-Release parse_creation(const Json& body) {
+Release parse_creation(const json::Value& body) {
   Validator validator;
   Release release;
   validator.allow_only(body, "", {"metadata", "spec", "apiVersion", "kind"});
-  if (const Json* metadata = validator.object(body, "metadata"))
+  if (const json::Value* metadata = validator.object(body, "metadata"))
     read_new_metadata(validator, *metadata, release);
   if (!body.HasMember("spec"))
     validator.add_error(spec_pointer, "is missing");
-  else if (const Json* spec = validator.object(body, "spec"))
+  else if (const json::Value* spec = validator.object(body, "spec"))
     read_new_spec(validator, *spec, release);
   if (!validator.errors().empty())
     throw invalid_release(validator.errors());
@@ -256,13 +255,13 @@
   return release;
 }
 
-PatchedRelease apply_patch(const Release& release, const Json& patch) {
+PatchedRelease apply_patch(const Release& release, const json::Value& patch) {
   Validator validator;
   PatchedRelease patched{release, {}};
   validator.allow_only(patch, "", {"metadata", "spec", "apiVersion", "kind"});
-  if (const Json* metadata = validator.object(patch, "metadata"))
+  if (const json::Value* metadata = validator.object(patch, "metadata"))
     patch_metadata(validator, *metadata, patched);
-  if (const Json* spec = validator.object(patch, "spec"))
+  if (const json::Value* spec = validator.object(patch, "spec"))
     patch_spec(validator, *spec, patched.release);
   if (!validator.errors().empty())
     throw invalid_patch(validator.errors());
--- a/src/releases/release_input.h
+++ b/src/releases/release_input.h
@@ -6,20 +6,19 @@
 #include <optional>
 #include <string_view>
 
+#include "json/reader.h"
 #include "releases/release.h"
 #include "releases/request_error.h"
 
 namespace robinhoist::releases {
 
-using Json = rapidjson::Value;
-
-/// Reads a JSON object as strictly as the API needs. Throws json::BadInput on bad syntax or
+/// Reads a JSON object as strictly as the API needs. Throws json::DecodeError on bad syntax or
 /// encoding, on numbers out of range, and on nesting too deep to be meant.
 rapidjson::Document parse_document(std::string_view text);
 
 /// The release that `{metadata: {name, labels}, spec: {build, description}}` asks for; its name is
 /// made from the build when it is left out. Throws RequestError with all that is wrong.
-Release parse_creation(const Json& body);
+Release parse_creation(const json::Value& body);
 
 /// A release with a merge patch (RFC 7396) applied.
 struct PatchedRelease {
@@ -30,6 +29,6 @@
 
 /// Applies a patch. What a client may not write must be left out of it or be as it is. Throws
 /// RequestError with all that is wrong.
-PatchedRelease apply_patch(const Release& release, const Json& patch);
+PatchedRelease apply_patch(const Release& release, const json::Value& patch);
 
 }  // namespace robinhoist::releases
--- a/src/rollout/rollout_state.h
+++ b/src/rollout/rollout_state.h
@@ -32,7 +32,7 @@
 /// The snapshot as JSON, as the journal stores it.
 std::string encode(const RolloutState& state);
 
-/// What encode() gave. Throws json::BadInput on anything else.
+/// What encode() gave. Throws json::DecodeError on anything else.
 RolloutState decode_state(const std::string& text);
 
 }  // namespace robinhoist::rollout
--- a/src/rollout/state_codec.cpp
+++ b/src/rollout/state_codec.cpp
@@ -1,4 +1,5 @@
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "rollout/rollout_state.h"
 
 namespace robinhoist::rollout {
@@ -28,46 +29,46 @@
 constexpr const char* past_outcomes = "fates";
 }  // namespace field
 
-ReleasePhase read_release_phase(const json::Json& object) {
-  return static_cast<ReleasePhase>(json::whole(object, field::phase, 0, last_phase));
+ReleasePhase read_release_phase(const json::Value& object) {
+  return static_cast<ReleasePhase>(json::integer(object, field::phase, 0, last_phase));
 }
 
-Machine read_machine(const json::Json& object) {
-  const int slot = json::whole(object, field::machine_slot);
-  const int build = json::whole(object, field::build);
-  const int phase = json::whole(object, field::phase, 0, last_phase);
+Machine read_machine(const json::Value& object) {
+  const int slot = json::integer(object, field::machine_slot);
+  const int build = json::integer(object, field::build);
+  const int phase = json::integer(object, field::phase, 0, last_phase);
   return {slot, build, static_cast<MachinePhase>(phase), TimePoint{}};
 }
 
-void write_machines(json::Out& out, const std::map<int, Machine>& machines) {
-  out.open_list(field::machines);
+void write_machines(json::Writer& out, const std::map<int, Machine>& machines) {
+  out.begin_array(field::machines);
   for (const auto& [id, machine] : machines) {
-    out.open();
+    out.begin_object();
     out.put(field::machine_id, id);
     out.put(field::machine_slot, machine.slot);
     out.put(field::build, machine.build);
     out.put(field::phase, static_cast<int>(machine.phase));
-    out.close();
+    out.end_object();
   }
-  out.close_list();
+  out.end_array();
 }
 
-void write_past_outcomes(json::Out& out, const std::map<int, ReleasePhase>& past_outcomes) {
-  out.open_list(field::past_outcomes);
+void write_past_outcomes(json::Writer& out, const std::map<int, ReleasePhase>& past_outcomes) {
+  out.begin_array(field::past_outcomes);
   for (const auto& [build, phase] : past_outcomes) {
-    out.open();
+    out.begin_object();
     out.put(field::build, build);
     out.put(field::phase, static_cast<int>(phase));
-    out.close();
+    out.end_object();
   }
-  out.close_list();
+  out.end_array();
 }
 
 }  // namespace
 
 std::string encode(const RolloutState& state) {
-  json::Out out;
-  out.open();
+  json::Writer out;
+  out.begin_object();
   out.put(field::format_version, format_version);
   out.put(field::build, state.build);
   out.put(field::stage, state.stage);
@@ -83,31 +84,31 @@
     out.put(field::queued_build, *state.queued_build);
   write_machines(out, state.machines);
   write_past_outcomes(out, state.past_outcomes);
-  out.close();
+  out.end_object();
   return out.text();
 }
 
 RolloutState decode_state(const std::string& text) {
-  const auto document = json::object_of(text);
-  if (json::whole(document, field::format_version) != format_version)
-    throw json::BadInput("kept in a form that is not known here");
+  const auto document = json::parse_object(text);
+  if (json::integer(document, field::format_version) != format_version)
+    throw json::DecodeError("kept in a form that is not known here");
   RolloutState state;
-  state.build = json::whole(document, field::build);
-  state.stage = json::whole(document, field::stage);
-  state.baseline = json::whole(document, field::baseline);
-  state.newest_build = json::whole(document, field::newest_build);
-  state.next_machine = json::whole(document, field::next_machine);
-  state.version = json::whole(document, field::version);
+  state.build = json::integer(document, field::build);
+  state.stage = json::integer(document, field::stage);
+  state.baseline = json::integer(document, field::baseline);
+  state.newest_build = json::integer(document, field::newest_build);
+  state.next_machine = json::integer(document, field::next_machine);
+  state.version = json::integer(document, field::version);
   state.phase = read_release_phase(document);
-  state.since = json::duration_of(document, field::since);
-  state.stage_started = json::truth(document, field::stage_started);
-  state.held_by_operator = json::truth(document, field::held_by_operator);
-  if (json::present(document, field::queued_build))
-    state.queued_build = json::whole(document, field::queued_build);
+  state.since = json::duration(document, field::since);
+  state.stage_started = json::boolean(document, field::stage_started);
+  state.held_by_operator = json::boolean(document, field::held_by_operator);
+  if (json::has_value(document, field::queued_build))
+    state.queued_build = json::integer(document, field::queued_build);
   for (const auto& item : json::array(document, field::machines).GetArray())
-    state.machines[json::whole(item, field::machine_id)] = read_machine(item);
+    state.machines[json::integer(item, field::machine_id)] = read_machine(item);
   for (const auto& item : json::array(document, field::past_outcomes).GetArray())
-    state.past_outcomes[json::whole(item, field::build)] = read_release_phase(item);
+    state.past_outcomes[json::integer(item, field::build)] = read_release_phase(item);
   return state;
 }
 
--- a/tests/api_fixture.h
+++ b/tests/api_fixture.h
@@ -170,7 +170,7 @@
     const std::string text =
         std::string(deployment) + "(controller (listen 127.0.0.1:" + std::to_string(port_) +
         ") (places 4) (build 1) (journal \"" + journal + "\")" + extra_settings_ + ")";
-    controller::Settings settings = controller::read(settings::Form::of_text(text, "test"));
+    controller::Settings settings = controller::read(settings::SexpReader::from_text(text, "test"));
     settings.on_persisted = persisted_hook_;
     return settings;
   }
@@ -200,7 +200,7 @@
       std::filesystem::temp_directory_path() / ("robinhoist-api-" + std::to_string(::getpid()));
   net::Loop loop_{net::steady_now()};
   std::thread thread_{[this] { loop_.run(); }};
-  log::Log log_{"test", "off"};
+  log::Logger log_{"test", "off"};
   std::string extra_settings_{};
   std::function<void()> persisted_hook_{};
   std::unique_ptr<controller::Controller> controller_{};
--- a/tests/api_history.h
+++ b/tests/api_history.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "json/fields.h"
+#include "json/reader.h"
 
 namespace robinhoist::tests {
 
@@ -66,14 +66,15 @@
   std::vector<WatchedChange> changes;
   std::size_t begin = 0;
   for (std::size_t end; (end = body.find('\n', begin)) != std::string::npos; begin = end + 1) {
-    const auto line = json::object_of(body.substr(begin, end - begin));
+    const auto line = json::parse_object(body.substr(begin, end - begin));
     const std::string type = json::text(line, "type");
     if (type == "BOOKMARK" || type == "ERROR")
       continue;
-    const json::Json& metadata = json::inner(json::inner(line, "object"), "metadata");
+    const json::Value& metadata =
+        json::nested_object(json::nested_object(line, "object"), "metadata");
     const auto version = static_cast<std::int64_t>(json::number(line, "version"));
     changes.push_back({version, type, json::text(metadata, "name"),
-                       json::text_or(json::inner(metadata, "labels"), "mark", "")});
+                       json::text_or(json::nested_object(metadata, "labels"), "mark", "")});
   }
   return changes;
 }
--- a/tests/api_test.cpp
+++ b/tests/api_test.cpp
@@ -5,7 +5,7 @@
 
 #include "api_fixture.h"
 #include "api_history_run.h"
-#include "json/fields.h"
+#include "json/reader.h"
 #include "plays.h"
 
 namespace robinhoist {
@@ -156,16 +156,16 @@
 TEST(Api, ServesWhatItsDescriptionNames) {
   ApiServerFixture server;
   server.start();
-  const auto body = json::object_of(server.request("GET", "/v1").body);
+  const auto body = json::parse_object(server.request("GET", "/v1").body);
   std::set<std::string> served;
   for (const auto& route : json::array(body, "routes").GetArray())
     served.insert(json::text(route, "method") + " " + json::text(route, "path"));
   std::ifstream file(ROOT "/docs/openapi.json");
   std::stringstream text;
   text << file.rdbuf();
-  const auto description = json::object_of(text.str());
+  const auto description = json::parse_object(text.str());
   std::set<std::string> described;
-  for (const auto& path : json::inner(description, "paths").GetObject())
+  for (const auto& path : json::nested_object(description, "paths").GetObject())
     for (const auto& entry : path.value.GetObject()) {
       std::string method = entry.name.GetString();
       for (char& c : method)
