--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "json/writer.h"
-#include "rollout/names.h"
+#include "policy/analysis_report.h"
 
 namespace robinhoist::controller {
 namespace {
@@ -77,7 +77,7 @@
   const ReleaseUpdate update = resumed->release_update(loop_.now());
   log_.info("resumed", {{"build", log::text(update.build)},
                         {"stage", log::text(update.stage)},
-                        {"phase", rollout::to_string(update.phase)}});
+                        {"phase", robinhoist::to_string(update.phase)}});
   return resumed;
 }
 
@@ -226,7 +226,7 @@
     const rollout::Change& change = changes[logged_changes_];
     log_.info("release", {{"build", log::text(change.build)},
                           {"stage", log::text(change.stage)},
-                          {"phase", rollout::to_string(change.phase)},
+                          {"phase", robinhoist::to_string(change.phase)},
                           {"reason", change.why}});
   }
   const ActiveStage active{rollout_->release_update(now).build, rollout_->active_stage()};
--- a/src/controller/release_routes.cpp
+++ b/src/controller/release_routes.cpp
@@ -24,9 +24,8 @@
   return 200;
 }
 
-// The name of an action in logs, which is its path's.
 const char* to_string(ReleaseRoutes::Action action) {
-  static const char* const names[] = {"hold", "resume", "back"};
+  static const char* const names[] = {"hold", "resume", "roll back"};
   return names[static_cast<int>(action)];
 }
 
