--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -51,8 +51,8 @@
 // Prints the verdict; 0 only when all five rules hold.
 int audit(const std::string& folder) {
   try {
-    robinhoist::audit::Report report = robinhoist::audit::check(folder);
-    std::cout << robinhoist::audit::shown(report);
+    robinhoist::audit::Report report = robinhoist::audit::audit(folder);
+    std::cout << robinhoist::audit::to_text(report);
     return report.kept() ? 0 : 1;
   } catch (const robinhoist::json::DecodeError& bad) {
     std::cerr << bad.what() << "\n";
@@ -135,8 +135,9 @@
         ->check(CLI::ExistingFile);
     return sub;
   };
-  CLI::App* proxy =
-      add("umpire", "Run one umpire: an HTTP/1.1 reverse proxy that routes, judges and votes");
+  CLI::App* proxy = add(
+      "proxy", "Run one proxy: an HTTP/1.1 reverse proxy that routes, analyses canaries and votes");
+  proxy->alias("umpire");  // the name of this command before
   CLI::App* platform = app.add_subcommand(
       "platform", "Run one umpire on the operators' platform, told all by its configuration file");
   platform->add_option("--config", config, "The file, as JSON")
--- a/src/controller/api_server.cpp
+++ b/src/controller/api_server.cpp
@@ -50,7 +50,7 @@
     exchange->answer(to_response(invalid_body(error.what())));
   } catch (const objects::SelectorError& error) {
     exchange->answer(to_response(invalid_selector(error.what())));
-  } catch (const journal::Failed& error) {
+  } catch (const journal::JournalError& error) {
     exchange->answer(to_response(journal_unavailable(error.what())));
   }
 }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -67,7 +67,7 @@
 }
 
 std::unique_ptr<rollout::Rollout> Controller::resume_or_start_rollout() {
-  const auto text = journal_ ? journal_->get(rollout_key) : std::nullopt;
+  const auto text = journal_ ? journal_->state(rollout_key) : std::nullopt;
   if (!text)
     return std::make_unique<rollout::Rollout>(settings_.rollout, settings_.slots,
                                               settings_.initial_build, settings_.proxies);
@@ -85,13 +85,13 @@
   const int stages = static_cast<int>(settings_.rollout.stages.size());
   target_ = std::make_unique<migration::Target>(loop_, settings_.steps_target);
   migration::RunnerSettings runner_settings;
-  runner_settings.who = settings_.name;
-  runner_settings.lease = settings_.steps_lease;
+  runner_settings.holder = settings_.name;
+  runner_settings.lease_length = settings_.steps_lease;
   runner_settings.stages = stages;
   runner_ = std::make_unique<migration::Runner>(loop_, runner_settings, *journal_, *target_, log_);
   step_gates_.emplace(*rollout_, *runner_, stages);
   status_->set_steps(runner_.get());
-  runner_->changed = [this] {
+  runner_->on_changed = [this] {
     if (sync_steps())
       timers_.in(Duration(0), [this] { decide(); });
     objects_->schedule_update();
@@ -192,10 +192,10 @@
   const std::vector<rollout::Command> commands = decide_commands(now);
   unwritten_commands_.insert(unwritten_commands_.end(), commands.begin(), commands.end());
   if (runner_)
-    runner_->pull();
+    runner_->run_due_actions();
   try {
     objects_->update();
-  } catch (const journal::Failed& error) {
+  } catch (const journal::JournalError& error) {
     log_.error("nothing is published or commanded: cannot write to the journal",
                {{"error", error.what()}});
     check_timer_ = loop_.in(journal_retry_interval, [this] { decide(); });
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -42,7 +42,8 @@
 /// Takes part in a process's event loop and must be destroyed on the loop's thread.
 class Controller {
  public:
-  /// Listens, and resumes from the journal. Throws journal::Failed, and what http::Server throws.
+  /// Listens, and resumes from the journal. Throws journal::JournalError, and what http::Server
+  /// throws.
   Controller(net::Loop& loop, const Settings& settings, const log::Logger& log,
              ControllerCallbacks callbacks = {});
   ~Controller();
--- a/src/controller/idempotent_creation.cpp
+++ b/src/controller/idempotent_creation.cpp
@@ -23,7 +23,7 @@
 std::optional<http::Response> replay(const ApiRequest& request, const journal::RequestKey& key,
                                      const journal::Journal* journal,
                                      const objects::Store& objects) {
-  const auto earlier = journal ? journal->request(key.key) : std::nullopt;
+  const auto earlier = journal ? journal->find_request_key(key.key) : std::nullopt;
   if (!earlier)
     return {};
   if (earlier->digest != key.digest)
--- a/src/controller/proxy_routes.cpp
+++ b/src/controller/proxy_routes.cpp
@@ -180,7 +180,7 @@
   const int requests = json::integer(body, field::requests);
   const int unsuccessful = json::integer(body, field::unsuccessful);
   if (deps_.steps && deps_.settings.throttle_backfills)
-    deps_.steps->client_outcomes(requests, unsuccessful);
+    deps_.steps->on_client_outcomes(requests, unsuccessful);
   request.exchange->answer(http::json_response(200, "{}"));
 }
 
--- a/src/controller/release_objects.cpp
+++ b/src/controller/release_objects.cpp
@@ -64,10 +64,10 @@
 }
 
 void ReleaseObjects::restore() {
-  if (const auto series = journal_->get(series_key))
+  if (const auto series = journal_->state(series_key))
     series_ = *series;
   else
-    journal_->put(series_key, series_);
+    journal_->set_state(series_key, series_);
   std::map<std::string, releases::Release> releases;
   for (const auto& [name, body] : journal_->objects())
     releases[name] = releases::decode(body);
@@ -144,7 +144,7 @@
     try {
       if (!faults_.active())
         update(Scope::all);
-    } catch (const journal::Failed& error) {
+    } catch (const journal::JournalError& error) {
       log_.error("status update failed: cannot write to the journal", {{"error", error.what()}});
     }
   });
@@ -171,7 +171,8 @@
   if (journal_) {
     transaction.key = std::move(key);
     if (pending_state_)
-      transaction.state.emplace(rollout_key, *std::exchange(pending_state_, std::nullopt));
+      transaction.state =
+          journal::StateValue{rollout_key, *std::exchange(pending_state_, std::nullopt)};
     const auto key_lifetime =
         std::chrono::duration_cast<std::chrono::milliseconds>(settings_.idempotency_key_lifetime);
     if (!transaction.changes.empty() || transaction.key || transaction.state)
--- a/src/controller/release_objects.h
+++ b/src/controller/release_objects.h
@@ -43,13 +43,13 @@
   ReleaseObjects& operator=(const ReleaseObjects&) = delete;
 
   /// Writes the rollout's state, and the objects that proxies go by, if they have changed; what
-  /// else has changed is written a little later. Throws journal::Failed, and then nothing has
+  /// else has changed is written a little later. Throws journal::JournalError, and then nothing has
   /// changed.
   void update() { update(Scope::urgent); }
   /// Writes all that has changed a little later.
   void schedule_update();
   /// Writes a draft, with the key of the request that made it, and publishes it. Throws
-  /// journal::Failed.
+  /// journal::JournalError.
   void commit(const releases::Draft& draft, std::optional<journal::RequestKey> key = {});
   /// Delays what is published from here on.
   void set_publish_delay(Duration delay) { publish_delay_ = delay; }
--- a/src/controller/release_status.cpp
+++ b/src/controller/release_status.cpp
@@ -72,12 +72,12 @@
       ++status.machines_up;
   }
   if (steps_)
-    for (const auto& step : steps_->steps_of(release.build))
+    for (const auto& step : steps_->step_summaries(release.build))
       status.steps.push_back({step.id, step.phase, step.state});
-  const NextStage next = next_stage(release, status, present);
-  status.stages = stages(status, present, next.ready);
+  const auto reason = blocking_reason(release, status, present);
+  status.stages = stages(status, present, reason.has_value());
   status.proxies = present ? proxies(release, now, wall_now) : release.status.proxies;
-  status.set_condition(progressing(status, next.missing_step), wall_now);
+  status.set_condition(progressing(status, reason.value_or("")), wall_now);
   status.set_condition(available(status), wall_now);
   status.set_condition(rolled_back(status), wall_now);
   return status;
@@ -126,19 +126,18 @@
   return present ? rollout_.active_stage() : status.stage;
 }
 
-ReleaseStatusBuilder::NextStage ReleaseStatusBuilder::next_stage(const releases::Release& release,
+std::optional<std::string> ReleaseStatusBuilder::blocking_reason(const releases::Release& release,
                                                                  const Status& status,
                                                                  bool present) const {
   const int next = active_stage(status, present) + 1;
   const bool exists = next < static_cast<int>(settings_.stages.size());
-  NextStage result;
-  if (steps_ && present && exists && status.phase == ReleasePhase::canary)
-    result.ready = steps_->allows(release.build, next, &result.missing_step);
-  return result;
+  if (!steps_ || !present || !exists || status.phase != ReleasePhase::canary)
+    return {};
+  return steps_->blocking_reason(release.build, next);
 }
 
 std::vector<releases::StageStatus> ReleaseStatusBuilder::stages(const Status& status, bool present,
-                                                                bool next_is_ready) const {
+                                                                bool next_is_blocked) const {
   const bool runs = present && status.phase == ReleasePhase::canary;
   const int active = active_stage(status, present);
   const auto state_of = [&](int stage) {
@@ -147,7 +146,7 @@
     if (stage == active && status.phase)
       return runs ? StageState::running : StageState::rolled_back;
     if (runs && stage == active + 1)
-      return next_is_ready ? StageState::next : StageState::waiting_for_steps;
+      return next_is_blocked ? StageState::waiting_for_steps : StageState::next;
     return StageState::not_reached;
   };
   std::vector<releases::StageStatus> stages;
--- a/src/controller/release_status.h
+++ b/src/controller/release_status.h
@@ -1,6 +1,8 @@
 /// The status of a release object, as the rollout, the proxies and the migration steps stand.
 #pragma once
+#include <optional>
 #include <string>
+#include <vector>
 
 #include "membership/membership.h"
 #include "migration/runner.h"
@@ -29,15 +31,11 @@
   releases::Status progress(const releases::Release& release, TimePoint now,
                             releases::WallMillis wall_now) const;
   std::string reason_of_last_change(int build, const std::string& fallback) const;
-  // Whether the steps before the stage that follows are done, and which one is missing if not.
-  struct NextStage {
-    bool ready = true;
-    std::string missing_step{};
-  };
-  NextStage next_stage(const releases::Release& release, const releases::Status& status,
-                       bool present) const;
+  // Why the stage that follows has to wait for migration steps; nothing when it does not.
+  std::optional<std::string> blocking_reason(const releases::Release& release,
+                                             const releases::Status& status, bool present) const;
   std::vector<releases::StageStatus> stages(const releases::Status& status, bool present,
-                                            bool next_is_ready) const;
+                                            bool next_is_blocked) const;
   // The stage that takes traffic, or took it last.
   int active_stage(const releases::Status& status, bool present) const;
   std::vector<releases::ProxyStatus> proxies(const releases::Release& release, TimePoint now,
--- a/src/controller/step_gates.cpp
+++ b/src/controller/step_gates.cpp
@@ -22,17 +22,17 @@
   for (const auto& [build, phase] : rollout_.past_outcomes()) {
     const bool released = phase == ReleasePhase::released;
     migration::ReleaseState past{.stage = stages_ - 1, .offered = true};
-    past.withdrawn = !released;
-    past.going_back = !released;
-    past.final = released;
-    runner_.release(build, past);
+    past.rolled_back = !released;
+    past.rolling_back = !released;
+    past.finalized = released;
+    runner_.set_release(build, past);
   }
   const ReleaseUpdate update = rollout_.release_update(now);
   migration::ReleaseState present{.stage = rollout_.active_stage(), .offered = true};
-  present.going_back = update.phase == ReleasePhase::rolling_back;
-  present.withdrawn = update.phase == ReleasePhase::rolled_back;
-  present.final = update.phase == ReleasePhase::released && !rollout_.can_roll_back(now);
-  runner_.release(update.build, present);
+  present.rolling_back = update.phase == ReleasePhase::rolling_back;
+  present.rolled_back = update.phase == ReleasePhase::rolled_back;
+  present.finalized = update.phase == ReleasePhase::released && !rollout_.can_roll_back(now);
+  runner_.set_release(update.build, present);
 }
 
 }  // namespace robinhoist::controller
--- a/src/controller/step_routes.cpp
+++ b/src/controller/step_routes.cpp
@@ -20,7 +20,7 @@
     answer(422, error.what());
   } catch (const settings::ValidationError& error) {
     answer(422, error.what());
-  } catch (const journal::Failed& error) {
+  } catch (const journal::JournalError& error) {
     answer(503, error.what());
   }
 }
@@ -28,8 +28,8 @@
 void StepRoutes::take_plan(const ApiRequest& request) {
   answer_errors(request, [&] {
     const std::string author(request.http().headers.get("X-Who"));
-    const int build = steps_->take_plan(request.http().body, "plan",
-                                        author.empty() ? request.caller.name : author);
+    const int build = steps_->accept_plan(request.http().body, "plan",
+                                          author.empty() ? request.caller.name : author);
     plan_taken_();
     decide_();
     json::Writer out;
@@ -40,7 +40,7 @@
 
 void StepRoutes::status(const ApiRequest& request) {
   answer_errors(request,
-                [&] { request.exchange->answer(http::json_response(200, steps_->status())); });
+                [&] { request.exchange->answer(http::json_response(200, steps_->status_json())); });
 }
 
 void StepRoutes::verify(const ApiRequest& request) {
@@ -59,7 +59,8 @@
   answer_errors(request, [&] {
     const auto body = json::parse_object(request.http().body);
     const Author author = read_author(request, body);
-    respond(request, steps_->pause(paused, author.who, author.why));
+    steps_->set_paused(paused, author.who, author.why);
+    respond(request, "");
   });
 }
 
@@ -91,7 +92,7 @@
 
 void StepRoutes::respond(const ApiRequest& request, const std::string& rejection) {
   decide_();
-  request.exchange->answer(rejection.empty() ? http::json_response(200, steps_->status())
+  request.exchange->answer(rejection.empty() ? http::json_response(200, steps_->status_json())
                                              : http::text_response(409, rejection + "\n"));
 }
 
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -53,7 +53,7 @@
   list_ = std::make_unique<registry::Service>(
       loop, server, "list-1",
       [this](const std::string& proxy, const registry::Update& news) { told_list(proxy, news); });
-  list_->told_after(0ms);
+  list_->set_delay(0ms);
   for (int place = 0; place < day.places; ++place)
     speeds_[place] = 1 + day.speed_spread * (2 * uniform_sample() - 1);
   if (day.database) {
@@ -137,7 +137,7 @@
     return;
   at->second.ordered_down = true;
   if (command.kind == rollout::CommandKind::drain)
-    return list_->phase(at->second.name, EndpointPhase::draining);
+    return list_->set_phase(at->second.name, EndpointPhase::draining);
   down(command.machine, false);
   places_.erase(command.machine);
   if (controller_)
@@ -292,8 +292,8 @@
       loop_.at(end, [this] { cut_zone_.clear(); });
       break;
     case Kind::stale_list:
-      list_->told_after(day_.list_most + seconds(size));
-      loop_.at(end, [this] { list_->told_after(drawn(day_.list_least, day_.list_most)); });
+      list_->set_delay(day_.list_most + seconds(size));
+      loop_.at(end, [this] { list_->set_delay(drawn(day_.list_least, day_.list_most)); });
       break;
     case Kind::controller_crash:
       controller_.reset();
@@ -331,7 +331,7 @@
 
 void World::begin(TimePoint from) {
   from_ = from;
-  list_->told_after(drawn(day_.list_least, day_.list_most));
+  list_->set_delay(drawn(day_.list_least, day_.list_most));
   controller_->set_publish_delay(drawn(day_.news_least, day_.news_most));
   for (const Trouble& trouble : day_.troubles)
     loop_.at(from + trouble.at, [this, &trouble] { begin_trouble(trouble); });
@@ -348,7 +348,7 @@
     return;
   }
   if (!offer.plan.empty())
-    controller_->steps()->take_plan(offer.plan, "plan", "day");
+    controller_->steps()->accept_plan(offer.plan, "plan", "day");
   controller_->create_release(offer.build.number, "day");
 }
 
@@ -386,7 +386,7 @@
 }
 
 void World::told_list(const std::string& proxy, const registry::Update& news) {
-  record::told_list(told_, loop_.now(), proxy, news.entries, news.whole);
+  record::told_list(told_, loop_.now(), proxy, news.entries, news.complete);
 }
 
 // As the proxy takes it: the newest release that has begun.
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -1,166 +1,214 @@
 #include "module_settings/module_settings.h"
 
 #include <algorithm>
+#include <utility>
+
+#include "module_settings/wire_names.h"
 
 namespace robinhoist::module_settings {
 namespace {
 
-using namespace json;
+using json::DecodeError;
+using json::Value;
+
+DecodeError bad_setting(const char* name, const char* problem) {
+  return DecodeError(std::string("setting ") + name + " " + problem);
+}
 
-double positive(const Value& object, const char* field) {
-  double value = number(object, field);
+double positive(const Value& object, const char* name) {
+  const double value = json::number(object, name);
   if (!(value > 0))
-    throw DecodeError(std::string("setting ") + field + " must be above 0");
+    throw bad_setting(name, "must be above 0");
   return value;
 }
 
-double not_negative(const Value& object, const char* field) {
-  double value = number(object, field);
+double not_negative(const Value& object, const char* name) {
+  const double value = json::number(object, name);
   if (!(value >= 0))
-    throw DecodeError(std::string("setting ") + field + " must not be below 0");
+    throw bad_setting(name, "must not be below 0");
   return value;
 }
 
-void request_settings(const Value& params, ModuleSettings& to) {
-  RequestSettings& settings = to.requests;
-  for (const Value& entry : array(params, "classes").GetArray()) {
+Duration positive_ms(const Value& object, const char* name) {
+  return json::duration_from_ms(positive(object, name));
+}
+
+Duration not_negative_ms(const Value& object, const char* name) {
+  return json::duration_from_ms(not_negative(object, name));
+}
+
+RequestClass decode_request_class(const Value& entry) {
+  RequestClass request_class{};
+  request_class.latency_objective = positive_ms(entry, field::latency_objective_ms);
+  request_class.deadline = positive_ms(entry, field::deadline_ms);
+  request_class.dedup_window = not_negative_ms(entry, field::dedup_window_ms);
+  request_class.idempotency =
+      json::enumerator<Idempotency>(entry, field::idempotency,
+                                    {{"free", Idempotency::idempotent},
+                                     {"guarded", Idempotency::idempotent_with_key},
+                                     {"single_shot", Idempotency::non_idempotent}});
+  request_class.dedup_scope = json::enumerator<DedupScope>(
+      entry, field::dedup_scope,
+      {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
+  request_class.priority_weight = not_negative(entry, field::priority_weight);
+  request_class.late_weight_share = not_negative(entry, field::late_weight_share);
+  request_class.stream = json::boolean(entry, field::stream);
+  return request_class;
+}
+
+void decode_request_classes(const Value& object, ModuleSettings& settings) {
+  for (const Value& entry : json::array(object, field::request_classes).GetArray()) {
     if (!entry.IsObject())
-      throw_wrong_type("classes", "an array of objects");
-    RequestClass request_class{};
-    request_class.latency_objective = duration_from_ms(positive(entry, "goal_time_ms"));
-    request_class.deadline = duration_from_ms(positive(entry, "deadline_ms"));
-    request_class.dedup_window = duration_from_ms(not_negative(entry, "dedup_window_ms"));
-    request_class.idempotency =
-        enumerator<Idempotency>(entry, "effect",
-                                {{"free", Idempotency::idempotent},
-                                 {"guarded", Idempotency::idempotent_with_key},
-                                 {"single_shot", Idempotency::non_idempotent}});
-    request_class.dedup_scope = enumerator<DedupScope>(
-        entry, "group",
-        {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
-    request_class.priority_weight = not_negative(entry, "worth");
-    request_class.late_weight_share = not_negative(entry, "late_share");
-    request_class.stream = boolean(entry, "streaming");
-    settings.request_classes.push_back(request_class);
-    to.request_classes.push_back(text_or(entry, "name", ""));
+      json::throw_wrong_type(field::request_classes, "an array of objects");
+    settings.requests.request_classes.push_back(decode_request_class(entry));
+    settings.request_classes.push_back(json::text_or(entry, field::name, ""));
   }
-  if (settings.request_classes.empty())
-    throw DecodeError("setting classes is empty");
-  for (const Value& entry : array(params, "tenants").GetArray()) {
+  if (settings.requests.request_classes.empty())
+    throw bad_setting(field::request_classes, "is empty");
+}
+
+void decode_tenants(const Value& object, ModuleSettings& settings) {
+  for (const Value& entry : json::array(object, field::tenants).GetArray()) {
     if (!entry.IsObject())
-      throw_wrong_type("tenants", "an array of objects");
-    settings.tenants.push_back(
-        {not_negative(entry, "fraction"), not_negative(entry, "allowance_per_s")});
-    to.tenants.push_back(text_or(entry, "name", ""));
+      json::throw_wrong_type(field::tenants, "an array of objects");
+    Tenant tenant{};
+    tenant.share = not_negative(entry, field::tenant_share);
+    tenant.allowance_per_s = not_negative(entry, field::tenant_allowance_per_s);
+    settings.requests.tenants.push_back(tenant);
+    settings.tenants.push_back(json::text_or(entry, field::name, ""));
   }
-  const Value& bounds = nested_object(params, "bounds");
-  settings.max_attempts = integer(bounds, "max_attempts", 1);
-  settings.proxies = integer(params, "balancers", 1);
-  settings.hedging = boolean(bounds, "second_copies");
-  settings.cancelling = boolean(bounds, "cancelling");
-  settings.advice = boolean(bounds, "retry_after");
-  settings.max_pause = duration_from_ms(not_negative(bounds, "max_retry_after_ms"));
+}
+
+void decode_zones(const Value& object, ModuleSettings& settings) {
+  if (!json::has_value(object, field::zones))
+    return;
+  for (const Value& zone : json::array(object, field::zones).GetArray()) {
+    if (!zone.IsString())
+      json::throw_wrong_type(field::zones, "an array of names");
+    settings.zones.emplace_back(zone.GetString(), zone.GetStringLength());
+  }
+}
+
+// All but the request classes and tenants.
+void decode_request_limits(const Value& object, RequestSettings& settings) {
+  const Value& bounds = json::nested_object(object, field::bounds);
+  settings.max_attempts = json::integer(bounds, field::max_attempts, 1);
+  settings.proxies = json::integer(object, field::proxies, 1);
+  settings.hedging = json::boolean(bounds, field::hedging);
+  settings.cancelling = json::boolean(bounds, field::cancelling);
+  settings.advice = json::boolean(bounds, field::retry_after);
+  settings.max_pause = not_negative_ms(bounds, field::max_retry_after_ms);
   settings.slack =
-      duration_from_ms(not_negative(nested_object(params, "safety"), "answer_slack_ms"));
-  settings.tick = duration_from_ms(positive(params, "tick_ms"));
-  settings.over_quota_weight = not_negative(params, "over_share_worth");
+      not_negative_ms(json::nested_object(object, field::safety), field::answer_slack_ms);
+  settings.tick = positive_ms(object, field::tick_ms);
+  settings.over_quota_weight = not_negative(object, field::over_quota_weight);
 }
 
-EndpointSettings endpoint_settings(const Value& params) {
-  const Value& safety = nested_object(params, "safety");
+EndpointSettings decode_endpoint_settings(const Value& object) {
+  const Value& safety = json::nested_object(object, field::safety);
   EndpointSettings settings{};
-  settings.zone = integer(params, "zone");
-  settings.me = integer(params, "me");
-  settings.proxies = integer(params, "balancers", 1);
-  settings.cold_for = duration(safety, "cold_ms");
-  settings.fall_window = duration_from_ms(positive(safety, "fall_ms"));
-  settings.ask_within = duration_from_ms(not_negative(safety, "ask_within_ms"));
-  settings.cold_from = positive(safety, "cold_from");
+  settings.zone = json::integer(object, field::zone);
+  settings.me = json::integer(object, field::proxy_index);
+  settings.proxies = json::integer(object, field::proxies, 1);
+  settings.cold_for = json::duration(safety, field::warm_up_time_ms);
+  settings.fall_window = positive_ms(safety, field::collapse_window_ms);
+  settings.ask_within = not_negative_ms(safety, field::poll_within_ms);
+  settings.cold_from = positive(safety, field::initial_warm_up_factor);
   if (settings.cold_from > 1)
-    throw DecodeError("setting cold_from must not be above 1");
-  settings.fall_multiple = positive(safety, "fall_multiple");
+    throw bad_setting(field::initial_warm_up_factor, "must not be above 1");
+  settings.fall_multiple = positive(safety, field::collapse_multiple);
   settings.must_ask =
-      enumerator<bool>(params, "registry_mode", {{"automatic", false}, {"subscribe", true}});
-  settings.sized = enumerator<bool>(
-      params, "weights", {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
-  settings.probes = boolean(nested_object(params, "bounds"), "probes");
-  settings.reports = enumerator<LoadReportSource>(nested_object(params, "load_report"), "source",
-                                                  {{"piggyback", LoadReportSource::answers},
-                                                   {"pull", LoadReportSource::probes},
-                                                   {"silent", LoadReportSource::none}});
+      json::enumerator<bool>(object, field::list_mode, {{"automatic", false}, {"subscribe", true}});
+  settings.sized = json::enumerator<bool>(
+      object, field::sizes,
+      {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
+  settings.probes = json::boolean(json::nested_object(object, field::bounds), field::probes);
+  settings.reports = json::enumerator<LoadReportSource>(
+      json::nested_object(object, field::load_report), field::load_report_source,
+      {{"piggyback", LoadReportSource::answers},
+       {"pull", LoadReportSource::probes},
+       {"silent", LoadReportSource::none}});
   return settings;
 }
 
-CanaryQuotaSettings canary_quota_settings(const Value& info) {
+CanaryQuotaSettings decode_canary_quota(const Value& release) {
   CanaryQuotaSettings settings{};
-  settings.window = duration_from_ms(positive(info, "window_ms"));
-  settings.free_requests = not_negative(info, "free");
+  settings.window = positive_ms(release, field::quota_window_ms);
+  settings.free_requests = not_negative(release, field::free_requests);
   settings.by_request_class =
-      enumerator<bool>(info, "counts", {{"all", false}, {"each_class", true}});
-  settings.one_way = boolean(info, "one_way");
-  settings.in_place =
-      enumerator<bool>(info, "replace_mode", {{"parallel", false}, {"replace", true}});
-  settings.safe_only_stages = integer(info, "safe_only_stages");
-  for (const Value& cap : array(info, "caps").GetArray()) {
+      json::enumerator<bool>(release, field::quota_counts, {{"all", false}, {"each_class", true}});
+  settings.one_way = json::boolean(release, field::one_way);
+  settings.in_place = json::enumerator<bool>(release, field::replace_mode,
+                                             {{"parallel", false}, {"replace", true}});
+  settings.safe_only_stages = json::integer(release, field::safe_only_stages);
+  for (const Value& cap : json::array(release, field::caps).GetArray()) {
     if (!cap.IsNumber() || cap.GetDouble() < 0)
-      throw_wrong_type("caps", "an array of numbers from 0");
+      json::throw_wrong_type(field::caps, "an array of numbers from 0");
     settings.caps.push_back(cap.GetDouble());
   }
   return settings;
 }
 
-AnalysisSettings analysis_settings(const Value& params, const Value& info) {
+AnalysisSettings decode_analysis(const Value& object, const Value& release) {
   AnalysisSettings settings{};
-  settings.promotion_mode = enumerator<PromotionMode>(info, "gate_mode",
-                                                      {{"first_voice", PromotionMode::first_vote},
-                                                       {"by_count", PromotionMode::count},
-                                                       {"automatic", PromotionMode::clock}});
-  settings.bake = duration_from_ms(not_negative(info, "bake_ms"));
-  settings.step = duration_from_ms(not_negative(info, "moves_after_ms"));
-  settings.vote_lifetime = duration_from_ms(positive(info, "vote_stands_ms"));
-  settings.call_timeout = duration_from_ms(positive(info, "call_timeout_ms"));
-  settings.votes_per_s = not_negative(info, "calls_per_s");
-  settings.wrong_answer_report_share = not_negative(info, "flag_share");
-  settings.proxies = integer(params, "balancers", 1);
-  settings.votes_to_promote = integer(info, "to_advance");
-  settings.votes_to_hold = integer(info, "hold_votes");
-  settings.votes_to_roll_back = integer(info, "votes_to_revert");
+  settings.promotion_mode =
+      json::enumerator<PromotionMode>(release, field::promotion_mode,
+                                      {{"first_voice", PromotionMode::first_vote},
+                                       {"by_count", PromotionMode::count},
+                                       {"automatic", PromotionMode::clock}});
+  settings.bake = not_negative_ms(release, field::bake_ms);
+  settings.step = not_negative_ms(release, field::step_ms);
+  settings.vote_lifetime = positive_ms(release, field::vote_lifetime_ms);
+  settings.call_timeout = positive_ms(release, field::call_timeout_ms);
+  settings.votes_per_s = not_negative(release, field::votes_per_s);
+  settings.wrong_answer_report_share = not_negative(release, field::wrong_answer_report_share);
+  settings.proxies = json::integer(object, field::proxies, 1);
+  settings.votes_to_promote = json::integer(release, field::votes_to_promote);
+  settings.votes_to_hold = json::integer(release, field::votes_to_hold);
+  settings.votes_to_roll_back = json::integer(release, field::votes_to_roll_back);
   return settings;
 }
 
+int index_of(const std::vector<std::string>& names, std::string_view name) {
+  const auto found = std::find(names.begin(), names.end(), name);
+  return found == names.end() ? -1 : static_cast<int>(found - names.begin());
+}
+
 }  // namespace
 
-int ModuleSettings::index(const std::vector<std::string>& among, std::string_view name) {
-  auto at = std::find(among.begin(), among.end(), name);
-  return at == among.end() ? -1 : static_cast<int>(at - among.begin());
+int ModuleSettings::request_class(std::string_view name) const {
+  return index_of(request_classes, name);
+}
+
+int ModuleSettings::zone(std::string_view name) const {
+  return index_of(zones, name);
 }
 
 ModuleSettings decode(const Value& object) {
-  ModuleSettings to;
-  const Value& info = nested_object(object, "family_info");
-  request_settings(object, to);
-  to.endpoints = endpoint_settings(object);
-  to.canary_quota = canary_quota_settings(info);
-  to.analysis = analysis_settings(object, info);
-  const Value& bounds = nested_object(object, "bounds");
-  to.connect_timeout = duration_from_ms(number_or(bounds, "connect_timeout_ms", 0));
-  to.keep_idle = duration_from_ms(number_or(bounds, "keepalive_ms", 0));
-  if (has_value(object, "failure_domains"))
-    for (const Value& zone : array(object, "failure_domains").GetArray()) {
-      if (!zone.IsString())
-        throw_wrong_type("failure_domains", "an array of names");
-      to.zones.emplace_back(zone.GetString(), zone.GetStringLength());
-    }
-  return to;
-}
-
-std::optional<double>* load_field(LoadReport& load, std::string_view name) {
-  const std::pair<const char*, std::optional<double>*> places[] = {
-      {"busy_reqs", &load.held},    {"pending", &load.waiting},     {"cpu_share", &load.busy},
-      {"svc_ms", &load.service_ms}, {"served_ps", &load.served_ps}, {"failed_ps", &load.failed_ps}};
-  for (auto& [word, place] : places)
-    if (name == word)
-      return place;
+  ModuleSettings settings;
+  const Value& release = json::nested_object(object, field::release);
+  decode_request_classes(object, settings);
+  decode_tenants(object, settings);
+  decode_request_limits(object, settings.requests);
+  settings.endpoints = decode_endpoint_settings(object);
+  settings.canary_quota = decode_canary_quota(release);
+  settings.analysis = decode_analysis(object, release);
+  const Value& bounds = json::nested_object(object, field::bounds);
+  settings.connect_timeout =
+      json::duration_from_ms(json::number_or(bounds, field::connect_timeout_ms, 0));
+  settings.keep_idle = json::duration_from_ms(json::number_or(bounds, field::idle_timeout_ms, 0));
+  decode_zones(object, settings);
+  return settings;
+}
+
+std::optional<double>* load_field(LoadReport& report, std::string_view name) {
+  const std::pair<const char*, std::optional<double>*> values[] = {
+      {load::in_flight, &report.held},         {load::queued, &report.waiting},
+      {load::utilization, &report.busy},       {load::service_ms, &report.service_ms},
+      {load::served_per_s, &report.served_ps}, {load::failed_per_s, &report.failed_ps}};
+  for (const auto& [known, value] : values)
+    if (name == known)
+      return value;
   return nullptr;
 }
 
--- a/src/simulator_adapter/adapter.h
+++ b/src/simulator_adapter/adapter.h
@@ -21,7 +21,7 @@
 class Adapter {
  public:
   /// Reads one line. Returns the reply, of one or more lines, when this line closed a batch. Throws
-  /// json::BadInput, which names the message and the field, for a line that cannot be read; the
+  /// json::DecodeError, which names the message and the field, for a line that cannot be read; the
   /// adapter is of no use after that.
   std::optional<std::string> read(const std::string& line);
 
