--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -308,7 +308,7 @@
   };
   auto length = [&](const char* name) {
     writer.Key(name);
-    writer.Double(decision.span.count() / 1e3);
+    writer.Double(decision.duration.count() / 1e3);
   };
   writer.StartObject();
   writer.Key(names[static_cast<int>(decision.action)]);
--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -179,16 +179,16 @@
 EndpointSettings endpoint_settings(const Deployment& d, int zone, int number) {
   EndpointSettings to{};
   to.zone = zone;
-  to.cold_for = d.cold_for;
-  to.fall_window = d.fall_window;
-  to.cold_from = d.cold_from;
-  to.fall_multiple = d.fall_multiple;
-  to.must_ask = false;  // the list's source watches by itself
-  to.sized = d.sized;
+  to.warm_up_time = d.cold_for;
+  to.collapse_window = d.fall_window;
+  to.initial_warm_up_factor = d.cold_from;
+  to.collapse_multiple = d.fall_multiple;
+  to.polls_list = false;  // the list's source watches by itself
+  to.uses_sizes = d.sized;
   to.probes = false;
   to.reports = d.reports;
-  to.me = number;
-  to.proxies = d.proxies;
+  to.proxy_index = number;
+  to.proxy_count = d.proxies;
   return to;
 }
 
@@ -225,8 +225,8 @@
   to.proxies = d.proxies;
   to.hedging = d.hedging;
   to.cancelling = true;
-  to.advice = d.advice;
-  to.max_pause = d.max_pause;
+  to.retry_after = d.advice;
+  to.retry_delay = d.max_pause;
   to.slack = Duration{};
   to.tick = tick;
   to.over_quota_weight = d.over_quota_weight;
--- a/src/emulator/simulated_proxy.cpp
+++ b/src/emulator/simulated_proxy.cpp
@@ -222,7 +222,7 @@
              {.end = load::End::rejected,
               .status = 503,
               .why = in_flight.attempts.empty() ? "no-room" : rollout::to_string(in_flight.last),
-              .stay_away = decision.span});
+              .stay_away = decision.duration});
       forget(decision.request_id);
       break;
     }
@@ -265,7 +265,7 @@
       break;
     case Action::wake:
       engine_.cancel(wake_);
-      wake_ = engine_.in(decision.span, [this] {
+      wake_ = engine_.in(decision.duration, [this] {
         wake_ = {};
         pull();
       });
@@ -285,8 +285,8 @@
   in_flight.attempts.push_back({id, upstream.server, decision.endpoint});
   attempt_of_[id] = {decision.request_id, index};
   Duration within = std::max(Duration(1), in_flight.deadline - local());
-  if (decision.span > Duration{})
-    within = std::min(within, decision.span);
+  if (decision.duration > Duration{})
+    within = std::min(within, decision.duration);
   const auto fails = [&](Duration after, Outcome outcome) {
     engine_.in(after, [this, id, outcome, life = life_] {
       if (life == life_ && up())
@@ -395,8 +395,8 @@
   in_flight.last = outcome;
   LoadReport load;
   if (answer.held >= 0) {
-    load.busy = answer.busy;
-    load.held = answer.held;
+    load.utilization = answer.busy;
+    load.in_flight = answer.held;
   }
   const bool answers = outcome == Outcome::ok && !in_flight.answered;
   policy_->attempt_ended(request_id, static_cast<int>(index), outcome,
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -58,8 +58,8 @@
   settings.proxies = whole(params, "balancers", 1);
   settings.hedging = truth(bounds, "second_copies");
   settings.cancelling = truth(bounds, "cancelling");
-  settings.advice = truth(bounds, "retry_after");
-  settings.max_pause = span(not_negative(bounds, "max_retry_after_ms"));
+  settings.retry_after = truth(bounds, "retry_after");
+  settings.retry_delay = span(not_negative(bounds, "max_retry_after_ms"));
   settings.slack = span(not_negative(inner(params, "safety"), "answer_slack_ms"));
   settings.tick = span(positive(params, "tick_ms"));
   settings.over_quota_weight = not_negative(params, "over_share_worth");
@@ -69,18 +69,18 @@
   const Json& safety = inner(params, "safety");
   EndpointSettings settings{};
   settings.zone = whole(params, "zone");
-  settings.me = whole(params, "me");
-  settings.proxies = whole(params, "balancers", 1);
-  settings.cold_for = duration_of(safety, "cold_ms");
-  settings.fall_window = span(positive(safety, "fall_ms"));
-  settings.ask_within = span(not_negative(safety, "ask_within_ms"));
-  settings.cold_from = positive(safety, "cold_from");
-  if (settings.cold_from > 1)
+  settings.proxy_index = whole(params, "me");
+  settings.proxy_count = whole(params, "balancers", 1);
+  settings.warm_up_time = duration_of(safety, "cold_ms");
+  settings.collapse_window = span(positive(safety, "fall_ms"));
+  settings.poll_within = span(not_negative(safety, "ask_within_ms"));
+  settings.initial_warm_up_factor = positive(safety, "cold_from");
+  if (settings.initial_warm_up_factor > 1)
     throw BadInput("setting cold_from must not be above 1");
-  settings.fall_multiple = positive(safety, "fall_multiple");
-  settings.must_ask =
+  settings.collapse_multiple = positive(safety, "fall_multiple");
+  settings.polls_list =
       enumerator<bool>(params, "registry_mode", {{"automatic", false}, {"subscribe", true}});
-  settings.sized = enumerator<bool>(
+  settings.uses_sizes = enumerator<bool>(
       params, "weights", {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
   settings.probes = truth(inner(params, "bounds"), "probes");
   settings.reports = enumerator<LoadReportSource>(inner(params, "load_report"), "source",
@@ -155,8 +155,9 @@
 
 std::optional<double>* load_field(LoadReport& load, std::string_view name) {
   const std::pair<const char*, std::optional<double>*> places[] = {
-      {"busy_reqs", &load.held},    {"pending", &load.waiting},     {"cpu_share", &load.busy},
-      {"svc_ms", &load.service_ms}, {"served_ps", &load.served_ps}, {"failed_ps", &load.failed_ps}};
+      {"busy_reqs", &load.in_flight},    {"pending", &load.queued},
+      {"cpu_share", &load.utilization},  {"svc_ms", &load.service_ms},
+      {"served_ps", &load.served_per_s}, {"failed_ps", &load.failed_per_s}};
   for (auto& [word, place] : places)
     if (name == word)
       return place;
--- a/src/policy/decision.h
+++ b/src/policy/decision.h
@@ -7,27 +7,29 @@
 
 namespace robinhoist {
 
+/// What the host is to do.
 enum class Action {
-  forward,
-  reject,
-  fail,
-  cancel,
-  probe,
-  close,
-  subscribe,
-  fetch,
-  vote,
-  wake,
-  log
+  forward,    ///< send an attempt of `request_id` to `endpoint`
+  reject,     ///< tell the client that it may safely retry, after `duration` if that is not zero
+  fail,       ///< tell the client that the request failed and may have run
+  cancel,     ///< cancel attempt number `attempt` of `request_id`
+  probe,      ///< send a health check to `endpoint`
+  close,      ///< close the connections to `endpoint`
+  subscribe,  ///< subscribe to the endpoint list
+  fetch,      ///< fetch the endpoint list once
+  vote,       ///< send the vote `verdict` on `build` at `stage`
+  wake,       ///< call DecisionEngine::next() again after `duration`
+  log         ///< write `text` to the log
 };
 
-// One decision; which fields count follows from the action.
+/// One decision; which fields count follows from the action.
 struct Decision {
   Action action;
   int request_id = -1;
   int endpoint = -1;
-  int attempt = -1;
-  Duration span{};  // time-out, advice when to come back, or time until the wake-up
+  int attempt = -1;  ///< index of the attempt within its request, from 0
+  Duration
+      duration{};  ///< reject: the Retry-After advice, zero for none; wake: the time until then
   int build = -1;
   int stage = 0;
   Verdict verdict = Verdict::none;
--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -9,7 +9,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration judge_every = 50ms, look_every = 100ms;
+constexpr Duration judge_every = 50ms;
+constexpr Duration max_wake_up_interval = 100ms;
 constexpr std::size_t firsts_kept = 40;
 // The words of the log for what is wanted of a release.
 std::string mode_text(Verdict verdict, const std::optional<ReleaseUpdate>& release) {
@@ -24,58 +25,77 @@
 
 }  // namespace
 
-DecisionEngine::DecisionEngine(unsigned salt, const EndpointSettings& endpoints,
+DecisionEngine::DecisionEngine(unsigned seed, const EndpointSettings& endpoints,
                                const CanaryQuotaSettings& canary_quota,
                                const AnalysisSettings& analysis, const RequestSettings& requests)
-    : random_(salt),
-      endpoints_(endpoints, requests.request_classes),
+    : random_(seed),
+      cluster_(endpoints, requests.request_classes),
+      list_subscription_(endpoints.polls_list),
       canary_quota_(canary_quota, static_cast<int>(requests.request_classes.size()), requests.tick),
       analysis_(analysis, static_cast<int>(requests.request_classes.size())),
       vote_scheduler_(analysis),
-      requests_(requests, endpoints_, canary_quota_, random_),
+      requests_(requests, cluster_, canary_quota_, random_),
       firsts_(firsts_kept) {}
 
+void DecisionEngine::endpoints_updated(EndpointUpdateKind kind,
+                                       const std::vector<EndpointInfo>& entries, TimePoint now) {
+  list_subscription_.updated(kind, now);
+  if (kind != EndpointUpdateKind::failed)
+    cluster_.list_updated(kind, entries, now);
+}
+
 void DecisionEngine::request_arrived(const RequestInfo& request, TimePoint now) {
   canary_quota_.taken(request.request_class, now);
   if (!request.is_retry)
     firsts_.push(now);
-  requests_.arrived(request);
+  requests_.request_arrived(request);
 }
 
-void DecisionEngine::attempt_ended(int id, int index, Outcome outcome, bool succeeded,
+void DecisionEngine::attempt_ended(int request_id, int index, Outcome outcome, bool succeeded,
                                    const LoadReport& load, TimePoint now) {
-  const ScheduledRequest* request = requests_.find(id);
+  const ScheduledRequest* request = requests_.find(request_id);
   if (!request || index >= static_cast<int>(request->attempts.size()))
     return;
-  const Attempt one = request->attempts[index];
+  const Attempt attempt = request->attempts[index];
   const RequestInfo info = request->info;
-  Duration took = now - one.sent;
   // What another endpoint has failed already tells nothing of this one or its build: guards against
-  // requests that fail anywhere, which as repeats would gather at the machines with room.
-  bool failed_before = std::any_of(request->attempts.begin(), request->attempts.end(),
-                                   [](auto& s) { return s.failed; });
-  const Outcome tells = failed_before && outcome == Outcome::error ? Outcome::obsolete : outcome;
-  endpoints_.ended(one, tells, info, now);
-  endpoints_.report(one.endpoint, load, now);
-  const EndpointState& endpoint = endpoints_.all()[one.endpoint];
-  // What a machine swallows once it stops answering counts as one failure of the build. Late
-  // answers of cold machines, or on the way to another zone, tell nothing.
-  bool warm = endpoints_.warmth(one.endpoint, one.sent) >= 1;
-  bool counts = tells == Outcome::ok || tells == Outcome::error ||
-                (lost(outcome) && endpoint.dead_run <= 1 && warm && endpoints_.near(one.endpoint));
-  if (counts && endpoint.build == one.build) {
-    analysis_.noted(one.build, {now, one.sent, one.endpoint, info.request_class, info.tenant,
-                                outcome == Outcome::error, lost(outcome), warm,
-                                endpoints_.ratio(info.request_class, took, info.cost_hint_ms),
-                                endpoints_.objective_ratio(info.request_class, took)});
-    if (outcome == Outcome::ok && warm && !analysis_.watched(one.build))
-      endpoints_.learn(info.request_class, took, info.cost_hint_ms);
-  }
+  // requests that fail anywhere, which as retries would gather at the endpoints with capacity left.
+  const bool failed_before = std::any_of(request->attempts.begin(), request->attempts.end(),
+                                         [](const Attempt& each) { return each.failed; });
+  const Outcome evidence = failed_before && outcome == Outcome::error ? Outcome::obsolete : outcome;
+  cluster_.attempt_ended(attempt, evidence, info, now);
+  cluster_.load_reported(attempt.endpoint, load, now);
+  record_sample(attempt, evidence, info, now);
   if (outcome == Outcome::ok) {
-    analysis_.succeeded(one.build);
-    canary_quota_.answered(info.key, one.build);
+    analysis_.succeeded(attempt.build);
+    canary_quota_.answered(info.key, attempt.build);
   }
-  requests_.ended(id, index, outcome, succeeded, now);
+  requests_.attempt_ended(request_id, index, outcome, succeeded, now);
+}
+
+// Hands an ended attempt to the canary analysis and the latency model, if it tells something about
+// its build. What an endpoint loses once it stops answering counts as one failure of the build.
+// Late answers of endpoints that warm up, or from another zone, tell nothing.
+void DecisionEngine::record_sample(const Attempt& attempt, Outcome evidence,
+                                   const RequestInfo& request, TimePoint now) {
+  const EndpointSet& endpoints = cluster_.endpoints();
+  const bool warm = endpoints.is_warm(attempt.endpoint, attempt.sent);
+  const bool telling_loss = lost(evidence) &&
+                            cluster_.health().consecutive_losses(attempt.endpoint) <= 1 && warm &&
+                            endpoints.is_local(attempt.endpoint);
+  if (evidence != Outcome::ok && evidence != Outcome::error && !telling_loss)
+    return;
+  if (endpoints[attempt.endpoint].build != attempt.build)
+    return;
+  LatencyModel& latency_model = cluster_.latency();
+  const Duration latency = now - attempt.sent;
+  analysis_.noted(attempt.build, {now, attempt.sent, attempt.endpoint, request.request_class,
+                                  request.tenant, evidence == Outcome::error, lost(evidence), warm,
+                                  latency_model.latency_ratio(request.request_class, latency,
+                                                              request.cost_hint_ms),
+                                  latency_model.objective_ratio(request.request_class, latency)});
+  if (evidence == Outcome::ok && warm && !analysis_.watched(attempt.build))
+    latency_model.record(request.request_class, latency, request.cost_hint_ms);
 }
 
 void DecisionEngine::release_updated(const ReleaseUpdate& release, TimePoint now) {
@@ -87,9 +107,9 @@
 std::optional<Decision> DecisionEngine::next(TimePoint now) {
   if (now >= judged_at_ + judge_every) {
     judged_at_ = now;
-    const double pace = rate_of(firsts_, now), load = pace / std::max(0.1, endpoints_.able(now));
-    AnalysisResult found =
-        analysis_.judge(endpoints_.all(), pace * requests_.canary_share(now), load, now);
+    const double pace = rate_of(firsts_, now), load = pace / std::max(0.1, cluster_.capacity(now));
+    AnalysisResult found = analysis_.judge(cluster_.endpoints().all(),
+                                           pace * requests_.newest_build_share(now), load, now);
     vote_scheduler_.wants(found.verdict, now, random_);
     std::string mode = mode_text(found.verdict, analysis_.release());
     if (mode != mode_)
@@ -101,19 +121,24 @@
     log_.pop_front();
     return decision;
   }
-  if (auto decision = endpoints_.next(now, random_))
+  if (auto decision = list_subscription_.next(now, random_))
     return decision;
   if (auto decision = vote_scheduler_.next(now, random_))
     return decision;
   if (auto decision = requests_.next(now))
     return decision;
-  TimePoint due = now + look_every;
-  if (auto look = requests_.next_look())
-    due = std::min(due, *look);
+  return next_wake_up(now);
+}
+
+// Asks for a wake-up unless one is under way that comes early enough.
+std::optional<Decision> DecisionEngine::next_wake_up(TimePoint now) {
+  TimePoint due = now + max_wake_up_interval;
+  if (const auto check_at = requests_.next_check_at())
+    due = std::min(due, *check_at);
   if (wake_at_ > now && wake_at_ <= due)
     return {};
   wake_at_ = std::max(due, now + Duration(1));
-  return Decision{.action = Action::wake, .span = wake_at_ - now};
+  return Decision{.action = Action::wake, .duration = wake_at_ - now};
 }
 
 }  // namespace robinhoist
--- /dev/null
+++ b/src/policy/endpoint_picker.h
@@ -0,0 +1,61 @@
+/// The choice of an endpoint for an attempt: power of two choices by load score, within the proxy's
+/// subset of the endpoints, in its own zone unless another is clearly better.
+#pragma once
+#include <functional>
+#include <random>
+#include <vector>
+
+#include "policy/endpoint_health.h"
+#include "policy/endpoint_set.h"
+#include "policy/slow_start_limiter.h"
+#include "policy/subset_size.h"
+#include "time/time_types.h"
+
+namespace robinhoist {
+
+/// What an attempt asks of an endpoint.
+struct EndpointRequirements {
+  BuildGroup build;
+  const std::function<bool(int)>& may_use;  ///< rules of the request itself, by endpoint number
+  bool avoid_suspects;                      ///< whether a single recent loss counts as unhealthy
+  Duration max_wait;                        ///< the longest queue that the request may join
+};
+
+/// Picks endpoints. Owns nothing but its settings; the objects it reads must outlive it.
+class EndpointPicker {
+ public:
+  EndpointPicker(int proxy_index, const EndpointSet& endpoints, EndpointHealth& health,
+                 SlowStartLimiter& slow_start, const SubsetSize& subset_size);
+
+  /// The endpoint to send to, -1 if none will do. When most endpoints are unhealthy, these are used
+  /// all the same. Draws from `random` as often as it compares.
+  int pick(const EndpointRequirements& requirements, TimePoint now, std::minstd_rand& random);
+
+ private:
+  struct Candidates {
+    std::vector<int> local{};
+    std::vector<int> remote{};
+    std::vector<int> unhealthy{};
+    std::size_t usable = 0;  // healthy endpoints in reach
+  };
+  Candidates find_candidates(const EndpointRequirements& requirements, TimePoint now,
+                             std::minstd_rand& random);
+  std::vector<int> sample_two(const std::vector<int>& group,
+                              const EndpointRequirements& requirements, TimePoint now,
+                              std::minstd_rand& random);
+  void scan(const std::vector<int>& group, const EndpointRequirements& requirements, TimePoint now,
+            std::vector<int>& found, Candidates& candidates);
+  std::size_t subset_start(const std::vector<int>& group) const;
+  bool may_receive(int endpoint, const EndpointRequirements& requirements, TimePoint now);
+  bool is_trusted(int endpoint, const EndpointRequirements& requirements, TimePoint now);
+  int better_of_two(const std::vector<int>& endpoints, TimePoint now, std::minstd_rand& random);
+  double load_score(int endpoint, TimePoint now);
+
+  int proxy_index_;
+  const EndpointSet& endpoints_;
+  EndpointHealth& health_;
+  SlowStartLimiter& slow_start_;
+  const SubsetSize& subset_size_;
+};
+
+}  // namespace robinhoist
--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -1,106 +1,86 @@
-/// The endpoints that this proxy knows: list updates, warm-up, health, and the choice among them.
+/// The endpoints that this proxy knows: what the list says of each, and how warm each is.
 #pragma once
-#include <deque>
-#include <functional>
-#include <optional>
-#include <random>
 #include <vector>
 
-#include "policy/decision.h"
 #include "policy/endpoint.h"
-#include "policy/request.h"
-#include "policy/statistics.h"
 #include "time/time_types.h"
-#include "util/sliding_window.h"
 
 namespace robinhoist {
 
-struct Result {
-  TimePoint at;
-  bool ok;
-  double ratio;  // latency over the request class's usual one
-  Duration took;
-  int in_hand;  // own requests that the endpoint held when this one was sent, itself included
-  bool timed;   // not an error: those may come at once
+/// What is known of an endpoint from the list and from its recoveries.
+struct EndpointState : EndpointInfo {
+  bool listed = false;                ///< false: a number that no update has named yet
+  TimePoint listed_at = long_ago;     ///< when its present process was first listed
+  TimePoint recovered_at = long_ago;  ///< when it answered again after it had seemed lost
 };
 
-// Sums over an endpoint's young results, newest first; kept until one of them grows old or another
-// comes.
-struct RecentResults {
-  std::size_t failed = 0, young = 0;
-  TimePoint last_failed{}, until{};
-  double took = 0, in_hand = 0, ratios = 0;
-};
+/// Whether an endpoint runs the newest of the builds that take requests.
+enum class BuildGroup { older, newest };
 
-struct EndpointState : EndpointInfo {
-  bool listed = false;
-  int dead_run = 0;              // attempts lost in a row without any reply
-  int full_run = 0;              // attempts turned away in a row
-  int succeeded = 0;             // answers of late, while warm
-  TimePoint back_at = long_ago;  // answered again after it was taken for dead
-  TimePoint told = long_ago,
-            cold_sent = long_ago;  // when its start was heard of, and last sent to while cold
-  TimePoint dead_at = long_ago, heard_at = long_ago, full_at = long_ago;
-  std::vector<TimePoint> out{};   // when the attempts still out were sent
-  std::deque<TimePoint> sends{};  // sends within the rule's window while cold
-  SlidingWindow<Result> results{0};
-  std::optional<RecentResults> recent{};
-  LoadReport load{};
-  TimePoint load_at = long_ago;
-};
+/// Whether an endpoint is in the proxy's own zone.
+enum class Locality { remote, local };
 
-// The list of endpoints: health, warmth and drains.
+/// Owns the list of endpoints. An endpoint's number is its index everywhere in the module; numbers
+/// are never reused for another endpoint, and removed endpoints stay known.
 class EndpointSet {
  public:
-  EndpointSet(const EndpointSettings& settings, const std::vector<RequestClass>& request_classes);
-  void news(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries, TimePoint now);
-  void sent(int endpoint, TimePoint now);
-  void ended(const Attempt& attempt, Outcome outcome, const RequestInfo& request, TimePoint now);
-  void learn(int request_class, Duration took, double cost_hint_ms);
-  void report(int endpoint, const LoadReport& load, TimePoint now);
-  double ratio(int request_class, Duration took, double cost_hint_ms);
-  double objective_ratio(int request_class, Duration took) const;
-  double usual_ms(int request_class, double part);
-  bool open(int endpoint) const;
-  bool near(int endpoint) const { return endpoints_[endpoint].zone == settings_.zone; }
-  bool has_room(int endpoint, TimePoint now);
-  bool resting(int endpoint, TimePoint now) const;
-  bool well(int endpoint, TimePoint now);
-  double warmth(int endpoint, TimePoint now) const;
-  int newest() const { return newest_; }
-  bool older() const { return !rings_[0][0].empty() || !rings_[0][1].empty(); }
-  double able(TimePoint now) const;
-  double cost(int endpoint, TimePoint now);
-  Duration wait(int endpoint, TimePoint now);
-  double pace(TimePoint now) const { return rate_of(sent_, now); }
-  int choose(bool young, const std::function<bool(int)>& may, bool careful, Duration longest,
-             TimePoint now, std::minstd_rand& random);
-  std::optional<Decision> next(TimePoint now, std::minstd_rand& random);
+  explicit EndpointSet(const EndpointSettings& settings);
+
+  /// Applies a list update other than a failed one. Returns the endpoints that are another process
+  /// than before (another start or build): what was known of the old one says nothing any more.
+  std::vector<int> update(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries,
+                          TimePoint now);
+
+  /// Notes that an endpoint answered again after it had seemed lost. It counts as just started.
+  void mark_recovered(int endpoint, TimePoint now) { endpoints_[endpoint].recovered_at = now; }
+
+  /// All endpoints, by number.
   const std::vector<EndpointState>& all() const { return endpoints_; }
 
+  const EndpointState& operator[](int endpoint) const { return endpoints_[endpoint]; }
+
+  int size() const { return static_cast<int>(endpoints_.size()); }
+
+  /// Whether the list says that the endpoint takes requests.
+  bool is_ready(int endpoint) const;
+
+  bool is_local(int endpoint) const { return endpoints_[endpoint].zone == zone_; }
+
+  /// What part of its warm capacity the endpoint has, up to 1.
+  double warm_up_factor(int endpoint, TimePoint now) const;
+
+  bool is_warm(int endpoint, TimePoint now) const { return warm_up_factor(endpoint, now) >= 1; }
+
+  /// The newest build with a ready endpoint, -1 for none.
+  int newest_build() const { return newest_build_; }
+
+  /// Whether any ready endpoint runs another build than the newest.
+  bool has_older_build() const;
+
+  /// The ready endpoints of a group, in an order that is the same at every proxy.
+  const std::vector<int>& group(BuildGroup build, Locality locality) const;
+
+  /// The group that a ready endpoint belongs to.
+  const std::vector<int>& group_of(int endpoint) const;
+
  private:
-  std::size_t reach(TimePoint now) const;
-  int better_of_two(const std::vector<int>& among, TimePoint now, std::minstd_rand& random);
-  Duration patience();
-  const RecentResults& recent_results(int endpoint, TimePoint now);
-  int warm();
-
-  EndpointSettings settings_;
-  std::vector<RequestClass> request_classes_;
+  struct ByLocality {
+    std::vector<int> remote{};
+    std::vector<int> local{};
+  };
+  std::vector<int>& mutable_group(BuildGroup build, Locality locality);
+  BuildGroup build_group(int endpoint) const;
+  Locality locality(int endpoint) const;
+  void regroup();
+
+  int zone_;
+  Duration warm_up_time_;
+  double initial_warm_up_factor_;
+  bool uses_sizes_;
   std::vector<EndpointState> endpoints_{};
-  std::vector<QuantileWindow> took_,
-      per_hint_;  // how long answers took: ms, and for each ms of hinted work
-  std::deque<std::pair<TimePoint, int>> successes_{};
-  int warm_ = 0, newest_ = -1;
-  std::optional<TimePoint> warm_asked_{};
-  std::vector<int> rings_[2]
-                         [2]{};  // open endpoints by order: of the newest build or not, near or not
-  SlidingWindow<TimePoint> sent_;
-  SlidingWindow<char> refused_;
-  bool squeezed_ = false;  // connections are refused right and left
-  bool asked_ = false;
-  Duration ask_pause_{};
-  TimePoint ask_at_{};
+  int newest_build_ = -1;
+  ByLocality older_{};
+  ByLocality newest_{};
 };
 
 }  // namespace robinhoist
--- a/src/policy/request_scheduler.h
+++ b/src/policy/request_scheduler.h
@@ -1,73 +1,106 @@
-/// The life of a request: attempts, retries, hedges, time-outs, rejection and the final answer.
+/// The life of a request: attempts, retries, hedged requests, rejection and the final answer.
 #pragma once
 #include <deque>
+#include <functional>
 #include <optional>
 #include <queue>
+#include <random>
+#include <tuple>
 #include <unordered_map>
-#include <utility>
 #include <vector>
 
+#include "policy/admission_controller.h"
 #include "policy/canary_quota.h"
 #include "policy/decision.h"
-#include "policy/endpoint_set.h"
 #include "policy/request.h"
-#include "util/sliding_window.h"
+#include "policy/retry_budget.h"
+#include "policy/upstream_cluster.h"
+#include "time/time_types.h"
 
 namespace robinhoist {
 
+/// A request that the scheduler still has to care for.
 struct ScheduledRequest {
   RequestInfo info;
-  TimePoint look_at{};
+  TimePoint next_check_at{};  ///< the earliest timer set for it; zero: none
   std::vector<Attempt> attempts{};
-  bool over = false, streaming = false;
+  bool done = false;       ///< it is answered, finished or its client has disconnected
+  bool streaming = false;  ///< its answer has begun to stream: no more attempts
 };
 
-// Requests: attempts, repeats, time-outs, rejects and final answers.
+/// Owns the requests from their arrival until they are done and all their attempts have ended.
+/// Input functions only note what happened; next() decides.
 class RequestScheduler {
  public:
-  RequestScheduler(const RequestSettings& settings, EndpointSet& endpoints,
+  /// What is passed by reference must outlive this object.
+  RequestScheduler(const RequestSettings& settings, UpstreamCluster& cluster,
                    CanaryQuota& canary_quota, std::minstd_rand& random);
-  void arrived(const RequestInfo& request);
-  void streaming(int request_id);
-  void ended(int request_id, int attempt, Outcome outcome, bool succeeded, TimePoint now);
-  void left(int request_id);
-  bool knows(int request_id) const { return requests_.count(request_id) > 0; }
+
+  /// A request has arrived; its id must not be in use.
+  void request_arrived(const RequestInfo& request);
+
+  /// The answer to a request has begun to stream to its client.
+  void stream_began(int request_id);
+
+  /// An attempt, by its index in the request, has ended; `succeeded` tells that with it the client
+  /// has its answer. Unknown requests and attempts are ignored.
+  void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded, TimePoint now);
+
+  /// The client of a request has disconnected.
+  void client_disconnected(int request_id);
+
+  /// Whether the request is still cared for.
+  bool knows(int request_id) const { return requests_.contains(request_id); }
+
+  /// The request, nullptr if it is not known. Valid until the next call that is not const.
   const ScheduledRequest* find(int request_id) const;
+
+  /// The next decision, if any is due.
   std::optional<Decision> next(TimePoint now);
-  std::optional<TimePoint> next_look() const {
-    return looks_.empty() ? std::nullopt : std::optional<TimePoint>(looks_.top().first);
-  }
-  double canary_share(TimePoint now);
-  bool shedding() const;
+
+  /// When next() has to be called again, if nothing happens before.
+  std::optional<TimePoint> next_check_at() const;
+
+  /// The share of first attempts that the newest build is to get; see newest_build_share().
+  double newest_build_share(TimePoint now);
 
  private:
-  std::optional<Decision> decide(int id, ScheduledRequest& request, TimePoint now);
-  std::optional<Decision> forward(int id, ScheduledRequest& request, int endpoint, TimePoint now);
-  std::optional<Decision> finish(int id, ScheduledRequest& request, Duration pause, TimePoint now);
-  int place(const ScheduledRequest& request, TimePoint now);
-  void felt(const Attempt& one, Outcome outcome, int request_class, TimePoint now);
-  Duration longest_wait(const ScheduledRequest& request, TimePoint now) const;
-  bool over_share(int tenant) const;
-  bool let_in(const RequestInfo& info, TimePoint now);
-  bool may_go(const ScheduledRequest& request, int endpoint, TimePoint now) const;
-  void look(int id, ScheduledRequest& request, TimePoint at);
-  void forget(int id);
+  struct AttemptId {
+    int request_id;
+    int attempt;
+  };
+  struct Timer {
+    TimePoint at;
+    int request_id;
+    bool operator>(const Timer& other) const {
+      return std::tie(at, request_id) > std::tie(other.at, other.request_id);
+    }
+  };
+  std::optional<Decision> next_cancellation();
+  void collect_due_timers(TimePoint now);
+  std::optional<Decision> decide(ScheduledRequest& request, TimePoint now);
+  std::optional<Decision> consider_hedge(ScheduledRequest& request, TimePoint now);
+  bool may_send(const ScheduledRequest& request, TimePoint now);
+  TimePoint hedge_due_at(const ScheduledRequest& request);
+  Decision send(ScheduledRequest& request, int endpoint, TimePoint now);
+  Decision finish(ScheduledRequest& request, Duration retry_after, TimePoint now);
+  int pick_endpoint(const ScheduledRequest& request, TimePoint now);
+  int pick_endpoint_in(BuildGroup build, const ScheduledRequest& request, TimePoint now);
+  bool may_use(int endpoint, BuildGroup build, const ScheduledRequest& request, TimePoint now);
+  void set_timer(ScheduledRequest& request, TimePoint at);
+  void erase_if_ended(int request_id);
+  const RequestClass& class_of(const ScheduledRequest& request) const;
 
   RequestSettings settings_;
-  EndpointSet& endpoints_;
+  UpstreamCluster& cluster_;
   CanaryQuota& canary_quota_;
   std::minstd_rand& random_;
+  AdmissionController admission_;
+  RetryBudget retry_budget_;
   std::unordered_map<int, ScheduledRequest> requests_{};
-  std::deque<int> ready_{};
-  std::deque<std::pair<int, int>> cancels_{};
-  std::priority_queue<std::pair<TimePoint, int>, std::vector<std::pair<TimePoint, int>>,
-                      std::greater<>>
-      looks_{};
-  SlidingWindow<char> again_, rejections_;
-  SlidingWindow<int> tenants_;
-  SlidingWindow<char> slow_;
-  TimePoint felt_at_{};
-  double open_ = 1;  // the part of requests that is let in
+  std::deque<int> undecided_{};        // requests to decide on, in this order
+  std::deque<AttemptId> to_cancel_{};  // attempts no longer needed
+  std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_{};
 };
 
 }  // namespace robinhoist
--- /dev/null
+++ b/src/policy/retry_rules.cpp
@@ -0,0 +1,50 @@
+#include "policy/retry_rules.h"
+
+#include <algorithm>
+
+namespace robinhoist {
+
+namespace {
+
+bool key_is_known(DedupScope scope, const EndpointState& before, const EndpointState& endpoint) {
+  switch (scope) {
+    case DedupScope::zone:
+      return endpoint.zone == before.zone;
+    case DedupScope::cell:
+      return endpoint.cell == before.cell;
+    case DedupScope::all:
+      break;
+  }
+  return true;
+}
+
+}  // namespace
+
+bool may_retry_at(int endpoint, const RequestClass& request_class,
+                  const std::vector<Attempt>& attempts, const EndpointSet& endpoints, Duration tick,
+                  TimePoint now) {
+  if (request_class.idempotency == Idempotency::idempotent)
+    return true;
+  const auto permits = [&](const Attempt& attempt) {
+    if (attempt.never_ran)
+      return true;
+    if (request_class.idempotency == Idempotency::non_idempotent ||
+        now + tick >= attempt.sent + request_class.dedup_window)
+      return false;
+    return key_is_known(request_class.dedup_scope, endpoints[attempt.endpoint],
+                        endpoints[endpoint]);
+  };
+  return std::all_of(attempts.begin(), attempts.end(), permits);
+}
+
+bool client_may_retry(const RequestClass& request_class, const std::vector<Attempt>& attempts) {
+  if (request_class.idempotency == Idempotency::idempotent)
+    return true;
+  if (request_class.idempotency == Idempotency::idempotent_with_key &&
+      request_class.dedup_scope == DedupScope::all)
+    return true;
+  return std::all_of(attempts.begin(), attempts.end(),
+                     [](const Attempt& attempt) { return attempt.never_ran; });
+}
+
+}  // namespace robinhoist
--- a/src/policy/statistics.h
+++ b/src/policy/statistics.h
@@ -1,4 +1,5 @@
-/// Plain arithmetic of the decision module: unit conversions, tails of distributions, quantiles.
+/// Plain arithmetic of the decision module: unit conversions, random draws, tails of distributions
+/// and quantiles. Free functions without state.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -10,64 +11,74 @@
 
 namespace robinhoist {
 
-inline double to_seconds(Duration s) {
-  return std::chrono::duration<double>(s).count();
+/// A length of time in seconds.
+inline double to_seconds(Duration duration) {
+  return std::chrono::duration<double>(duration).count();
 }
-inline double to_millis(Duration s) {
-  return to_seconds(s) * 1e3;
+
+/// A length of time in milliseconds.
+inline double to_millis(Duration duration) {
+  return to_seconds(duration) * 1e3;
 }
-inline Duration from_millis(double ms) {
-  return Duration(static_cast<long long>(ms * 1e3));
+
+/// A length of time from milliseconds, cut to whole microseconds.
+inline Duration from_millis(double milliseconds) {
+  return Duration(static_cast<long long>(milliseconds * 1e3));
 }
+
+/// A draw from the uniform distribution over [0, 1).
 inline double uniform_sample(std::minstd_rand& random) {
   return std::uniform_real_distribution<double>(0, 1)(random);
 }
 
-// How many of these come in a second of late.
-inline double rate_of(const SlidingWindow<TimePoint>& of, TimePoint now) {
-  return of.size() == 0 ? 0 : of.size() / std::max(0.2, to_seconds(now - of.back(of.size() - 1)));
+/// Recent events per second: the window's size over the time since its oldest event.
+inline double rate_of(const SlidingWindow<TimePoint>& events, TimePoint now) {
+  constexpr double min_seconds = 0.2;  // a burst of few events is no rate yet
+  if (events.size() == 0)
+    return 0;
+  const TimePoint oldest = events.back(events.size() - 1);
+  return static_cast<double>(events.size()) / std::max(min_seconds, to_seconds(now - oldest));
 }
 
-// Chance of k or more rare events where `expected` are due (Poisson).
-inline double poisson_upper_tail(double k, double expected) {
-  double term = std::exp(-expected), below = 0;
-  for (int i = 0; i < k; ++i) {
+/// Probability of `count` or more events where `expected` are due (Poisson).
+inline double poisson_upper_tail(double count, double expected) {
+  double term = std::exp(-expected);
+  double below = 0;
+  for (int i = 0; i < count; ++i) {
     below += term;
     term *= expected / (i + 1);
   }
   return std::max(0.0, 1 - below);
 }
 
-// Chance that `both` or more of `some` are among the `marked` when these are picked blindly from
-// `all`.
+/// Probability that `both` or more of `some` members are among the `marked` ones, when those are
+/// picked at random from `all` members (hypergeometric).
 inline double hypergeometric_upper_tail(int all, int some, int marked, int both) {
-  auto ways = [](int n, int k) {
+  const auto log_combinations = [](int n, int k) {
     return std::lgamma(n + 1) - std::lgamma(k + 1) - std::lgamma(n - k + 1);
   };
   double sum = 0;
   for (int i = both; i <= std::min(some, marked); ++i)
     if (marked - i <= all - some)
-      sum += std::exp(ways(some, i) + ways(all - some, marked - i) - ways(all, marked));
+      sum += std::exp(log_combinations(some, i) + log_combinations(all - some, marked - i) -
+                      log_combinations(all, marked));
   return std::min(1.0, sum);
 }
 
-// The value below which this part of the values lies; reorders them.
-inline double quantile(std::vector<double>& values, double part) {
-  auto at = values.begin() + static_cast<long>(part * static_cast<double>(values.size() - 1));
-  std::nth_element(values.begin(), at, values.end());
-  return *at;
-}
-
-inline int count(const SlidingWindow<char>& of) {
-  int sum = 0;
-  for (std::size_t i = 0; i < of.size(); ++i)
-    sum += of.back(i);
-  return sum;
+/// The value below which this fraction (0 to 1) of the values lies. Reorders the values, of which
+/// there must be at least one.
+inline double quantile(std::vector<double>& values, double fraction) {
+  const auto rank =
+      values.begin() + static_cast<long>(fraction * static_cast<double>(values.size() - 1));
+  std::nth_element(values.begin(), rank, values.end());
+  return *rank;
 }
 
-// Points spread evenly over 0 to 1, however many are taken in a row.
-inline double golden_part(int n) {
-  return n * 0.6180339887498949 - std::floor(n * 0.6180339887498949);
+/// The fractional part of `number` times the golden ratio: consecutive numbers give points spread
+/// evenly over [0, 1), however many are taken.
+inline double golden_ratio_point(int number) {
+  constexpr double golden_ratio = 0.6180339887498949;
+  return number * golden_ratio - std::floor(number * golden_ratio);
 }
 
 }  // namespace robinhoist
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -35,15 +35,15 @@
       continue;
     std::string_view name = pair.substr(0, equals);
     if (name == "cpu_utilization")
-      load.busy = value;
+      load.utilization = value;
     else if (name == "named_metrics.held")
-      load.held = value;
+      load.in_flight = value;
     else if (name == "named_metrics.waiting")
-      load.waiting = value;
+      load.queued = value;
     else if (name == "rps_fractional")
-      load.served_ps = value;
+      load.served_per_s = value;
     else if (name == "eps")
-      load.failed_ps = value;
+      load.failed_per_s = value;
   }
   return load;
 }
--- a/src/proxy/router.cpp
+++ b/src/proxy/router.cpp
@@ -7,6 +7,7 @@
 #include <cstdio>
 
 #include "json/fields.h"
+#include "policy/statistics.h"
 #include "rollout/names.h"
 
 namespace robinhoist::proxy {
@@ -333,8 +334,8 @@
       InFlightRequest& in_flight = requests_.at(decision.request_id);
       const char* why = in_flight.attempts.empty() ? "no-room" : rollout::to_string(in_flight.last);
       ++counters_.rejected;
-      finish_request(in_flight, protocol_.rejected(decision.span, why), "declined", why,
-                     decision.span);
+      finish_request(in_flight, protocol_.rejected(decision.duration, why), "declined", why,
+                     decision.duration);
       forget(decision.request_id);
       break;
     }
@@ -385,7 +386,7 @@
       break;
     case Action::wake:
       loop_.cancel(wake_);
-      wake_ = loop_.at(loop_.now() + decision.span, [this] {
+      wake_ = loop_.at(loop_.now() + decision.duration, [this] {
         wake_ = net::Loop::no_timer;
         pull();
       });
@@ -404,8 +405,8 @@
   ++counters_.attempts;
   ++upstream.out;
   Duration within = std::max(Duration(1), in_flight.deadline - loop_.now());
-  if (decision.span > Duration{})
-    within = std::min(within, decision.span);
+  if (decision.duration > Duration{})
+    within = std::min(within, decision.duration);
   if (in_flight.trace)
     trace_attempt(in_flight, decision, within);
   auto done = [this, request_id = decision.request_id, index](http::Ended how,
--- a/src/util/sliding_window.h
+++ b/src/util/sliding_window.h
@@ -1,62 +1,106 @@
-// The last few samples of something, oldest overwritten first. The owner says how many are kept.
+/// Bounded windows over the latest samples: of any type, of yes/no events, and of numbers whose
+/// quantiles are wanted. The owner sets the capacity, which must be above zero.
 #pragma once
 #include <algorithm>
 #include <cstddef>
+#include <cstdint>
 #include <vector>
 
 namespace robinhoist {
 
+/// The latest `capacity` samples; a new one overwrites the oldest.
 template <class T>
 class SlidingWindow {
  public:
-  explicit SlidingWindow(std::size_t most) : most_(most) {}
+  explicit SlidingWindow(std::size_t capacity) : capacity_(capacity) {}
+
+  /// Adds the newest sample.
   void push(const T& sample) {
-    if (kept_.size() < most_) {
-      kept_.push_back(sample);
+    if (samples_.size() < capacity_) {
+      samples_.push_back(sample);
     } else {
-      kept_[next_] = sample;
-      next_ = (next_ + 1) % most_;
+      samples_[next_] = sample;
+      next_ = (next_ + 1) % capacity_;
     }
   }
+
+  /// Forgets all samples.
   void clear() {
-    kept_.clear();
+    samples_.clear();
     next_ = 0;
   }
-  std::size_t size() const { return kept_.size(); }
-  // 0 is the newest.
+
+  /// How many samples the window holds now.
+  std::size_t size() const { return samples_.size(); }
+
+  /// The sample of this age, 0 being the newest. The age must be below size().
   const T& back(std::size_t age) const {
-    return kept_[(next_ + kept_.size() - 1 - age) % kept_.size()];
+    return samples_[(next_ + samples_.size() - 1 - age) % samples_.size()];
   }
 
  private:
-  std::size_t most_;
+  std::size_t capacity_;
   std::size_t next_ = 0;
-  std::vector<T> kept_;
+  std::vector<T> samples_;
 };
 
-// The last few of some figure, and what lies so far up among them; sorted anew only now and then.
+/// The latest yes/no events.
+class EventWindow {
+ public:
+  explicit EventWindow(std::size_t capacity) : events_(capacity) {}
+
+  /// Adds the newest event.
+  void push(bool happened) { events_.push(happened ? 1 : 0); }
+
+  /// How many events the window holds now, of either kind.
+  std::size_t size() const { return events_.size(); }
+
+  /// How many of them are "yes".
+  int count() const {
+    int sum = 0;
+    for (std::size_t age = 0; age < events_.size(); ++age)
+      sum += events_.back(age);
+    return sum;
+  }
+
+ private:
+  SlidingWindow<std::uint8_t> events_;
+};
+
+/// The latest numbers and their quantiles. The sorted copy that quantiles are read from is renewed
+/// after an eighth of the capacity has been replaced, so a quantile may lag a little behind.
 class QuantileWindow {
  public:
-  explicit QuantileWindow(std::size_t most) : most_(most), last_(most) {}
+  explicit QuantileWindow(std::size_t capacity) : capacity_(capacity), latest_(capacity) {}
+
+  /// Adds the newest value.
   void push(double value) {
-    last_.push(value);
+    latest_.push(value);
     ++unsorted_;
   }
-  bool empty() const { return last_.size() == 0; }
-  double at(double part) {
-    if (unsorted_ > most_ / 8 || sorted_.size() < most_ / 8) {
-      sorted_.clear();
-      for (std::size_t i = 0; i < last_.size(); ++i)
-        sorted_.push_back(last_.back(i));
-      std::sort(sorted_.begin(), sorted_.end());
-      unsorted_ = 0;
-    }
-    return sorted_[std::min(sorted_.size() - 1, static_cast<std::size_t>(part * sorted_.size()))];
+
+  bool empty() const { return latest_.size() == 0; }
+
+  /// The value below which this fraction (0 to 1) of the values lies. The window must not be empty.
+  double at(double fraction) {
+    if (unsorted_ > capacity_ / 8 || sorted_.size() < capacity_ / 8)
+      sort();
+    const auto rank = static_cast<std::size_t>(fraction * static_cast<double>(sorted_.size()));
+    return sorted_[std::min(sorted_.size() - 1, rank)];
   }
 
  private:
-  std::size_t most_, unsorted_ = 0;
-  SlidingWindow<double> last_;
+  void sort() {
+    sorted_.clear();
+    for (std::size_t age = 0; age < latest_.size(); ++age)
+      sorted_.push_back(latest_.back(age));
+    std::sort(sorted_.begin(), sorted_.end());
+    unsorted_ = 0;
+  }
+
+  std::size_t capacity_;
+  std::size_t unsorted_ = 0;  // values added since the last sort
+  SlidingWindow<double> latest_;
   std::vector<double> sorted_{};
 };
 
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -528,7 +528,7 @@
     while (auto d = engine.next(now)) {
       decided.push_back(std::to_string(static_cast<int>(d->action)) + " " +
                         std::to_string(d->request_id) + " " + std::to_string(d->endpoint) + " " +
-                        std::to_string(d->span.count()) + d->text);
+                        std::to_string(d->duration.count()) + d->text);
       if (d->action == Action::forward)
         engine.attempt_ended(d->request_id, 0,
                              d->request_id % 3 == 0 ? Outcome::rejected : Outcome::ok,
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -135,7 +135,7 @@
           note(d->action == Action::reject ? "declined" : "voided");
           note((d->action == Action::reject ? "declined " : "voided ") + who);
           note("ended tenant " + std::to_string(tenant_of[d->request_id]));
-          if (d->span > Duration{})
+          if (d->duration > Duration{})
             note("advice");
           break;
         case Action::vote: {
@@ -195,9 +195,9 @@
     double v = w.size() > 2 ? std::atof(w[2].c_str()) : 0;
     const std::string& key = w[1];
     if (key == "must_ask")
-      endpoints.must_ask = true;
+      endpoints.polls_list = true;
     else if (key == "fall_multiple")
-      endpoints.fall_multiple = v;
+      endpoints.collapse_multiple = v;
     else if (key == "by_product")
       canary_quota.by_request_class = true;
     else if (key == "one_way")
@@ -209,7 +209,7 @@
     else if (key == "no_copies")
       requests.hedging = false;
     else if (key == "umpires")
-      analysis.proxies = requests.proxies = endpoints.proxies = static_cast<int>(v);
+      analysis.proxies = requests.proxies = endpoints.proxy_count = static_cast<int>(v);
     else if (key == "to_revert")
       analysis.votes_to_roll_back = static_cast<int>(v);
     else if (key == "step")
