--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -11,7 +11,7 @@
 namespace {
 constexpr Duration judge_every = 50ms;
 constexpr Duration max_wake_up_interval = 100ms;
-constexpr std::size_t firsts_kept = 40;
+constexpr std::size_t first_request_window = 40;
 // The words of the log for what is wanted of a release.
 std::string mode_text(Verdict verdict, const std::optional<ReleaseUpdate>& release) {
   const char* words[] = {"watching", "on", "hold", "back"};
@@ -35,7 +35,7 @@
       analysis_(analysis, static_cast<int>(requests.request_classes.size())),
       vote_scheduler_(analysis),
       requests_(requests, cluster_, canary_quota_, random_),
-      firsts_(firsts_kept) {}
+      first_requests_(first_request_window) {}
 
 void DecisionEngine::endpoints_updated(EndpointUpdateKind kind,
                                        const std::vector<EndpointInfo>& entries, TimePoint now) {
@@ -47,7 +47,7 @@
 void DecisionEngine::request_arrived(const RequestInfo& request, TimePoint now) {
   canary_quota_.taken(request.request_class, now);
   if (!request.is_retry)
-    firsts_.push(now);
+    first_requests_.push(now);
   requests_.request_arrived(request);
 }
 
@@ -107,7 +107,8 @@
 std::optional<Decision> DecisionEngine::next(TimePoint now) {
   if (now >= judged_at_ + judge_every) {
     judged_at_ = now;
-    const double pace = rate_of(firsts_, now), load = pace / std::max(0.1, cluster_.capacity(now));
+    const double pace = rate_of(first_requests_, now),
+                 load = pace / std::max(0.1, cluster_.capacity(now));
     AnalysisResult found = analysis_.judge(cluster_.endpoints().all(),
                                            pace * requests_.newest_build_share(now), load, now);
     vote_scheduler_.wants(found.verdict, now, random_);
@@ -135,10 +136,10 @@
   TimePoint due = now + max_wake_up_interval;
   if (const auto check_at = requests_.next_check_at())
     due = std::min(due, *check_at);
-  if (wake_at_ > now && wake_at_ <= due)
+  if (wake_up_at_ > now && wake_up_at_ <= due)
     return {};
-  wake_at_ = std::max(due, now + Duration(1));
-  return Decision{.action = Action::wake, .duration = wake_at_ - now};
+  wake_up_at_ = std::max(due, now + Duration(1));
+  return Decision{.action = Action::wake, .duration = wake_up_at_ - now};
 }
 
 }  // namespace robinhoist
--- a/src/policy/decision_engine.h
+++ b/src/policy/decision_engine.h
@@ -83,8 +83,9 @@
   CanaryAnalysis analysis_;
   VoteScheduler vote_scheduler_;
   RequestScheduler requests_;
-  SlidingWindow<TimePoint> firsts_;
-  TimePoint judged_at_ = long_ago, wake_at_ = long_ago;
+  SlidingWindow<TimePoint> first_requests_;  // when requests arrived that are no client's retries
+  TimePoint judged_at_ = long_ago;
+  TimePoint wake_up_at_ = long_ago;  // asked for last
   std::string mode_{};
   std::deque<std::string> log_{};
 };
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -51,12 +51,12 @@
 
 /// A load report; what it does not carry is absent.
 struct LoadReport {
-  std::optional<double> in_flight;     ///< requests that the endpoint works on, of all proxies
-  std::optional<double> queued;        ///< requests waiting there; not used
-  std::optional<double> utilization;   ///< 0 idle, 1 busy
-  std::optional<double> service_ms;    ///< time of one request; not used
-  std::optional<double> served_per_s;  ///< not used
-  std::optional<double> failed_per_s;  ///< not used
+  std::optional<double> in_flight{};     ///< requests that the endpoint works on, of all proxies
+  std::optional<double> queued{};        ///< requests waiting there; not used
+  std::optional<double> utilization{};   ///< 0 idle, 1 busy
+  std::optional<double> service_ms{};    ///< time of one request; not used
+  std::optional<double> served_per_s{};  ///< not used
+  std::optional<double> failed_per_s{};  ///< not used
 };
 
 }  // namespace robinhoist
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -54,7 +54,7 @@
 
 /// A tenant's quota.
 struct Tenant {
-  double share;
+  double share;            ///< of all requests, in a scenario's load
   double allowance_per_s;  ///< requests a second
 };
 
@@ -63,14 +63,14 @@
   std::vector<RequestClass> request_classes;  ///< by number
   std::vector<Tenant> tenants;                ///< by number
   int max_attempts;                           ///< of one request, the first included
-  int proxies;
-  bool hedging;          ///< whether hedged requests are allowed
-  bool cancelling;       ///< whether attempts no longer needed are cancelled
-  bool retry_after;      ///< whether rejections carry Retry-After advice
-  Duration retry_delay;  ///< that advice
-  Duration slack;        ///< read and checked, not used
-  Duration tick;         ///< the resolution of the deployment's clock
-  double over_quota_weight;
+  int proxies;                                ///< read and checked, not used
+  bool hedging;                               ///< whether hedged requests are allowed
+  bool cancelling;                            ///< whether attempts no longer needed are cancelled
+  bool retry_after;                           ///< whether rejections carry Retry-After advice
+  Duration retry_delay;                       ///< that advice
+  Duration slack;                             ///< read and checked, not used
+  Duration tick;                              ///< the resolution of the deployment's clock
+  double over_quota_weight;                   ///< read and checked, not used
 };
 
 /// A request as it arrived.
--- a/src/policy/upstream_cluster.h
+++ b/src/policy/upstream_cluster.h
@@ -46,7 +46,6 @@
   double capacity(TimePoint now) const;
 
   const EndpointSet& endpoints() const { return endpoints_; }
-  const EndpointHealth& health() const { return health_; }
   EndpointHealth& health() { return health_; }
   LatencyModel& latency() { return latency_; }
 
