--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -9,20 +9,10 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration judge_every = 50ms;
+constexpr Duration analysis_interval = 50ms;
 constexpr Duration max_wake_up_interval = 100ms;
 constexpr std::size_t first_request_window = 40;
-// The words of the log for what is wanted of a release.
-std::string mode_text(Verdict verdict, const std::optional<ReleaseUpdate>& release) {
-  const char* words[] = {"watching", "on", "hold", "back"};
-  const char* phases[] = {"trial", "going back", "released", "withdrawn"};
-  std::string text = words[static_cast<int>(verdict)];
-  if (!release)
-    return text;
-  return text + " build " + std::to_string(release->build) + " stage " +
-         std::to_string(release->stage) + " " + phases[static_cast<int>(release->phase)];
-}
-
+constexpr double min_capacity = 0.1;  // in endpoints; the load is per endpoint
 }  // namespace
 
 DecisionEngine::DecisionEngine(unsigned seed, const EndpointSettings& endpoints,
@@ -45,7 +35,7 @@
 }
 
 void DecisionEngine::request_arrived(const RequestInfo& request, TimePoint now) {
-  canary_quota_.taken(request.request_class, now);
+  canary_quota_.request_arrived(request.request_class, now);
   if (!request.is_retry)
     first_requests_.push(now);
   requests_.request_arrived(request);
@@ -67,8 +57,8 @@
   cluster_.load_reported(attempt.endpoint, load, now);
   record_sample(attempt, evidence, info, now);
   if (outcome == Outcome::ok) {
-    analysis_.succeeded(attempt.build);
-    canary_quota_.answered(info.key, attempt.build);
+    analysis_.answer_passed_on(attempt.build);
+    canary_quota_.request_answered(info.key, attempt.build);
   }
   requests_.attempt_ended(request_id, index, outcome, succeeded, now);
 }
@@ -89,38 +79,29 @@
     return;
   LatencyModel& latency_model = cluster_.latency();
   const Duration latency = now - attempt.sent;
-  analysis_.noted(attempt.build, {now, attempt.sent, attempt.endpoint, request.request_class,
-                                  request.tenant, evidence == Outcome::error, lost(evidence), warm,
-                                  latency_model.latency_ratio(request.request_class, latency,
-                                                              request.cost_hint_ms),
-                                  latency_model.objective_ratio(request.request_class, latency)});
-  if (evidence == Outcome::ok && warm && !analysis_.watched(attempt.build))
+  analysis_.attempt_ended(
+      attempt.build,
+      {now, attempt.sent, attempt.endpoint, request.request_class, request.tenant,
+       evidence == Outcome::error, lost(evidence), warm,
+       latency_model.latency_ratio(request.request_class, latency, request.cost_hint_ms),
+       latency_model.objective_ratio(request.request_class, latency)});
+  if (evidence == Outcome::ok && warm && !analysis_.under_analysis(attempt.build))
     latency_model.record(request.request_class, latency, request.cost_hint_ms);
 }
 
 void DecisionEngine::release_updated(const ReleaseUpdate& release, TimePoint now) {
-  canary_quota_.news(release);
-  analysis_.news(release, now);
-  vote_scheduler_.news(release);
+  canary_quota_.release_updated(release);
+  analysis_.release_updated(release, now);
+  vote_scheduler_.release_updated(release);
 }
 
 std::optional<Decision> DecisionEngine::next(TimePoint now) {
-  if (now >= judged_at_ + judge_every) {
-    judged_at_ = now;
-    const double pace = rate_of(first_requests_, now),
-                 load = pace / std::max(0.1, cluster_.capacity(now));
-    AnalysisResult found = analysis_.judge(cluster_.endpoints().all(),
-                                           pace * requests_.newest_build_share(now), load, now);
-    vote_scheduler_.wants(found.verdict, now, random_);
-    std::string mode = mode_text(found.verdict, analysis_.release());
-    if (mode != mode_)
-      log_.push_back(mode + (found.why.empty() ? "" : ": " + found.why));
-    mode_ = mode;
-  }
-  if (!log_.empty()) {
-    Decision decision{.action = Action::log, .text = log_.front()};
-    log_.pop_front();
-    return decision;
+  if (now >= analyzed_at_ + analysis_interval)
+    analyze(now);
+  if (!reports_to_log_.empty()) {
+    const AnalysisReport report = reports_to_log_.front();
+    reports_to_log_.pop_front();
+    return Decision{.action = Action::log, .text = to_string(report), .report = report};
   }
   if (auto decision = list_subscription_.next(now, random_))
     return decision;
@@ -131,6 +112,21 @@
   return next_wake_up(now);
 }
 
+// Judges the release and passes the verdict on.
+void DecisionEngine::analyze(TimePoint now) {
+  analyzed_at_ = now;
+  const double requests_per_s = rate_of(first_requests_, now);
+  const double load = requests_per_s / std::max(min_capacity, cluster_.capacity(now));
+  const double canary_requests_per_s = requests_per_s * requests_.newest_build_share(now);
+  const AnalysisResult result =
+      analysis_.judge(cluster_.endpoints().all(), canary_requests_per_s, load, now);
+  vote_scheduler_.set_verdict(result.verdict, now, random_);
+  const AnalysisReport report{result, analysis_.release()};
+  if (!last_report_ || !same_mode(report, *last_report_))
+    reports_to_log_.push_back(report);
+  last_report_ = report;
+}
+
 // Asks for a wake-up unless one is under way that comes early enough.
 std::optional<Decision> DecisionEngine::next_wake_up(TimePoint now) {
   TimePoint due = now + max_wake_up_interval;
--- a/src/policy/decision_engine.h
+++ b/src/policy/decision_engine.h
@@ -7,9 +7,9 @@
 #include <deque>
 #include <optional>
 #include <random>
-#include <string>
 #include <vector>
 
+#include "policy/analysis_report.h"
 #include "policy/canary_analysis.h"
 #include "policy/canary_quota.h"
 #include "policy/list_subscription.h"
@@ -54,10 +54,14 @@
   void release_updated(const ReleaseUpdate& release, TimePoint now);
 
   /// The vote sent last has been answered.
-  void vote_answered(Outcome outcome, TimePoint now) { vote_scheduler_.answered(outcome, now); }
+  void vote_answered(Outcome outcome, TimePoint now) {
+    vote_scheduler_.vote_answered(outcome, now);
+  }
 
   /// An answer given by this endpoint has been reported as wrong.
-  void answer_found_wrong(int endpoint) { analysis_.flagged(cluster_.endpoints()[endpoint].build); }
+  void answer_found_wrong(int endpoint) {
+    analysis_.answer_found_wrong(cluster_.endpoints()[endpoint].build);
+  }
 
   /// A health check has ended.
   void probe_ended(int endpoint, const LoadReport& load, TimePoint now) {
@@ -74,6 +78,7 @@
  private:
   void record_sample(const Attempt& attempt, Outcome evidence, const RequestInfo& request,
                      TimePoint now);
+  void analyze(TimePoint now);
   std::optional<Decision> next_wake_up(TimePoint now);
 
   std::minstd_rand random_;
@@ -84,10 +89,10 @@
   VoteScheduler vote_scheduler_;
   RequestScheduler requests_;
   SlidingWindow<TimePoint> first_requests_;  // when requests arrived that are no client's retries
-  TimePoint judged_at_ = long_ago;
+  TimePoint analyzed_at_ = long_ago;
   TimePoint wake_up_at_ = long_ago;  // asked for last
-  std::string mode_{};
-  std::deque<std::string> log_{};
+  std::optional<AnalysisReport> last_report_{};
+  std::deque<AnalysisReport> reports_to_log_{};
 };
 
 }  // namespace robinhoist
--- a/src/policy/request_scheduler.cpp
+++ b/src/policy/request_scheduler.cpp
@@ -270,7 +270,7 @@
        .concurrency = static_cast<int>(cluster_.health().in_flight(endpoint)) + 1});
   cluster_.attempt_sent(endpoint, now);
   if (canary_quota_.is_canary(build))
-    canary_quota_.sent(request.info.request_class, now);
+    canary_quota_.canary_attempt_sent(request.info.request_class, now);
   retry_budget_.attempt_sent(burdens_again);
   if (is_first)
     admission_.first_attempt_sent();
