--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -138,7 +138,7 @@
   }
   to.proxies = form.whole("umpires", 1, 100000);
   to.sized = form.truth("sized-nodes", false);
-  to.over_quota_weight = form.number("over-share-revenue", 0, 1, 1.0);
+  form.number("over-share-revenue", 0, 1, 1.0);  // checked, not used
   to.reports = form.enumerator<LoadReportSource>(
       "load-reports", {{"none", LoadReportSource::none}, {"answers", LoadReportSource::answers}},
       LoadReportSource::answers);
@@ -185,7 +185,6 @@
   to.collapse_multiple = d.fall_multiple;
   to.polls_list = false;  // the list's source watches by itself
   to.uses_sizes = d.sized;
-  to.probes = false;
   to.reports = d.reports;
   to.proxy_index = number;
   to.proxy_count = d.proxies;
@@ -222,14 +221,11 @@
   for (auto& tenant : d.tenants)
     to.tenants.push_back(tenant.tenant);
   to.max_attempts = d.max_attempts;
-  to.proxies = d.proxies;
   to.hedging = d.hedging;
   to.cancelling = true;
   to.retry_after = d.advice;
   to.retry_delay = d.max_pause;
-  to.slack = Duration{};
   to.tick = tick;
-  to.over_quota_weight = d.over_quota_weight;
   return to;
 }
 
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -46,7 +46,7 @@
   int max_attempts = 0;
   bool hedging = false, sized = false, advice = false;
   Duration max_pause{}, vote_timeout{};
-  double wrong_answer_report_share = 0, over_quota_weight = 0;
+  double wrong_answer_report_share = 0;
   LoadReportSource reports = LoadReportSource::none;
   rollout::Settings rollout{};
 
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -55,14 +55,14 @@
   }
   const Json& bounds = inner(params, "bounds");
   settings.max_attempts = whole(bounds, "max_attempts", 1);
-  settings.proxies = whole(params, "balancers", 1);
+  whole(params, "balancers", 1);  // checked in this order, used by the endpoint settings
   settings.hedging = truth(bounds, "second_copies");
   settings.cancelling = truth(bounds, "cancelling");
   settings.retry_after = truth(bounds, "retry_after");
   settings.retry_delay = span(not_negative(bounds, "max_retry_after_ms"));
-  settings.slack = span(not_negative(inner(params, "safety"), "answer_slack_ms"));
+  not_negative(inner(params, "safety"), "answer_slack_ms");  // checked, not used
   settings.tick = span(positive(params, "tick_ms"));
-  settings.over_quota_weight = not_negative(params, "over_share_worth");
+  not_negative(params, "over_share_worth");  // checked, not used
 }
 
 EndpointSettings endpoint_settings(const Json& params) {
@@ -73,7 +73,7 @@
   settings.proxy_count = whole(params, "balancers", 1);
   settings.warm_up_time = duration_of(safety, "cold_ms");
   settings.collapse_window = span(positive(safety, "fall_ms"));
-  settings.poll_within = span(not_negative(safety, "ask_within_ms"));
+  not_negative(safety, "ask_within_ms");  // checked, not used
   settings.initial_warm_up_factor = positive(safety, "cold_from");
   if (settings.initial_warm_up_factor > 1)
     throw BadInput("setting cold_from must not be above 1");
@@ -82,7 +82,7 @@
       enumerator<bool>(params, "registry_mode", {{"automatic", false}, {"subscribe", true}});
   settings.uses_sizes = enumerator<bool>(
       params, "weights", {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
-  settings.probes = truth(inner(params, "bounds"), "probes");
+  truth(inner(params, "bounds"), "probes");  // checked, not used
   settings.reports = enumerator<LoadReportSource>(inner(params, "load_report"), "source",
                                                   {{"piggyback", LoadReportSource::answers},
                                                    {"pull", LoadReportSource::probes},
--- a/src/policy/admission_controller.cpp
+++ b/src/policy/admission_controller.cpp
@@ -59,7 +59,7 @@
   if (outcome != Outcome::ok && !rejected && !telling_loss)
     return;
   // Where answers are few the rate rises by the clock: guards against a proxy that admits little,
-  // sees few answers for it and so stays shut.
+  // sees few answers for it and so never recovers.
   const double attempts_per_s = cluster_.attempts_per_s(now);
   const double step = 1 / std::max(min_attempts_per_s, attempts_per_s);
   const double rise = attempts_per_s < min_attempts_per_s
--- a/src/policy/decision.h
+++ b/src/policy/decision.h
@@ -11,7 +11,7 @@
 
 /// What the host is to do.
 enum class Action {
-  forward,    ///< send an attempt of `request_id` to `endpoint`
+  forward,    ///< send an attempt of `request_id` to `endpoint`, with a timeout of `duration`
   reject,     ///< tell the client that it may safely retry, after `duration` if that is not zero
   fail,       ///< tell the client that the request failed and may have run
   cancel,     ///< cancel attempt number `attempt` of `request_id`
@@ -29,14 +29,14 @@
   Action action;
   int request_id = -1;
   int endpoint = -1;
-  int attempt = -1;  ///< index of the attempt within its request, from 0
-  Duration
-      duration{};  ///< reject: the Retry-After advice, zero for none; wake: the time until then
+  int attempt = -1;     ///< index of the attempt within its request, from 0
+  Duration duration{};  ///< forward: the timeout, zero for none; reject: the Retry-After advice,
+                        ///< zero for none; wake: the time until then
   int build = -1;
   int stage = 0;
   Verdict verdict = Verdict::none;
-  std::string text{};                      // Action::log: the line
-  std::optional<AnalysisReport> report{};  // Action::log: the same in typed form
+  std::string text{};                      ///< log: the line
+  std::optional<AnalysisReport> report{};  ///< log: the same in typed form
 };
 
 }  // namespace robinhoist
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -24,14 +24,11 @@
   int zone;                       ///< the proxy's own zone
   Duration warm_up_time;          ///< from an endpoint's start until it is warm
   Duration collapse_window;       ///< rule 4 counts the requests of this time
-  Duration poll_within;           ///< read and checked, not used
-  Duration call_timeout;          ///< read and checked, not used
   double initial_warm_up_factor;  ///< of the warm capacity, at the start; in (0, 1]
   double collapse_multiple;       ///< rule 4: a cold endpoint falls over beyond this multiple of
                                   ///< what it is able to do
   bool polls_list;                ///< whether the list must be subscribed to
   bool uses_sizes;                ///< whether the endpoints' listed sizes count
-  bool probes;                    ///< whether health checks are offered; not used
   LoadReportSource reports;
   int proxy_index = 0;  ///< this proxy's number among all, from 0
   int proxy_count = 1;
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -63,14 +63,11 @@
   std::vector<RequestClass> request_classes;  ///< by number
   std::vector<Tenant> tenants;                ///< by number
   int max_attempts;                           ///< of one request, the first included
-  int proxies;                                ///< read and checked, not used
   bool hedging;                               ///< whether hedged requests are allowed
   bool cancelling;                            ///< whether attempts no longer needed are cancelled
   bool retry_after;                           ///< whether rejections carry Retry-After advice
   Duration retry_delay;                       ///< that advice
-  Duration slack;                             ///< read and checked, not used
   Duration tick;                              ///< the resolution of the deployment's clock
-  double over_quota_weight;                   ///< read and checked, not used
 };
 
 /// A request as it arrived.
--- a/src/policy/request_scheduler.cpp
+++ b/src/policy/request_scheduler.cpp
@@ -225,8 +225,8 @@
     return endpoint >= 0 ? endpoint : pick_endpoint_in(BuildGroup::older, request, now);
   }
   const int endpoint = pick_endpoint_in(BuildGroup::older, request, now);
-  // What the older build has no capacity for is not heaped on a canary: its endpoints would look
-  // slow.
+  // What the older build has no capacity for must not go to a canary: its overloaded endpoints
+  // would read as a slow build.
   if (endpoint >= 0 || canary_quota_.is_canary(cluster_.endpoints().newest_build()))
     return endpoint;
   return pick_endpoint_in(BuildGroup::newest, request, now);
--- a/tests/scenario_runner.cpp
+++ b/tests/scenario_runner.cpp
@@ -95,8 +95,6 @@
 ScenarioRunner::ScenarioRunner() : now_(milliseconds(100000)) {
   endpoint_settings_.warm_up_time = milliseconds(4000);
   endpoint_settings_.collapse_window = milliseconds(1500);
-  endpoint_settings_.poll_within = milliseconds(10000);
-  endpoint_settings_.call_timeout = milliseconds(1000);
   endpoint_settings_.initial_warm_up_factor = 0.3;
   endpoint_settings_.collapse_multiple = 2;
 
@@ -117,14 +115,11 @@
   analysis_settings_.votes_to_roll_back = 1;
 
   request_settings_.max_attempts = 5;
-  request_settings_.proxies = 1;
   request_settings_.hedging = true;
   request_settings_.cancelling = true;
   request_settings_.retry_after = true;
   request_settings_.retry_delay = milliseconds(2000);
-  request_settings_.slack = milliseconds(20);
   request_settings_.tick = milliseconds(tick_ms);
-  request_settings_.over_quota_weight = 0.1;
 }
 
 void ScenarioRunner::execute(const Words& words) {
@@ -192,8 +187,7 @@
   else if (key == "no_copies")
     request_settings_.hedging = false;
   else if (key == "umpires")
-    analysis_settings_.proxies = request_settings_.proxies = endpoint_settings_.proxy_count =
-        static_cast<int>(value);
+    analysis_settings_.proxies = endpoint_settings_.proxy_count = static_cast<int>(value);
   else if (key == "to_revert")
     analysis_settings_.votes_to_roll_back = static_cast<int>(value);
   else if (key == "step")
