--- a/bench/steps_bench.cpp
+++ b/bench/steps_bench.cpp
@@ -5,9 +5,9 @@
 #include <filesystem>
 #include <thread>
 
-#include "settings/form.h"
+#include "migration/runner.h"
+#include "settings/sexp_reader.h"
 #include "standin/database.h"
-#include "steps/runner.h"
 
 namespace {
 
@@ -44,7 +44,7 @@
   journal::Journal journal(fresh("write"));
   int n = 0;
   for (auto _ : state)
-    journal.write(entry(n++));
+    journal.append(entry(n++));
   state.SetItemsProcessed(state.iterations());
 }
 BENCHMARK(durable_write)->UseRealTime();
@@ -55,14 +55,14 @@
   const std::string file = fresh("recover");
   {
     journal::Journal journal(file);
-    journal.batch(true);
+    journal.begin_batch();
     for (int n = 0; n < state.range(0); ++n) {
       journal::Entry one = entry(n);
       if (n + 10 < state.range(0))
         one.build = 1;
-      journal.write(one);
+      journal.append(one);
     }
-    journal.batch(false);
+    journal.end_batch();
   }
   for (auto _ : state) {
     journal::Journal journal(file);
@@ -75,7 +75,7 @@
   const long rows = state.range(0);
   for (auto _ : state) {
     net::Loop loop(net::steady_now());
-    log::Log log("bench", "off");
+    log::Logger log("bench", "off");
     standin::Database database(loop, http::ServerSettings{}, "", nullptr);
     database.execute(
         "CREATE TABLE t (id INTEGER PRIMARY KEY, n INTEGER); WITH RECURSIVE c(i) AS (SELECT 1 "
@@ -83,15 +83,15 @@
         "SELECT i + 1 FROM c WHERE i < " +
         std::to_string(rows) + ") INSERT INTO t SELECT i, 0 FROM c");
     journal::Journal journal(fresh("fill"));
-    steps::Target target(loop, "127.0.0.1:" + std::to_string(database.port()));
-    steps::RunnerSettings settings;
-    settings.who = "bench";
-    settings.lease = std::chrono::seconds(10);
+    migration::Target target(loop, "127.0.0.1:" + std::to_string(database.port()));
+    migration::RunnerSettings settings;
+    settings.holder = "bench";
+    settings.lease_length = std::chrono::seconds(10);
     settings.stages = 3;
-    steps::Runner runner(loop, settings, journal, target, log);
-    runner.take_plan(plan_text, "plan", "bench");
-    runner.release(2, {.stage = -1, .offered = true});
-    runner.changed = [&] {
+    migration::Runner runner(loop, settings, journal, target, log);
+    runner.accept_plan(plan_text, "plan", "bench");
+    runner.set_release(2, {.stage = -1, .offered = true});
+    runner.on_changed = [&] {
       if (runner.allows(2, 0))
         loop.stop();
     };
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -13,7 +13,7 @@
 #include "controller/process.h"
 #include "day/play.h"
 #include "emulator/run.h"
-#include "json/fields.h"
+#include "json/reader.h"
 #include "platform/process.h"
 #include "proxy/process.h"
 #include "standin/agent.h"
@@ -21,12 +21,12 @@
 
 namespace {
 
-using robinhoist::settings::Form;
+using robinhoist::settings::SexpReader;
 
 // Which settings a file holds follows from its forms.
 int check(const std::string& file) {
   namespace rh = robinhoist;
-  Form root = Form::of_file(file);
+  SexpReader root = SexpReader::from_file(file);
   const char* kind = "";
   if (root.has("umpire"))
     kind = "umpire", rh::proxy::read(root);
@@ -51,10 +51,10 @@
 // Prints the verdict; 0 only when all five rules hold.
 int audit(const std::string& folder) {
   try {
-    robinhoist::audit::Report report = robinhoist::audit::check(folder);
-    std::cout << robinhoist::audit::shown(report);
+    robinhoist::audit::Report report = robinhoist::audit::audit(folder);
+    std::cout << robinhoist::audit::to_text(report);
     return report.kept() ? 0 : 1;
-  } catch (const robinhoist::json::BadInput& bad) {
+  } catch (const robinhoist::json::DecodeError& bad) {
     std::cerr << bad.what() << "\n";
     return 2;
   }
@@ -63,7 +63,7 @@
 // The same in simulated time.
 int emulate(const std::string& file, long seed, std::string folder, bool no_record) {
   namespace rh = robinhoist;
-  const rh::day::Day day = rh::day::read(Form::of_file(file));
+  const rh::day::Day day = rh::day::read(SexpReader::from_file(file));
   if (folder.empty())
     folder = "found/emulated-" + std::to_string(seed);
   if (no_record)
@@ -101,7 +101,7 @@
 
 int play(const std::string& file, long seed, std::string folder) {
   namespace rh = robinhoist;
-  const rh::day::Day day = rh::day::read(Form::of_file(file));
+  const rh::day::Day day = rh::day::read(SexpReader::from_file(file));
   if (folder.empty())
     folder = "found/day-" + std::to_string(seed);
   std::cout << file << ", seed " << seed << ": " << day.deployment.proxies << " umpires, "
@@ -198,7 +198,7 @@
       return play(config, seed, out);
     if (*emulates)
       return emulate(config, seed, out, no_record);
-    Form root = Form::of_file(config);
+    SexpReader root = SexpReader::from_file(config);
     if (*proxy)
       return rh::proxy::run(rh::proxy::read(root));
     if (*controller)
@@ -207,10 +207,10 @@
       return rh::controller::run_list(rh::controller::read_list(root));
     if (*standin)
       return rh::standin::run(rh::standin::read(root));
-  } catch (const rh::json::BadInput& bad) {
+  } catch (const rh::json::DecodeError& bad) {
     std::cerr << bad.what() << "\n";
     return 2;
-  } catch (const rh::settings::Invalid& invalid) {
+  } catch (const rh::settings::ValidationError& invalid) {
     std::cerr << invalid.what() << "\n";
     return 2;
   } catch (const std::exception& failed) {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -3,9 +3,10 @@
 #include <algorithm>
 
 #include "controller/problem.h"
-#include "json/fields.h"
+#include "json/reader.h"
+#include "json/writer.h"
 #include "rollout/names.h"
-#include "settings/form.h"
+#include "settings/sexp_reader.h"
 
 namespace robinhoist::controller {
 namespace {
@@ -17,7 +18,7 @@
 }
 }  // namespace
 
-Controller::Controller(net::Loop& loop, const Settings& settings, const log::Log& log,
+Controller::Controller(net::Loop& loop, const Settings& settings, const log::Logger& log,
                        Orders orders, Told told, Voted voted)
     : loop_(loop),
       settings_(settings),
@@ -40,7 +41,7 @@
   settings_.rollout.gated = !settings.steps_target.empty();
   if (!settings.journal.empty()) {
     journal_ = std::make_unique<journal::Journal>(settings.journal);
-    if (auto text = journal_->get("rollout")) {
+    if (auto text = journal_->state("rollout")) {
       core_ =
           std::make_unique<rollout::Rollout>(settings_.rollout, settings.places, settings.proxies,
                                              rollout::decoded_kept(*text), loop.now());
@@ -56,13 +57,13 @@
   watches_ = std::make_unique<Watches>(loop, told_objects_, series_, settings.watches, told_);
   offer_pending();
   if (!settings.steps_target.empty()) {
-    target_ = std::make_unique<steps::Target>(loop, settings.steps_target);
-    steps::RunnerSettings runner;
-    runner.who = settings.who;
-    runner.lease = settings.lease;
+    target_ = std::make_unique<migration::Target>(loop, settings.steps_target);
+    migration::RunnerSettings runner;
+    runner.holder = settings.who;
+    runner.lease_length = settings.lease;
     runner.stages = static_cast<int>(settings.rollout.stages.size());
-    runner_ = std::make_unique<steps::Runner>(loop, runner, *journal_, *target_, log);
-    runner_->changed = [this] {
+    runner_ = std::make_unique<migration::Runner>(loop, runner, *journal_, *target_, log);
+    runner_->on_changed = [this] {
       if (tell_steps())
         timers_.in(Duration(0), [this] { pull(); });
       keep_soon();  // objects show steps
@@ -94,16 +95,16 @@
   const ReleaseUpdate news = core_->news(now);
   const int stages = static_cast<int>(settings_.rollout.stages.size());
   for (auto& [build, fate] : core_->fates()) {
-    steps::Release old{.stage = stages - 1, .offered = true};
-    old.withdrawn = old.going_back = fate != ReleasePhase::released;
-    old.final = fate == ReleasePhase::released;
-    runner_->release(build, old);
+    migration::ReleaseState old{.stage = stages - 1, .offered = true};
+    old.rolled_back = old.rolling_back = fate != ReleasePhase::released;
+    old.finalized = fate == ReleasePhase::released;
+    runner_->set_release(build, old);
   }
-  steps::Release present{.stage = core_->running_stage(), .offered = true};
-  present.going_back = news.phase == ReleasePhase::rolling_back;
-  present.withdrawn = news.phase == ReleasePhase::rolled_back;
-  present.final = news.phase == ReleasePhase::released && !core_->can_go_back(now);
-  runner_->release(news.build, present);
+  migration::ReleaseState present{.stage = core_->running_stage(), .offered = true};
+  present.rolling_back = news.phase == ReleasePhase::rolling_back;
+  present.rolled_back = news.phase == ReleasePhase::rolled_back;
+  present.finalized = news.phase == ReleasePhase::released && !core_->can_go_back(now);
+  runner_->set_release(news.build, present);
   bool moved = false;
   for (int stage = 0; stage < stages; ++stage) {
     const bool open = runner_->allows(news.build, stage);
@@ -130,10 +131,10 @@
       decided.push_back(*order);
   } while (tell_steps());
   if (runner_)
-    runner_->pull();
+    runner_->run_due_actions();
   try {
     keep(false);
-  } catch (const journal::Failed& bad) {
+  } catch (const journal::JournalError& bad) {
     log_.error("nothing is told or ordered: the journal takes nothing", {{"why", bad.what()}});
     untold_.insert(untold_.end(), decided.begin(), decided.end());
     look_ = loop_.in(500ms, [this] { pull(); });
@@ -173,17 +174,17 @@
 }
 
 void Controller::orders(const Asked& asked) {
-  json::Out out;
-  out.open().open_list("orders");
+  json::Writer out;
+  out.begin_object().begin_array("orders");
   for (const rollout::Order& order : untaken_)
-    out.open()
+    out.begin_object()
         .put("is", to_string(order.kind))
         .put("machine", order.machine)
         .put("place", order.place)
         .put("build", order.build)
-        .close();
+        .end_object();
   untaken_.clear();
-  asked.exchange->answer(http::json_response(200, out.close_list().close().text()));
+  asked.exchange->answer(http::json_response(200, out.end_array().end_object().text()));
 }
 
 void Controller::with_steps(const Asked& asked, const std::function<void()>& does) {
@@ -191,11 +192,11 @@
     return asked.exchange->answer(http::text_response(404, "this controller runs no steps\n"));
   try {
     does();
-  } catch (const json::BadInput& bad) {
+  } catch (const json::DecodeError& bad) {
     asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
-  } catch (const settings::Invalid& bad) {
+  } catch (const settings::ValidationError& bad) {
     asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
-  } catch (const journal::Failed& bad) {
+  } catch (const journal::JournalError& bad) {
     asked.exchange->answer(http::text_response(503, std::string(bad.what()) + "\n"));
   }
 }
@@ -205,16 +206,16 @@
     const http::Request& request = asked.exchange->request;
     const std::string who(request.headers.get("X-Who"));
     const int build =
-        runner_->take_plan(request.body, "plan", who.empty() ? asked.caller.name : who);
+        runner_->accept_plan(request.body, "plan", who.empty() ? asked.caller.name : who);
     tell_steps();
     pull();
-    asked.exchange->answer(
-        http::json_response(200, json::Out().open().put("build", build).close().text()));
+    asked.exchange->answer(http::json_response(
+        200, json::Writer().begin_object().put("build", build).end_object().text()));
   });
 }
 
 void Controller::steps_status(const Asked& asked) {
-  with_steps(asked, [&] { asked.exchange->answer(http::json_response(200, runner_->status())); });
+  with_steps(asked, [&] { asked.exchange->answer(http::json_response(200, runner_->status_json())); });
 }
 
 void Controller::steps_verify(const Asked& asked) {
@@ -227,36 +228,36 @@
 
 void Controller::steps_say(const Asked& asked) {
   with_steps(asked, [&] {
-    auto document = json::object_of(asked.exchange->request.body);
+    auto document = json::parse_object(asked.exchange->request.body);
     const std::string who = json::text_or(document, "who", asked.caller.name),
                       why = json::text_or(document, "why", "");
     const std::string what(
         asked.exchange->request.path().substr(std::string_view("/v1/steps/").size()));
     std::string refused;
     if (what == "pause" || what == "resume") {
-      refused = runner_->pause(what == "pause", who, why);
+      runner_->set_paused(what == "pause", who, why);
     } else {
-      const int build = json::whole(document, "build");
+      const int build = json::integer(document, "build");
       const std::string step = json::text(document, "step");
       refused = what == "retry" ? runner_->retry(build, step, who, why)
                                 : runner_->skip(build, step, who, why);
     }
     pull();
-    asked.exchange->answer(refused.empty() ? http::json_response(200, runner_->status())
+    asked.exchange->answer(refused.empty() ? http::json_response(200, runner_->status_json())
                                            : http::text_response(409, refused + "\n"));
   });
 }
 
 void Controller::machine(const Asked& asked) {
   try {
-    auto document = json::object_of(asked.exchange->request.body);
-    const int machine = json::whole(document, "machine");
+    auto document = json::parse_object(asked.exchange->request.body);
+    const int machine = json::integer(document, "machine");
     const bool up = json::enumerator<bool>(document, "state", {{"up", true}, {"gone", false}});
     if (up)
       core_->machine_up(machine, loop_.now());
     else
       core_->machine_gone(machine, loop_.now());
-  } catch (const json::BadInput& bad) {
+  } catch (const json::DecodeError& bad) {
     return asked.exchange->answer(http::text_response(422, std::string(bad.what()) + "\n"));
   }
   pull();
@@ -324,7 +325,7 @@
     response.headers.add("WWW-Authenticate", "Bearer");
     return exchange->answer(response);
   }
-  if (auto wait = requests_.take(caller->name, loop_.now())) {
+  if (auto wait = requests_.try_acquire(caller->name, loop_.now())) {
     http::Response response = problem(429, "too many requests", "of " + caller->name);
     response.headers.add("Retry-After", std::to_string(wait->count() / 1000000 + 1));
     return exchange->answer(response);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -10,12 +10,12 @@
 #include "controller/watches.h"
 #include "http/server.h"
 #include "journal/journal.h"
-#include "limits/bucket.h"
-#include "log/log.h"
+#include "limits/token_bucket.h"
+#include "log/logger.h"
 #include "membership/members.h"
+#include "migration/runner.h"
 #include "releases/catalog.h"
 #include "rollout/rollout.h"
-#include "steps/runner.h"
 #include "time/time_types.h"
 
 namespace robinhoist::controller {
@@ -51,12 +51,12 @@
       std::function<void(const std::string& proxy, int build, int stage, Verdict, Outcome)>;
 
   // Orders go to `orders`; where there is none they wait to be fetched.
-  Controller(net::Loop& loop, const Settings& settings, const log::Log& log, Orders orders = {},
+  Controller(net::Loop& loop, const Settings& settings, const log::Logger& log, Orders orders = {},
              Told told = {}, Voted voted = {});
   ~Controller();
 
   rollout::Rollout& core() { return *core_; }
-  steps::Runner* runner() { return runner_.get(); }
+  migration::Runner* runner() { return runner_.get(); }
   // Creates the release of a build and offers it; false when that is refused.
   bool offer(int build, const std::string& who);
   // To be called after anything told to the core from outside.
@@ -127,7 +127,7 @@
 
   net::Loop& loop_;
   Settings settings_;
-  const log::Log& log_;
+  const log::Logger& log_;
   std::unique_ptr<rollout::Rollout> core_;
   Orders orders_;
   Told told_;
@@ -143,19 +143,18 @@
   std::minstd_rand random_{1};
   net::Loop::Timer look_ = net::Loop::no_timer;
   std::unique_ptr<journal::Journal> journal_{};
-  std::unique_ptr<steps::Target> target_{};
-  std::unique_ptr<steps::Runner> runner_{};
+  std::unique_ptr<migration::Target> target_{};
+  std::unique_ptr<migration::Runner> runner_{};
   std::map<std::pair<int, int>, bool> gates_{};  // by build and stage, as last told to the core
   std::string kept_{};
-  std::optional<std::pair<std::string, std::string>>
-      pending_state_{};  // to be written with the objects
+  std::optional<journal::StateValue> pending_state_{};  // to be written with the objects
   releases::Catalog catalog_;
   objects::Store
       told_objects_;  // as lists and watches have it: the catalog's store, later by the lag
   std::string series_{};
   membership::Members members_;
   Tokens tokens_;
-  limits::Buckets requests_;
+  limits::TokenBucketLimiter requests_;
   std::unique_ptr<Watches> watches_{};
   net::Loop::Timer soon_ = net::Loop::no_timer, members_look_ = net::Loop::no_timer;
   net::Timers timers_;
--- a/src/lab/hunt.cpp
+++ b/src/lab/hunt.cpp
@@ -113,9 +113,9 @@
   const emulator::Summary summary = emulator::run(day, seed, folder);
   found.priority_weight =
       summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 100;
-  audit::Report report = audit::check(folder);
+  audit::Report report = audit::audit(folder);
   if (!report.kept()) {
-    std::istringstream lines(audit::shown(report));
+    std::istringstream lines(audit::to_text(report));
     for (std::string line; std::getline(lines, line);)
       if (line.find("broken") != std::string::npos)
         found.broken += (found.broken.empty() ? "" : "; ") + line;
@@ -236,8 +236,8 @@
 
 std::string day_text(const std::string& base, const std::vector<Trouble>& troubles,
                      const std::string& comment) {
-  settings::Form form = settings::Form::of_text(base, "base");
-  std::string text = "; " + comment + "\n" + form.written_without("day", "trouble");
+  settings::SexpReader form = settings::SexpReader::from_text(base, "base");
+  std::string text = "; " + comment + "\n" + form.to_text_without("day", "trouble");
   // The (day ...) form is the last that is written: its end is the text's last parenthesis.
   const std::size_t end = text.rfind(')');
   std::string added;
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -8,8 +8,8 @@
 
 namespace robinhoist::simulator_adapter {
 
-using json::BadInput;
-using json::Json;
+using json::DecodeError;
+using json::Value;
 namespace field = wire::field;
 namespace message = wire::message;
 
@@ -17,32 +17,32 @@
   rapidjson::Document document;
   document.Parse(line.data(), line.size());
   if (document.HasParseError() || !document.IsObject() || document.MemberCount() != 1)
-    throw BadInput("not a message: one JSON object with one key was expected");
+    throw DecodeError("not a message: one JSON object with one key was expected");
   const auto& member = *document.MemberBegin();
   const std::string name(member.name.GetString(), member.name.GetStringLength());
   if (!member.value.IsObject())
-    throw BadInput(name + ": its fields are not an object");
+    throw DecodeError(name + ": its fields are not an object");
   try {
     if (name == message::batch_begins) {
       begin_batch(member.value);
       return std::nullopt;
     }
     if (!batch_open_)
-      throw BadInput("no batch is open");
+      throw DecodeError("no batch is open");
     if (name != message::batch_ends) {
       handle(name, member.value);
       return std::nullopt;
     }
-  } catch (const BadInput& bad) {
-    throw BadInput(name + ": " + bad.what());
+  } catch (const DecodeError& bad) {
+    throw DecodeError(name + ": " + bad.what());
   }
   return end_batch();
 }
 
-void Adapter::begin_batch(const Json& fields) {
+void Adapter::begin_batch(const Value& fields) {
   if (batch_open_)
-    throw BadInput("a batch is still open");
-  now_ = TimePoint(json::duration_of(fields, field::time_ms));
+    throw DecodeError("a batch is still open");
+  now_ = TimePoint(json::duration(fields, field::time_ms));
   batch_open_ = true;
 }
 
@@ -60,7 +60,7 @@
   return reply + encode_end_of_reply();
 }
 
-void Adapter::handle(const std::string& name, const Json& fields) {
+void Adapter::handle(const std::string& name, const Value& fields) {
   if (name == message::endpoint_bank) {
     EndpointBank bank = decode_endpoint_bank(fields);
     banks_.at(bank.number) = std::move(bank);
@@ -78,7 +78,7 @@
   }
 }
 
-void Adapter::handle_event(const std::string& name, Instance& instance, const Json& fields) {
+void Adapter::handle_event(const std::string& name, Instance& instance, const Value& fields) {
   static const std::map<std::string, EventHandler> handlers = {
       {message::endpoints_updated, &Adapter::endpoints_updated},
       {message::request_arrived, &Adapter::request_arrived},
@@ -93,11 +93,11 @@
       {message::wrong_answer, &Adapter::wrong_answer}};
   const auto handler = handlers.find(name);
   if (handler == handlers.end())
-    throw BadInput("unknown message");
+    throw DecodeError("unknown message");
   (this->*handler->second)(instance, fields);
 }
 
-void Adapter::start_instance(const std::string& name, const Json& fields) {
+void Adapter::start_instance(const std::string& name, const Value& fields) {
   instances_[name] = {std::make_unique<Instance>(decode_instance_started(fields)), false};
   mark_for_reply(name);
 }
@@ -110,8 +110,8 @@
 Instance& Adapter::find_instance(const std::string& name) {
   const auto found = instances_.find(name);
   if (found == instances_.end())
-    throw BadInput(std::string("field ") + field::instance + " names an instance without a " +
-                   message::instance_started);
+    throw DecodeError(std::string("field ") + field::instance + " names an instance without a " +
+                      message::instance_started);
   return *found->second.instance;
 }
 
@@ -123,53 +123,53 @@
   reply_order_.push_back(name);
 }
 
-void Adapter::endpoints_updated(Instance& instance, const Json& fields) {
+void Adapter::endpoints_updated(Instance& instance, const Value& fields) {
   const EndpointsUpdated update = decode_endpoints_updated(fields);
   instance.endpoints_updated(update.kind, banks_.at(update.bank), now_);
 }
 
-void Adapter::request_arrived(Instance& instance, const Json& fields) {
+void Adapter::request_arrived(Instance& instance, const Value& fields) {
   instance.request_arrived(decode_request_arrived(fields, instance.limits()), now_);
 }
 
-void Adapter::stream_began(Instance& instance, const Json& fields) {
+void Adapter::stream_began(Instance& instance, const Value& fields) {
   instance.stream_began(json::text(fields, field::request));
 }
 
-void Adapter::attempt_ended(Instance& instance, const Json& fields) {
+void Adapter::attempt_ended(Instance& instance, const Value& fields) {
   instance.attempt_ended(decode_attempt_ended(fields), now_);
 }
 
-void Adapter::client_disconnected(Instance& instance, const Json& fields) {
+void Adapter::client_disconnected(Instance& instance, const Value& fields) {
   instance.client_disconnected(json::text(fields, field::request));
 }
 
 // The time alone makes the engine look at its timers.
-void Adapter::timer_expired(Instance& /*instance*/, const Json& fields) {
+void Adapter::timer_expired(Instance& /*instance*/, const Value& fields) {
   json::number(fields, field::timer);
 }
 
-void Adapter::probe_ended(Instance& instance, const Json& fields) {
+void Adapter::probe_ended(Instance& instance, const Value& fields) {
   decode_outcome(fields);
   const int endpoint = instance.endpoint_index(json::text(fields, field::endpoint));
   instance.probe_ended(endpoint, decode_load_report(fields), now_);
 }
 
 // Not used; read for its form only.
-void Adapter::gossip(Instance& /*instance*/, const Json& fields) {
+void Adapter::gossip(Instance& /*instance*/, const Value& fields) {
   json::text(fields, field::raw);
 }
 
-void Adapter::release_updated(Instance& instance, const Json& fields) {
+void Adapter::release_updated(Instance& instance, const Value& fields) {
   instance.release_updated(decode_release(fields), now_);
 }
 
-void Adapter::metrics(Instance& instance, const Json& fields) {
+void Adapter::metrics(Instance& instance, const Value& fields) {
   check_metrics(fields, instance.limits().request_classes);
 }
 
-void Adapter::wrong_answer(Instance& instance, const Json& fields) {
-  json::duration_of(fields, field::since_ms);
+void Adapter::wrong_answer(Instance& instance, const Value& fields) {
+  json::duration(fields, field::since_ms);
   instance.answer_found_wrong(instance.endpoint_index(json::text(fields, field::endpoint)));
 }
 
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -26,7 +26,7 @@
     try {
       if (const auto reply = adapter.read(line))
         std::cout << *reply << std::flush;
-    } catch (const robinhoist::json::BadInput& bad) {
+    } catch (const robinhoist::json::DecodeError& bad) {
       std::cerr << "line " << number << ": " << bad.what() << std::endl;
       return exit_bad_input;
     }
