--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -3,129 +3,152 @@
 #include <Poco/Net/SocketAddress.h>
 
 #include <charconv>
+#include <cmath>
+#include <cstdint>
 #include <fstream>
 #include <sstream>
+#include <utility>
+
+#include "platform/wire_names.h"
 
 namespace robinhoist::platform {
 namespace {
 
-using namespace json;
+using json::DecodeError;
+using json::Value;
 
-std::string address(const Value& object, const char* field) {
-  const std::string given = text(object, field);
+constexpr int max_build = 65535;
+constexpr int min_sockets = 64;
+constexpr double max_version = 9e15;  // beyond, a double no longer holds every whole number
+
+bool is_address(const std::string& text) {
+  const std::size_t colon = text.rfind(':');
+  if (colon == std::string::npos || colon == 0)
+    return false;
   try {
-    if (given.rfind(':') != std::string::npos && given.rfind(':') > 0) {
-      Poco::Net::SocketAddress checked(given);
-      return given;
-    }
+    const Poco::Net::SocketAddress checked(text);
+    return true;
   } catch (const Poco::Exception&) {
-    // Told below, like one without a port.
+    return false;
   }
-  throw DecodeError(std::string("field ") + field + " holds '" + given +
-                    "', which is not a host:port");
 }
 
-unsigned salt_of(const Value& object) {
-  const std::string digits = text(object, "seed");
+std::string address(const Value& object, const char* field) {
+  std::string text = json::text(object, field);
+  if (!is_address(text))
+    throw DecodeError(std::string("field ") + field + " holds '" + text +
+                      "', which is not a host:port");
+  return text;
+}
+
+unsigned decode_salt(const Value& object) {
+  const std::string digits = json::text(object, "seed");
+  const char* digits_end = digits.data() + digits.size();
   std::uint64_t seed = 0;
-  auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), seed, 16);
-  if (digits.empty() || error != std::errc{} || end != digits.data() + digits.size())
+  const auto [end, error] = std::from_chars(digits.data(), digits_end, seed, 16);
+  if (digits.empty() || error != std::errc{} || end != digits_end)
     throw DecodeError("field seed holds '" + digits +
                       "', which is not a hexadecimal number of 64 bits");
   return static_cast<unsigned>(seed ^ (seed >> 32));
 }
 
-template <class F>
-auto within(const char* field, F read) {
+// Decodes an inner object; errors name it.
+template <class Decode>
+auto decode_inner(const Value& object, const char* field, Decode decode) {
   try {
-    return read();
-  } catch (const DecodeError& bad) {
-    throw DecodeError(std::string(field) + ": " + bad.what());
+    return decode(json::nested_object(object, field));
+  } catch (const DecodeError& error) {
+    throw DecodeError(std::string(field) + ": " + error.what());
   }
 }
 
+Limits decode_limits(const Value& object) {
+  Limits limits;
+  limits.cores = json::number(object, "cores");
+  limits.memory_mb = json::number(object, "memory_mb");
+  limits.sockets = json::integer(object, "sockets", min_sockets);
+  if (!(limits.cores > 0))
+    json::throw_wrong_type("cores", "a number above 0");
+  if (!(limits.memory_mb > 0))
+    json::throw_wrong_type("memory_mb", "a number above 0");
+  return limits;
+}
+
+std::int64_t decode_version(const Value& object) {
+  const double version = json::number(object, wire_names::list_version);
+  if (!(version >= 0) || version > max_version || version != std::floor(version))
+    json::throw_wrong_type(wire_names::list_version, "a whole number from 0");
+  return static_cast<std::int64_t>(version);
+}
+
+registry::Endpoint decode_endpoint(const Value& object) {
+  registry::Endpoint endpoint;
+  endpoint.name = json::text(object, wire_names::endpoint_name);
+  endpoint.address = json::text(object, wire_names::endpoint_address);
+  endpoint.zone = json::text_or(object, wire_names::endpoint_zone, "");
+  endpoint.cell = static_cast<int>(json::number_or(object, wire_names::endpoint_cell, 0));
+  endpoint.build = json::integer(object, wire_names::endpoint_build, 0, max_build);
+  endpoint.phase = json::enumerator<EndpointPhase>(object, wire_names::endpoint_phase,
+                                                   wire_names::endpoint_phases);
+  endpoint.size = json::number_or(object, wire_names::endpoint_size, 1);
+  const double started_ms = json::number_or(object, wire_names::endpoint_started_ms, 0);
+  endpoint.started = WallTime(json::duration_from_ms(started_ms));
+  return endpoint;
+}
+
 }  // namespace
 
-registry::Update endpoints_of(const Value& object) {
-  registry::Update news;
-  const double revision = number(object, "revision");
-  if (!(revision >= 0) || revision > 9e15 || revision != std::floor(revision))
-    throw_wrong_type("revision", "a whole number from 0");
-  news.version = static_cast<std::int64_t>(revision);
-  news.whole = boolean(object, "complete");
-  for (const Value& member : array(object, "members").GetArray()) {
-    if (!member.IsObject())
-      throw_wrong_type("members", "an array of objects");
-    registry::Endpoint entry;
-    entry.name = text(member, "id");
-    entry.address = text(member, "host_port");
-    entry.zone = text_or(member, "locality", "");
-    entry.cell = static_cast<int>(number_or(member, "cell", 0));
-    entry.build = integer(member, "build", 0, 65535);
-    entry.phase = enumerator<EndpointPhase>(member, "phase",
-                                            {{"ready", EndpointPhase::ready},
-                                             {"draining", EndpointPhase::draining},
-                                             {"gone", EndpointPhase::removed}});
-    entry.size = number_or(member, "size", 1);
-    entry.started = WallTime(duration_from_ms(number_or(member, "up_since_ms", 0)));
-    news.entries.push_back(std::move(entry));
+registry::Update decode_endpoints(const Value& object) {
+  registry::Update update;
+  update.version = decode_version(object);
+  update.complete = json::boolean(object, wire_names::list_complete);
+  for (const Value& entry : json::array(object, wire_names::list_entries).GetArray()) {
+    if (!entry.IsObject())
+      json::throw_wrong_type(wire_names::list_entries, "an array of objects");
+    update.entries.push_back(decode_endpoint(entry));
   }
-  return news;
+  return update;
 }
 
-ReleaseUpdate release_update_of(const Value& object) {
+ReleaseUpdate decode_release(const Value& object) {
   ReleaseUpdate release{};
-  release.build = integer(object, "Revision", 0, 65535);
-  release.stage = integer(object, "Wave");
-  release.phase = enumerator<ReleasePhase>(object, "State",
-                                           {{"IN_PROGRESS", ReleasePhase::canary},
-                                            {"ROLLING_BACK", ReleasePhase::rolling_back},
-                                            {"COMPLETE", ReleasePhase::released},
-                                            {"ROLLED_BACK", ReleasePhase::rolled_back}});
-  release.cap = number(object, "MaxShare");
+  release.build = json::integer(object, wire_names::release_build, 0, max_build);
+  release.stage = json::integer(object, wire_names::release_stage);
+  release.phase =
+      json::enumerator<ReleasePhase>(object, wire_names::release_phase, wire_names::release_phases);
+  release.cap = json::number(object, wire_names::release_cap);
   if (!(release.cap >= 0))
-    throw_wrong_type("MaxShare", "a number from 0");
-  release.since = duration(object, "AgeMs");
+    json::throw_wrong_type(wire_names::release_cap, "a number from 0");
+  release.since = json::duration(object, wire_names::age_ms);
   return release;
 }
 
-Config decoded(std::string_view text_of_file) {
-  const rapidjson::Document object = parse_object(text_of_file);
-  Config to;
-  to.name = text(object, "name");
-  to.listen = address(object, "listen");
-  to.discovery = address(object, "discovery");
-  to.salt = salt_of(object);
-  within("limits", [&] {
-    const Value& limits = nested_object(object, "limits");
-    to.limits.cores = number(limits, "cores");
-    to.limits.memory_mb = number(limits, "memory_mb");
-    to.limits.sockets = integer(limits, "sockets", 64);
-    if (!(to.limits.cores > 0))
-      throw_wrong_type("cores", "a number above 0");
-    if (!(to.limits.memory_mb > 0))
-      throw_wrong_type("memory_mb", "a number above 0");
-  });
-  within("release_api", [&] {
-    const Value& api = nested_object(object, "release_api");
-    to.release_api = address(api, "address");
-    to.news = release_update_of(nested_object(api, "news"));
+Config decode_config(std::string_view text) {
+  const rapidjson::Document object = json::parse_object(text);
+  Config config;
+  config.name = json::text(object, "name");
+  config.listen = address(object, "listen");
+  config.discovery = address(object, "discovery");
+  config.salt = decode_salt(object);
+  config.limits = decode_inner(object, "limits", decode_limits);
+  decode_inner(object, "release_api", [&config](const Value& api) {
+    config.release_api = address(api, "address");
+    config.known_release = decode_release(json::nested_object(api, "news"));
   });
-  within("known", [&] { to.known = endpoints_of(nested_object(object, "known")); });
-  within("settings",
-         [&] { to.module_settings = module_settings::decode(nested_object(object, "settings")); });
-  return to;
+  config.known_endpoints = decode_inner(object, "known", decode_endpoints);
+  config.module_settings = decode_inner(object, "settings", module_settings::decode);
+  return config;
 }
 
-Config of_file(const std::string& file) {
-  std::ifstream in(file, std::ios::binary);
+Config read_config(const std::string& file) {
+  std::ifstream input(file, std::ios::binary);
   std::ostringstream content;
-  if (!in || !(content << in.rdbuf()))
+  if (!input || !(content << input.rdbuf()))
     throw DecodeError(file + ": can't be read, or is empty");
   try {
-    return decoded(content.str());
-  } catch (const DecodeError& bad) {
-    throw DecodeError(file + ": " + bad.what());
+    return decode_config(content.str());
+  } catch (const DecodeError& error) {
+    throw DecodeError(file + ": " + error.what());
   }
 }
 
--- a/src/simulator_adapter/instance.h
+++ b/src/simulator_adapter/instance.h
@@ -31,7 +31,7 @@
   /// `endpoint` as endpoint_index() returned it.
   void probe_ended(int endpoint, const LoadReport& load, TimePoint now);
   void answer_found_wrong(int endpoint);
-  /// Index of a listed endpoint; throws json::BadInput for one that was never listed.
+  /// Index of a listed endpoint; throws json::DecodeError for one that was never listed.
   int endpoint_index(const std::string& name) const;
 
   /// Appends all decisions that are due to `reply`, one line each, under this instance's name.
