--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -68,7 +68,6 @@
   Duration retry_delay{};                ///< longest Retry-After
   Duration vote_timeout{};               ///< longest wait for the answer to a vote
   double wrong_answer_report_share = 0;  ///< part of wrong answers that clients report
-  double over_quota_weight = 0;          ///< priority of a tenant's requests beyond its quota
   LoadReportSource load_reports = LoadReportSource::none;
 
   rollout::Settings rollout{};
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -94,7 +94,7 @@
 std::string description(const Decision& decision) {
   return std::to_string(static_cast<int>(decision.action)) + " " +
          std::to_string(decision.request_id) + " " + std::to_string(decision.endpoint) + " " +
-         std::to_string(decision.span.count()) + decision.text;
+         std::to_string(decision.duration.count()) + decision.text;
 }
 
 std::vector<EndpointInfo> ready_endpoints(int count) {
--- a/tests/scenario_runner.cpp
+++ b/tests/scenario_runner.cpp
@@ -93,12 +93,10 @@
 }  // namespace
 
 ScenarioRunner::ScenarioRunner() : now_(milliseconds(100000)) {
-  endpoint_settings_.cold_for = milliseconds(4000);
-  endpoint_settings_.fall_window = milliseconds(1500);
-  endpoint_settings_.ask_within = milliseconds(10000);
-  endpoint_settings_.call_timeout = milliseconds(1000);
-  endpoint_settings_.cold_from = 0.3;
-  endpoint_settings_.fall_multiple = 2;
+  endpoint_settings_.warm_up_time = milliseconds(4000);
+  endpoint_settings_.collapse_window = milliseconds(1500);
+  endpoint_settings_.initial_warm_up_factor = 0.3;
+  endpoint_settings_.collapse_multiple = 2;
 
   canary_quota_settings_.window = milliseconds(4000);
   canary_quota_settings_.free_requests = 1;
@@ -117,14 +115,11 @@
   analysis_settings_.votes_to_roll_back = 1;
 
   request_settings_.max_attempts = 5;
-  request_settings_.proxies = 1;
   request_settings_.hedging = true;
   request_settings_.cancelling = true;
-  request_settings_.advice = true;
-  request_settings_.max_pause = milliseconds(2000);
-  request_settings_.slack = milliseconds(20);
+  request_settings_.retry_after = true;
+  request_settings_.retry_delay = milliseconds(2000);
   request_settings_.tick = milliseconds(tick_ms);
-  request_settings_.over_quota_weight = 0.1;
 }
 
 void ScenarioRunner::execute(const Words& words) {
@@ -178,9 +173,9 @@
   const std::string& key = words.at(1);
   const double value = number_at(words, 2);
   if (key == "must_ask")
-    endpoint_settings_.must_ask = true;
+    endpoint_settings_.polls_list = true;
   else if (key == "fall_multiple")
-    endpoint_settings_.fall_multiple = value;
+    endpoint_settings_.collapse_multiple = value;
   else if (key == "by_product")
     canary_quota_settings_.by_request_class = true;
   else if (key == "one_way")
@@ -192,8 +187,7 @@
   else if (key == "no_copies")
     request_settings_.hedging = false;
   else if (key == "umpires")
-    analysis_settings_.proxies = request_settings_.proxies = endpoint_settings_.proxies =
-        static_cast<int>(value);
+    analysis_settings_.proxies = endpoint_settings_.proxy_count = static_cast<int>(value);
   else if (key == "to_revert")
     analysis_settings_.votes_to_roll_back = static_cast<int>(value);
   else if (key == "step")
@@ -436,7 +430,7 @@
   count(event);
   count(event + " " + request_name(decision.request_id));
   count("ended tenant " + std::to_string(tenant_of_[decision.request_id]));
-  if (decision.span > Duration{})
+  if (decision.duration > Duration{})
     count("advice");
 }
 
