--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -50,9 +50,7 @@
               ") (places 40) (build 1) (journal \"" + journal.string() + "\"))",
           "bench");
       controller::Settings settings = controller::read(form);
-      settings.point = [this](const char*) {
-        written = net::steady_now().time_since_epoch().count();
-      };
+      settings.on_persisted = [this] { written = net::steady_now().time_since_epoch().count(); };
       controller = std::make_unique<controller::Controller>(loop, settings, log);
       port = controller->port();
     });
--- a/src/controller/api_server.h
+++ b/src/controller/api_server.h
@@ -22,6 +22,7 @@
   std::function<void(const ApiRequest&)> handle;
 };
 
+/// Owns the HTTP server and its routes.
 class ApiServer {
  public:
   /// Listens at once; requests are served as soon as the loop runs. `requests_per_s` is the limit
--- a/src/controller/fault_injection.h
+++ b/src/controller/fault_injection.h
@@ -9,9 +9,11 @@
 /// `unresponsive`: requests of proxies are never answered. `errors`: they get 503.
 enum class Fault { none, unresponsive, errors };
 
+/// The fault that is in force.
 class FaultInjector {
  public:
-  /// `counted_votes`: the share of votes that still count, without an answer, while unresponsive.
+  /// Replaces the fault in force. `counted_votes`: the share of votes that still count, without an
+  /// answer, while unresponsive.
   void set(Fault fault, double counted_votes);
   bool active() const { return fault_ != Fault::none; }
   /// Whether a vote that comes now counts.
--- a/src/controller/machine_routes.h
+++ b/src/controller/machine_routes.h
@@ -10,6 +10,7 @@
 
 namespace robinhoist::controller {
 
+/// The handlers of /v1/orders and /v1/machines.
 class MachineRoutes {
  public:
   /// The rollout must outlive it; `decide` lets it act on what was reported.
--- a/src/controller/membership_monitor.h
+++ b/src/controller/membership_monitor.h
@@ -10,6 +10,7 @@
 
 namespace robinhoist::controller {
 
+/// Owns the timer for the next lease that ends.
 class MembershipMonitor {
  public:
   /// `decide` is called after a check that was due by time.
--- a/src/controller/proxy_routes.h
+++ b/src/controller/proxy_routes.h
@@ -21,6 +21,7 @@
 using VoteCallback =
     std::function<void(const std::string& proxy, int build, int stage, Verdict, Outcome)>;
 
+/// The handlers of /v1/umpires, /v1/patients and the votes on a release.
 class ProxyRoutes {
  public:
   /// All must outlive it. `steps` may be null, and callbacks but `decide` empty.
@@ -40,10 +41,15 @@
   };
   explicit ProxyRoutes(Dependencies dependencies) : deps_(std::move(dependencies)) {}
 
+  /// The proxies, and the electorate.
   void list(const ApiRequest& request);
+  /// A sign of life, with what the proxy acknowledges to go by.
   void heartbeat(const ApiRequest& request);
+  /// A proxy shuts down.
   void leave(const ApiRequest& request);
+  /// A vote on a release; a sign of life as well.
   void vote(const ApiRequest& request);
+  /// How the proxy's clients fared, for the throttling of backfills.
   void client_outcomes(const ApiRequest& request);
 
  private:
--- a/src/controller/release_objects.h
+++ b/src/controller/release_objects.h
@@ -23,6 +23,7 @@
 /// A random id of 16 hexadecimal digits.
 std::string random_id();
 
+/// Owns the catalog, the published store and the watches.
 class ReleaseObjects {
  public:
   /// What it needs of the controller. All must outlive it; the journal may be null.
--- a/src/controller/release_routes.h
+++ b/src/controller/release_routes.h
@@ -12,6 +12,7 @@
 
 namespace robinhoist::controller {
 
+/// The handlers of /v1/releases and below, except for votes.
 class ReleaseRoutes {
  public:
   /// All must outlive it; the journal may be null. `decide` lets the rollout act on what has
@@ -29,11 +30,16 @@
 
   /// A page of the releases, or a watch.
   void list(const ApiRequest& request);
+  /// One release, with its version as the ETag.
   void get(const ApiRequest& request);
+  /// Creates a release and submits its build; repeatable with an Idempotency-Key.
   void create(const ApiRequest& request);
+  /// Changes labels and description.
   void patch(const ApiRequest& request);
+  /// Deletes a release, after rolling back its build where that is a canary.
   void remove(const ApiRequest& request);
 
+  /// An operator's action on the present release, with a reason.
   enum class Action { hold, resume, roll_back };
   void act(const ApiRequest& request, Action action);
 
--- a/src/controller/step_gates.h
+++ b/src/controller/step_gates.h
@@ -9,6 +9,7 @@
 
 namespace robinhoist::controller {
 
+/// Remembers the gates as last set, so that only changes go to the rollout.
 class StepGates {
  public:
   /// `stages` is the number of stages of a release. Both must outlive it.
--- a/src/controller/step_routes.h
+++ b/src/controller/step_routes.h
@@ -9,6 +9,7 @@
 
 namespace robinhoist::controller {
 
+/// The handlers of /v1/plans and /v1/steps.
 class StepRoutes {
  public:
   /// `steps` may be null: every route then answers 404. `plan_taken` is called after a new plan,
@@ -17,9 +18,12 @@
              std::function<void()> decide)
       : steps_(steps), plan_taken_(std::move(plan_taken)), decide_(std::move(decide)) {}
 
+  /// Takes a new or edited plan, an S-expression; X-Who names its author.
   void take_plan(const ApiRequest& request);
   void status(const ApiRequest& request);
+  /// Asks the target whether the applied steps still are; answers when all were asked.
   void verify(const ApiRequest& request);
+  /// The operators' commands; 409 with the reason when one is rejected.
   void pause(const ApiRequest& request);
   void resume(const ApiRequest& request);
   void retry(const ApiRequest& request);
--- a/src/controller/tokens.h
+++ b/src/controller/tokens.h
@@ -15,6 +15,7 @@
 /// Whether one role includes another.
 bool may(Role role, Role required);
 
+/// What is held of a token.
 struct Token {
   /// Of the caller.
   std::string name{};
@@ -23,11 +24,13 @@
   Role role = Role::read;
 };
 
+/// Whom a token stands for.
 struct Caller {
   std::string name{};
   Role role = Role::operate;
 };
 
+/// The tokens of the settings.
 class Tokens {
  public:
   explicit Tokens(std::vector<Token> tokens) : tokens_(std::move(tokens)) {}
--- a/src/controller/watches.h
+++ b/src/controller/watches.h
@@ -35,6 +35,7 @@
   Duration timeout{};
 };
 
+/// Owns the watches' exchanges until they end.
 class Watches {
  public:
   /// Told of each object that was written to a proxy's connection.
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -22,6 +22,7 @@
 
 namespace robinhoist::membership {
 
+/// How long a silent proxy counts.
 struct Settings {
   /// How many proxies there are at least.
   int expected = 1;
@@ -57,6 +58,7 @@
 
 const char* to_string(HeartbeatResult result);
 
+/// The proxies and their leases.
 class Membership {
  public:
   explicit Membership(const Settings& settings) : settings_(settings) {}
--- a/src/objects/selector.h
+++ b/src/objects/selector.h
@@ -18,6 +18,7 @@
   using std::runtime_error::runtime_error;
 };
 
+/// Requirements that an object must all meet.
 class Selector {
  public:
   /// Matches every object.
--- a/src/objects/store.h
+++ b/src/objects/store.h
@@ -38,6 +38,7 @@
 };
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
+/// A change of one object.
 struct Event {
   Change change;
   /// Of a deleted object: its last state, with the version of the deletion.
@@ -50,6 +51,7 @@
 /// when the version has not been reached.
 enum class History { available, compacted, ahead };
 
+/// The objects by name, and the last events by version.
 class Store {
  public:
   /// Keeps the last `max_events` events.
--- a/src/releases/catalog.h
+++ b/src/releases/catalog.h
@@ -35,6 +35,7 @@
 /// The version that the client believes an object to have, from If-Match or the body.
 using ExpectedVersion = std::optional<std::int64_t>;
 
+/// Owns the releases and their store of snapshots.
 class Catalog {
  public:
   /// Keeps the last `max_events` changes for watches.
--- a/src/releases/follower.h
+++ b/src/releases/follower.h
@@ -13,6 +13,7 @@
 
 namespace robinhoist::releases {
 
+/// Reads the lines of a watch, one answer after the other.
 class Follower {
  public:
   /// `expired`: the controller can't resume this watch, so begin anew. `malformed`: not understood.
--- a/src/releases/release.h
+++ b/src/releases/release.h
@@ -29,8 +29,10 @@
   bool operator==(const Condition&) const = default;
 };
 
+/// How far a release has come in a stage.
 enum class StageState { done, running, next, waiting_for_steps, not_reached, rolled_back };
 
+/// A stage of the rollout as a release has passed it, or will.
 struct StageStatus {
   /// Of the slots that run the release.
   double share = 0;
@@ -58,6 +60,7 @@
   bool operator==(const StepStatus&) const = default;
 };
 
+/// How the rollout of a release stands.
 struct Status {
   /// Nothing while the release is pending.
   std::optional<ReleasePhase> phase{};
@@ -87,6 +90,7 @@
   bool operator==(const Status&) const = default;
 };
 
+/// The object: metadata, spec (build, description) and status.
 struct Release {
   std::string name{};
   std::string uid{};
--- a/src/rollout/rollout.h
+++ b/src/rollout/rollout.h
@@ -38,6 +38,7 @@
   int roll_back;
 };
 
+/// The rollout of releases over one fleet. All times are of the host's run clock and never go back.
 class Rollout {
  public:
   /// A fleet that runs `build` in all its slots; the first machines' ids are the slots' numbers.
@@ -45,11 +46,13 @@
   /// Resumes from a snapshot. What had been commanded and not confirmed is commanded again.
   Rollout(const Settings& settings, int slots, int proxies, const RolloutState& state,
           TimePoint now);
+  /// The snapshot from which a later process can resume.
   RolloutState state(TimePoint now) const;
 
   /// Queues a build; a canary that is under way is rolled back first. Returns why not, when the
   /// build is not newer than all before it.
   std::optional<std::string> submit(int build, TimePoint now);
+  /// A machine that was commanded to start is up.
   void machine_started(int id, TimePoint now) { machines_.started(id, now); }
   /// A machine has ended, as commanded or by itself. One that ended by itself is expected back
   /// under its id.
@@ -81,6 +84,7 @@
   const std::map<int, Machine>& machines() const { return machines_.all(); }
   /// The last changes, oldest first.
   const std::vector<Change>& changes() const { return changes_; }
+  /// The votes on the present release that have not expired, by proxy.
   std::map<std::string, Vote> standing_votes(TimePoint now) const {
     return votes_.standing(build_, now);
   }
@@ -92,6 +96,8 @@
   int baseline() const { return baseline_; }
   /// The stage that takes traffic; -1 when none does yet.
   int active_stage() const;
+  /// Whether the present release is a canary, or released so recently that votes or an operator
+  /// may still roll it back.
   bool can_roll_back(TimePoint now) const;
   /// How long the stage that began last had waited for its gate.
   Duration gate_wait() const { return gate_wait_; }
