--- a/src/proxy/router.h
+++ b/src/proxy/router.h
@@ -100,7 +100,7 @@
   void cancel(const Decision& decision);
   void vote(const Decision& decision);
   void schedule_engine(Duration delay);
-  void set_mode(const std::string& mode);
+  void set_mode(const Decision& decision);
 
   // Ends of attempts and requests.
   void attempt_ended(AttemptId id, const AttemptResult& result, http::Response&& response);
@@ -129,7 +129,7 @@
   Readiness readiness_{};
   net::Loop::Timer engine_timer_ = net::Loop::no_timer;
   bool engine_running_ = false;
-  std::string mode_{};  // the engine's view of the release, for logs and traces
+  std::string mode_{};  // the engine's view of the release, for status and traces
 };
 
 }  // namespace robinhoist::proxy
--- a/src/proxy/router_decisions.cpp
+++ b/src/proxy/router_decisions.cpp
@@ -2,29 +2,12 @@
 #include <algorithm>
 #include <utility>
 
+#include "proxy/mode_text.h"
 #include "proxy/router.h"
 #include "proxy/wire_names.h"
 #include "rollout/names.h"
 
 namespace robinhoist::proxy {
-namespace {
-
-const char* verdict_text(Verdict verdict) {
-  switch (verdict) {
-    case Verdict::promote:
-      return "promote";
-    case Verdict::hold:
-      return "hold";
-    case Verdict::roll_back:
-      return "roll back";
-    case Verdict::none:
-      break;
-  }
-  return "none";
-}
-
-}  // namespace
-
 // ---- Decisions of the engine
 
 // Carrying out a decision may give the engine more input; the outermost call goes on until there
@@ -69,7 +52,7 @@
       schedule_engine(decision.span);
       break;
     case Action::log:
-      set_mode(decision.text);
+      set_mode(decision);
       break;
   }
 }
@@ -136,7 +119,7 @@
   ++counters_.votes;
   log_.info("vote", {{"build", log::text(decision.build)},
                      {"stage", log::text(decision.stage)},
-                     {"verdict", verdict_text(decision.verdict)}});
+                     {"verdict", to_string(decision.verdict)}});
   const Vote vote{.build = decision.build, .stage = decision.stage, .verdict = decision.verdict};
   release_source_.vote(vote, [this](Outcome outcome) {
     engine_.vote_answered(outcome, loop_.now());
@@ -152,9 +135,10 @@
   });
 }
 
-void Router::set_mode(const std::string& mode) {
-  mode_ = mode;
-  log_.info("mode", {{"is", mode}});
+void Router::set_mode(const Decision& decision) {
+  if (decision.report)
+    mode_ = mode_text(*decision.report);
+  log_.info("mode", {{"is", decision.text}});
 }
 
 // ---- Ends of attempts and requests
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -2,6 +2,7 @@
 #include <gmock/gmock.h>
 
 #include "proxy/http_protocol.h"
+#include "proxy/mode_text.h"
 #include "proxy/watch_release_source.h"
 #include "proxy_fixture.h"
 
@@ -114,6 +115,47 @@
   EXPECT_GT(heartbeats_.size(), 4u);
 }
 
+// As 182850b worded it: scripts of operators may read it.
+TEST(ModeText, keeps_its_wording) {
+  const ReleaseUpdate canary{2, 1, ReleasePhase::canary, 0.5, Duration{}};
+  const ReleaseUpdate rolling_back{2, 1, ReleasePhase::rolling_back, 0, Duration{}};
+  const ReleaseUpdate rolled_back{2, 1, ReleasePhase::rolled_back, 0, Duration{}};
+  const ReleaseUpdate released{3, 0, ReleasePhase::released, 1, Duration{}};
+  struct Case {
+    AnalysisReport report;
+    const char* text;
+  };
+  const Case cases[] = {
+      {{}, "watching"},
+      {{{Verdict::none, AnalysisReason::failures, 1, 20}, canary},
+       "watching build 2 stage 1 trial: failures 1 against 20"},
+      {{{Verdict::promote, AnalysisReason::failures, 0, 60}, canary},
+       "on build 2 stage 1 trial: failures 0 against 60"},
+      {{{Verdict::hold, AnalysisReason::hold, 12, 1}, canary},
+       "hold build 2 stage 1 trial: held at 12 against 1"},
+      {{{Verdict::roll_back, AnalysisReason::request_class_failures, 3, 9}, canary},
+       "back build 2 stage 1 trial: failures of a product 3 against 9"},
+      {{{Verdict::roll_back, AnalysisReason::wrong_answers, 2, 40}, canary},
+       "back build 2 stage 1 trial: wrong answers 2 against 40"},
+      {{{Verdict::roll_back, AnalysisReason::fleet_slowdown, 12.34, 8}, canary},
+       "back build 2 stage 1 trial: all slower; load 12.3 against 8"},
+      {{{Verdict::roll_back, AnalysisReason::p99_latency, 1.5, 0.75}, canary},
+       "back build 2 stage 1 trial: p99 in SLA times 1.5 against 0.75"},
+      {{{Verdict::roll_back, AnalysisReason::latency, 1.4, 1.1}, canary},
+       "back build 2 stage 1 trial: times the older's latency 1.4 against 1.1"},
+      {{{Verdict::roll_back, AnalysisReason::ageing, 0.0001, 0.001}, canary},
+       "back build 2 stage 1 trial: early machines alone are poorly, by chance 0.0001 against "
+       "0.001"},
+      {{{Verdict::none, AnalysisReason::none, 0, 0}, rolling_back},
+       "watching build 2 stage 1 going back"},
+      {{{Verdict::none, AnalysisReason::none, 0, 0}, rolled_back},
+       "watching build 2 stage 1 withdrawn"},
+      {{{Verdict::none, AnalysisReason::released, 0, 0}, released},
+       "watching build 3 stage 0 released: released"}};
+  for (const Case& test : cases)
+    EXPECT_EQ(proxy::mode_text(test.report), test.text);
+}
+
 // How late timers run is a matter of measurements.
 TEST(Loop, timers_run_in_order_and_not_early) {
   net::Loop loop(net::steady_now());
