--- a/src/proxy/mode_text.cpp
+++ b/src/proxy/mode_names.cpp
@@ -1,27 +1,26 @@
-#include "proxy/mode_text.h"
+#include "proxy/mode_names.h"
 
+#include <array>
 #include <cstdio>
 
 namespace robinhoist::proxy {
 namespace {
 
-constexpr std::size_t max_reason_length = 96;
-
-const char* wire_name(Verdict verdict) {
+const char* api_name(Verdict verdict) {
   switch (verdict) {
+    case Verdict::none:
+      return "watching";
     case Verdict::promote:
       return "on";
     case Verdict::hold:
       return "hold";
     case Verdict::roll_back:
       return "back";
-    case Verdict::none:
-      break;
   }
-  return "watching";
+  return "unknown";
 }
 
-const char* wire_name(ReleasePhase phase) {
+const char* api_name(ReleasePhase phase) {
   switch (phase) {
     case ReleasePhase::canary:
       return "trial";
@@ -30,14 +29,15 @@
     case ReleasePhase::released:
       return "released";
     case ReleasePhase::rolled_back:
-      break;
+      return "withdrawn";
   }
-  return "withdrawn";
+  return "unknown";
 }
 
-// Nothing for reasons without figures.
-const char* wire_name(AnalysisReason reason) {
+const char* api_name(AnalysisReason reason) {
   switch (reason) {
+    case AnalysisReason::none:
+      return "";
     case AnalysisReason::failures:
       return "failures";
     case AnalysisReason::request_class_failures:
@@ -54,35 +54,34 @@
       return "early machines alone are poorly, by chance";
     case AnalysisReason::hold:
       return "held at";
-    case AnalysisReason::none:
     case AnalysisReason::released:
-      break;
+      return "released";
   }
-  return nullptr;
+  return "unknown";
 }
 
-std::string reason_text(const AnalysisResult& result) {
-  if (result.reason == AnalysisReason::released)
-    return ": released";
-  const char* name = wire_name(result.reason);
-  if (!name)
-    return "";
-  char text[max_reason_length];
-  std::snprintf(text, sizeof text, ": %s %.3g against %.3g", name, result.observed,
+std::string describe(const AnalysisResult& result) {
+  const std::string name = api_name(result.reason);
+  if (result.reason == AnalysisReason::none || result.reason == AnalysisReason::released)
+    return name;
+  std::array<char, 64> figures{};
+  std::snprintf(figures.data(), figures.size(), " %.3g against %.3g", result.observed,
                 result.reference);
-  return text;
+  return name + figures.data();
 }
 
 }  // namespace
 
-std::string mode_text(const AnalysisReport& report) {
-  std::string text = wire_name(report.result.verdict);
+std::string api_mode(const AnalysisReport& report) {
+  std::string mode = api_name(report.result.verdict);
   if (report.release) {
-    text += " build " + std::to_string(report.release->build);
-    text += " stage " + std::to_string(report.release->stage);
-    text += std::string(" ") + wire_name(report.release->phase);
+    mode += " build " + std::to_string(report.release->build);
+    mode += " stage " + std::to_string(report.release->stage);
+    mode += " ";
+    mode += api_name(report.release->phase);
   }
-  return text + reason_text(report.result);
+  const std::string reason = describe(report.result);
+  return reason.empty() ? mode : mode + ": " + reason;
 }
 
 }  // namespace robinhoist::proxy
--- a/src/proxy/router.h
+++ b/src/proxy/router.h
@@ -129,7 +129,7 @@
   Readiness readiness_{};
   net::Loop::Timer engine_timer_ = net::Loop::no_timer;
   bool engine_running_ = false;
-  std::string mode_{};  // the engine's view of the release, for status and traces
+  std::string mode_{};  // the engine's view of the release as the REST API words it
 };
 
 }  // namespace robinhoist::proxy
--- a/src/proxy/router_decisions.cpp
+++ b/src/proxy/router_decisions.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "proxy/mode_text.h"
+#include "proxy/mode_names.h"
 #include "proxy/router.h"
 #include "proxy/wire_names.h"
 #include "rollout/names.h"
@@ -137,7 +137,7 @@
 
 void Router::set_mode(const Decision& decision) {
   if (decision.report)
-    mode_ = mode_text(*decision.report);
+    mode_ = api_mode(*decision.report);
   log_.info("mode", {{"is", decision.text}});
 }
 
--- a/src/registry/service.h
+++ b/src/registry/service.h
@@ -1,9 +1,9 @@
 /// The endpoint registry over HTTP. Proxies long-poll for changes.
 ///
-///   GET    /v1/nodes?series=S&since=V&wait_ms=N&umpire=NAME   changes since V, or the complete
-///   list PUT    /v1/nodes                                          adds or replaces an endpoint
-///   DELETE /v1/nodes/NAME                                     removes one
-///   GET    /health
+/// - `GET /v1/nodes?series=S&since=V&wait_ms=N&umpire=NAME`: changes since V, or the complete list
+/// - `PUT /v1/nodes`: adds or replaces an endpoint
+/// - `DELETE /v1/nodes/NAME`: removes one
+/// - `GET /health`
 ///
 /// Changes can be delayed, to try out how proxies cope with a registry that lags.
 #pragma once
