--- a/src/proxy/watch_release_source.h
+++ b/src/proxy/watch_release_source.h
@@ -53,7 +53,7 @@
   releases::Follower follower_{};
   std::string incarnation_;       // of this process: no two processes have the same
   std::string newest_release_{};  // name of the release in force
-  std::optional<releases::Follower::Heard> acknowledged_{};
+  std::optional<releases::Follower::Update> acknowledged_{};
   OnUpdate on_update_{};
   Duration heartbeat_interval_;
   net::Loop::Timer watch_timer_ = net::Loop::no_timer;
