--- a/src/proxy/mode_names.cpp
+++ b/src/proxy/mode_names.cpp
@@ -61,7 +61,7 @@
 }
 
 std::string describe(const AnalysisResult& result) {
-  const std::string name = api_name(result.reason);
+  std::string name = api_name(result.reason);
   if (result.reason == AnalysisReason::none || result.reason == AnalysisReason::released)
     return name;
   std::array<char, 64> figures{};
