--- a/src/platform/process.h
+++ b/src/platform/process.h
@@ -1,8 +1,8 @@
 /// A proxy on the operators' platform, as a process.
 ///
-///   SIGHUP            the configuration file is read again: addresses of discovery and release API
-///   SIGTERM, SIGINT   serves on for a while, asks clients to disconnect, answers all open
-///                     requests, exits with 0
+/// - SIGHUP: the configuration file is read again, for the addresses of discovery and release API.
+/// - SIGTERM, SIGINT: it serves on for a while, asks clients to disconnect, answers all open
+///   requests and exits with 0.
 #pragma once
 #include <string>
 
