--- a/src/deployment/reader.cpp
+++ b/src/deployment/reader.cpp
@@ -177,7 +177,7 @@
   read_zones(form, deployment);
   deployment.proxies = form.integer(key::proxies, 1, 100000);
   deployment.uses_sizes = form.boolean(key::uses_sizes, false);
-  deployment.over_quota_weight = form.number(key::over_quota_weight, 0, 1, 1.0);
+  form.number(key::over_quota_weight, 0, 1, 1.0);  // checked, not used
   deployment.load_reports =
       form.enumerator<LoadReportSource>(key::load_reports,
                                         {{word::reports_none, LoadReportSource::none},
