--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -98,8 +98,8 @@
   settings.cancelling = json::boolean(bounds, field::cancelling);
   settings.retry_after = json::boolean(bounds, field::retry_after);
   settings.retry_delay = not_negative_ms(bounds, field::max_retry_after_ms);
-  not_negative(json::nested_object(object, field::safety),
-               field::answer_slack_ms);  // checked, not used
+  // Checked, not used.
+  not_negative(json::nested_object(object, field::safety), field::answer_slack_ms);
   settings.tick = positive_ms(object, field::tick_ms);
   not_negative(object, field::over_quota_weight);  // checked, not used
 }
@@ -122,7 +122,8 @@
   settings.uses_sizes = json::enumerator<bool>(
       object, field::sizes,
       {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
-  json::boolean(json::nested_object(object, field::bounds), field::probes);  // checked, not used
+  // Checked, not used.
+  json::boolean(json::nested_object(object, field::bounds), field::probes);
   settings.reports = json::enumerator<LoadReportSource>(
       json::nested_object(object, field::load_report), field::load_report_source,
       {{"piggyback", LoadReportSource::answers},
