--- a/src/settings/sexp_reader.h
+++ b/src/settings/sexp_reader.h
@@ -1,122 +1,109 @@
-// Settings and other files of the program, written as S-expressions: (key value ...) forms, `;`
-// comments, "quoted" text, durations such as 250ms, 1.5s or 2m. A Form is read key by key; what is
-// wrong is gathered, each with file, line, path of the key, the value and what is allowed, and
-// thrown together by finish(). A top (include "other.conf") stands for the forms of that file,
-// whose name is relative to its own. sfsexp parses; it keeps no positions, so the lines come from a
-// scan of the same text.
+/// Checked reading of settings and other files that are written as S-expressions.
+///
+/// A file is a sequence of (key value ...) forms. A SexpReader reads one form key by key. Whatever
+/// is wrong is collected, each problem with file, line, path of the key, value and what is allowed,
+/// and finish() throws all of them together:
+///
+///     auto reader = SexpReader::from_file(file);
+///     auto cache = reader.child("cache");
+///     settings.size = cache.integer("size", 1, 1000, 100);
+///     cache.finish();
+///     reader.finish();
 #pragma once
-#include <chrono>
 #include <initializer_list>
 #include <memory>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "settings/scalar.h"
+#include "settings/sexp.h"
+#include "settings/validation_error.h"
 #include "time/time_types.h"
 
 namespace robinhoist::settings {
 
-struct Value {
-  int line = 0, file = 0;  // file: its place among the source's
-  bool list = false, quoted = false;
-  std::string atom{};
-  std::vector<Value> items{};
-};
-
-// All that is wrong with a file, one problem a line.
-struct ValidationError : std::runtime_error {
-  ValidationError(std::string text, int count)
-      : std::runtime_error(std::move(text)), problems(count) {}
-  int problems;
-};
-
-struct Source {
-  std::vector<std::string> files{};
-  std::vector<std::string> problems{};
-};
-
+/// Reads one form. Copies share the text and its problems; the text lives as long as any of them.
 class SexpReader {
  public:
-  // The file's forms as one form; throws Invalid when the text does not parse or the file can't be
-  // read.
+  /// A reader of all forms of a file. Throws ValidationError when it cannot be read or parsed.
   static SexpReader from_file(const std::string& file);
+  /// The same for a text; `name` stands for its file in messages.
   static SexpReader from_text(const std::string& text, const std::string& name);
 
-  // Each reads (key value), once. Without `absent` the key must be there.
-  std::string text(const char* key, std::optional<std::string> absent = {});
-  double number(const char* key, double least, double most, std::optional<double> absent = {});
-  int integer(const char* key, int least, int most, std::optional<int> absent = {});
-  Duration duration(const char* key, Duration least, Duration most,
-                    std::optional<Duration> absent = {});
-  bool boolean(const char* key, std::optional<bool> absent = {});
-  std::vector<double> numbers(const char* key, double least, double most, std::size_t least_count);
-  template <class T>
-  T enumerator(const char* key, std::initializer_list<std::pair<const char*, T>> words,
-               std::optional<T> absent = {}) {
-    std::string allowed;
-    const Value* value = one(key, !absent);
+  /// Each reads the value of the form (key VALUE), which may be given once. Without a `fallback`
+  /// the key is required. After a problem they return some allowed value.
+  std::string text(const char* key, std::optional<std::string> fallback = {});
+  double number(const char* key, double min, double max, std::optional<double> fallback = {});
+  int integer(const char* key, int min, int max, std::optional<int> fallback = {});
+  Duration duration(const char* key, Duration min, Duration max,
+                    std::optional<Duration> fallback = {});
+  /// Written as yes or no.
+  bool boolean(const char* key, std::optional<bool> fallback = {});
+  /// The numbers of (key NUMBER ...); optional when `min_count` is 0.
+  std::vector<double> numbers(const char* key, double min, double max, std::size_t min_count);
+  /// A word that names one of the given values.
+  template <class Enum>
+  Enum enumerator(const char* key, std::initializer_list<std::pair<const char*, Enum>> names,
+                  std::optional<Enum> fallback = {}) {
+    const Sexp* value = find_value(key, !fallback);
     if (!value)
-      return absent.value_or(words.begin()->second);
-    for (auto& [name, meant] : words) {
+      return fallback.value_or(names.begin()->second);
+    std::string allowed;
+    for (const auto& [name, enumerator] : names) {
       if (value->atom == name)
-        return meant;
+        return enumerator;
       allowed += (allowed.empty() ? "" : ", ") + std::string(name);
     }
-    wrong(*value, key, "one of " + allowed);
-    return words.begin()->second;
+    add_wrong_value(*value, key, "one of " + allowed);
+    return names.begin()->second;
   }
 
-  // The one form (key ...), or each of those with that key; the words straight after the key are
-  // `name(i)`.
+  /// The form (key ...). A missing one is reported once; its own keys are not.
   SexpReader child(const char* key);
   std::optional<SexpReader> optional_child(const char* key);
-  std::vector<SexpReader> children(const char* key, std::size_t least_count = 0);
-  // The form's own words, those that are no (key value) forms: (node a1 ...) has word 0 "a1".
+  /// All forms with that key, in their order.
+  std::vector<SexpReader> children(const char* key, std::size_t min_count = 0);
+  /// The words of this form that are no (key value) forms: of (node a1 (port 1)) the word 0 is a1.
+  /// `what` names a missing one in its problem.
   std::string positional(std::size_t index, const char* what);
   std::size_t positional_count() const;
-  // All forms in their order, as (key, form); for notations where order matters.
-  std::vector<std::pair<std::string, SexpReader>> all_children();
 
-  // Something that only the caller can see to be wrong, such as two settings at odds.
+  bool has(const char* key) const;
+  /// A problem that only the caller can see, such as two settings at odds; of this form or of one
+  /// of its keys.
   void add_problem(const std::string& what) const;
   void add_problem(const char* key, const std::string& what) const;
-  int line() const { return value_->line; }
-  bool has(const char* key) const;
-  // The form (key ...) as text that reads back the same; empty when there is none.
+  /// Reports keys that were not read. On the reader of the whole file it then throws a
+  /// ValidationError if there were any problems.
+  void finish();
+
+  /// The form (key ...) as text that parses to the same; empty when there is none.
   std::string to_text(const char* key) const;
-  // All of the file's forms as text, with what set() has changed in it.
+  /// All forms as text, a line each.
   std::string to_text() const;
-  // The same with the form `key` last, and without its forms `left_out`.
+  /// The same with the form `key` last, and without its forms `left_out`.
   std::string to_text_without(const char* key, const char* left_out) const;
-  // Before anything is read: puts words, apart by blanks, in place of those at a path such as
-  // day.load.rate or deployment.request class[book].sla, where the word in brackets is the form's
-  // own first. A key that is not there is added to the form before it; false when that form is not
-  // there either.
+  /// Changes a value before anything is read; see settings::override_value().
   bool override_value(const std::string& path, const std::string& words);
-  // Reports keys that nobody asked for. Called on the file's form it throws what was gathered.
-  void finish();
 
  private:
-  SexpReader(std::shared_ptr<Value> root, const Value* value, std::shared_ptr<Source> source,
-             std::string path, bool top);
-  const Value* one(const char* key, bool needed);
-  const Value* scalar(const char* key, bool needed);
-  void wrong(const Value& at, const std::string& key, const std::string& allowed) const;
-  void report(const Value& at, const std::string& path, const std::string& what) const;
-  SexpReader inner(const Value* value, const std::string& path);
+  SexpReader(std::shared_ptr<Sexp> root, const Sexp* form, std::shared_ptr<ProblemList> problems,
+             std::string path, bool is_root);
+  const Sexp* find_value(const char* key, bool is_required);
+  const Sexp* find_form(const char* key, bool is_required);
+  SexpReader reader_of(const Sexp* form, const std::string& key) const;
+  std::string path_of(const std::string& key) const;
+  void add_wrong_value(const Sexp& value, const std::string& key, const std::string& allowed) const;
+  void add_problem_at(const Sexp& value, const std::string& path, const std::string& what) const;
 
-  std::shared_ptr<Value> root_;
-  const Value* value_;
-  std::shared_ptr<Source> source_;
+  std::shared_ptr<Sexp> root_;  ///< Owns form_.
+  const Sexp* form_;
+  std::shared_ptr<ProblemList> problems_;
   std::string path_;
-  bool top_;
-  std::vector<std::string> asked_{};
+  bool is_root_;
+  std::vector<std::string> read_keys_{};
 };
 
-// 250ms, 1.5s, 2m, 1h, 40us; nothing when it is none.
-std::optional<Duration> parse_duration(const std::string& word);
-std::optional<double> parse_number(const std::string& word);
-
 }  // namespace robinhoist::settings
