--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -6,8 +6,8 @@
 
 #include <map>
 
-#include "plays.h"
 #include "record/record.h"
+#include "scripted_test.h"
 
 namespace robinhoist::audit {
 namespace {
@@ -224,7 +224,7 @@
 
 TEST_P(AuditPlay, is_judged_as_written) {
   Written written;
-  tests::play(GetParam(), [&](const Words& words) { written.step(words); });
+  tests::run_script(GetParam(), [&](const Words& words) { written.step(words); });
   record::write((written.folder.at / "meta.json").string(), written.meta);
   for (auto& [name, text] : written.files) {
     if (written.cut && !text.empty())
@@ -250,7 +250,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(All, AuditPlay, testing::ValuesIn(tests::files_in(TESTS "/audit", ".txt")),
-                         tests::stem);
+                         tests::script_name);
 
 }  // namespace
 }  // namespace robinhoist::audit
--- /dev/null
+++ b/tests/child_process.h
@@ -0,0 +1,76 @@
+/// The program as a process of its own, for the tests that need one.
+#pragma once
+#include <arpa/inet.h>
+#include <fcntl.h>
+#include <signal.h>
+#include <sys/resource.h>
+#include <sys/socket.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <string>
+#include <vector>
+
+#include "scripted_test.h"
+
+namespace robinhoist::tests {
+
+/// A running process of the program. It is killed when this goes out of scope.
+struct ChildProcess {
+  pid_t pid;
+
+  /// Starts the program with these arguments. Its standard error is appended to `log_file`.
+  /// `max_files` limits its open descriptors; 0 leaves the limit as it is.
+  ChildProcess(const Words& arguments, const std::string& log_file, rlim_t max_files = 0)
+      : pid(::fork()) {
+    if (pid == 0)
+      execute(arguments, log_file, max_files);
+  }
+  ChildProcess(const ChildProcess&) = delete;
+  ChildProcess& operator=(const ChildProcess&) = delete;
+  ~ChildProcess() { end(SIGKILL); }
+
+  /// Sends a signal and waits for the end of the process. Returns its exit status, or the signal
+  /// that ended it, negated.
+  int end(int signal) {
+    if (pid <= 0)
+      return 0;
+    ::kill(pid, signal);
+    int status = 0;
+    ::waitpid(pid, &status, 0);
+    pid = 0;
+    return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
+  }
+
+ private:
+  /// In the new process; does not return.
+  static void execute(const Words& arguments, const std::string& log_file, rlim_t max_files) {
+    if (max_files > 0) {
+      const rlimit limit{max_files, max_files};
+      ::setrlimit(RLIMIT_NOFILE, &limit);
+    }
+    const int log = ::open(log_file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+    ::dup2(log, STDERR_FILENO);
+    std::vector<char*> argv{const_cast<char*>(PROGRAM)};
+    for (const std::string& argument : arguments)
+      argv.push_back(const_cast<char*>(argument.c_str()));
+    argv.push_back(nullptr);
+    ::execv(PROGRAM, argv.data());
+    ::_exit(127);
+  }
+};
+
+/// A TCP port of the loopback interface that nobody listens on at present.
+inline int free_port() {
+  const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  socklen_t length = sizeof address;
+  ::bind(fd, reinterpret_cast<sockaddr*>(&address), length);
+  ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &length);
+  ::close(fd);
+  return ntohs(address.sin_port);
+}
+
+}  // namespace robinhoist::tests
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <thread>
 
-#include "child.h"
+#include "child_process.h"
 
 namespace robinhoist {
 namespace {
@@ -56,11 +56,12 @@
   }
 
   /// Starts a sub-command with a settings file of this content.
-  std::unique_ptr<tests::Child> start(const std::string& command, const std::string& settings) {
+  std::unique_ptr<tests::ChildProcess> start(const std::string& command,
+                                             const std::string& settings) {
     const std::string file = path(command + ".conf");
     std::ofstream(file) << "(include \"" ROOT "/deploy/example/booking.conf\")\n" << settings;
-    return std::make_unique<tests::Child>(tests::Words{command, "--config", file},
-                                          path(command + ".log"));
+    return std::make_unique<tests::ChildProcess>(tests::Words{command, "--config", file},
+                                                 path(command + ".log"));
   }
 
   /// Asks until the answer holds the text, ten seconds at most; the last answer.
@@ -86,8 +87,8 @@
 
 TEST_F(Compatibility, JournalBringsBackReleaseAndSteps) {
   copy_fixture("controller.journal");
-  const int port = tests::port_free();
-  const int no_target = tests::port_free();
+  const int port = tests::free_port();
+  const int no_target = tests::free_port();
   const auto controller =
       start("controller", "(controller (listen " + address(port) +
                               ") (places 4) (build 1) (journal \"" + path("controller.journal") +
@@ -115,7 +116,7 @@
 
 TEST_F(Compatibility, CreationIsNotRepeatedForAKeyOfTheJournal) {
   copy_fixture("controller.journal");
-  const int port = tests::port_free();
+  const int port = tests::free_port();
   const auto controller = start("controller", "(controller (listen " + address(port) +
                                                   ") (places 4) (build 1) (journal \"" +
                                                   path("controller.journal") + "\"))");
@@ -131,9 +132,9 @@
 
 TEST_F(Compatibility, SavedListIsRoutedByWithoutARegistry) {
   copy_fixture("saved-list");
-  const int front = tests::port_free();
-  const int admin = tests::port_free();
-  const std::string nowhere = address(tests::port_free());
+  const int front = tests::free_port();
+  const int admin = tests::free_port();
+  const std::string nowhere = address(tests::free_port());
   const auto proxy = start("umpire", "(umpire (name umpire-0) (listen " + address(front) +
                                          ") (admin " + address(admin) + ") (list-from " + nowhere +
                                          ") (releases-from " + nowhere + ") (zone room-a) " +
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -6,7 +6,7 @@
 #include "audit/audit.h"
 #include "emulator/run.h"
 #include "lab/lab.h"
-#include "plays.h"
+#include "scripted_test.h"
 
 namespace robinhoist::emulator {
 namespace {
--- /dev/null
+++ b/tests/migration_runner_test.cpp
@@ -0,0 +1,362 @@
+/// The migration runner against the stand-in database: ended at every point between two writes,
+/// with faults of the database and of the journal's disk, and with edited plans.
+#include <Poco/ErrorHandler.h>
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include <filesystem>
+#include <memory>
+#include <thread>
+
+#include "faulty_vfs.h"
+#include "migration/runner.h"
+#include "net/loop.h"
+#include "settings/validation_error.h"
+#include "standin/database.h"
+
+namespace robinhoist::migration {
+namespace {
+
+using namespace std::chrono_literals;
+namespace fs = std::filesystem;
+
+const char* const plan_text = R"P((plan (release 2)
+  (step table (kind schema) (phase expand) (apply "CREATE TABLE chairs (id INTEGER PRIMARY KEY, room INTEGER)")
+        (undo "DROP TABLE chairs") (on-back undo) (check "SELECT count(*) FROM sqlite_master WHERE name = 'chairs'")
+        (timeout 150ms) (retry (tries 9) (pause 1ms) (pause-most 2ms)))
+  (step counter (kind schema) (phase expand) (apply "UPDATE counter SET n = n + 1") (on-back keep)
+        (timeout 150ms) (retry (tries 9) (pause 1ms) (pause-most 2ms)))
+  (step fill (kind data) (phase migrate) (before-wave 1) (table visits) (key id) (batch 4) (on-back undo)
+        (apply "UPDATE visits SET n = n + 1 WHERE id > :after AND id <= :upto") 
+        (undo "UPDATE visits SET n = 0 WHERE id > :after AND id <= :upto")
+        (timeout 150ms) (retry (tries 9) (pause 1ms) (pause-most 2ms)))))P";
+
+constexpr int build = 2;
+constexpr ReleaseState offered{.stage = -1, .offered = true};
+constexpr ReleaseState first_stage{.stage = 0, .offered = true};
+constexpr ReleaseState rolled_back{
+    .stage = 0, .offered = true, .rolling_back = true, .rolled_back = true};
+
+/// Thrown out of a runner to end it at a crash point.
+struct RunnerEnded : std::exception {};
+
+/// A runner, its journal, and the database that it migrates, on a loop of their own. The runner can
+/// be ended at its Nth crash point; it is then started anew from the journal, as after kill -9.
+class TestEnvironment {
+ public:
+  TestEnvironment() {
+    fs::remove_all(folder_);
+    fs::create_directories(folder_);
+    run_on_loop([this] { create_database(); });
+  }
+
+  ~TestEnvironment() {
+    run_on_loop([this] {
+      drop_runner();
+      database_.reset();
+    });
+    loop_.quit();
+    thread_.join();
+    fs::remove_all(folder_);
+  }
+
+  TestEnvironment(const TestEnvironment&) = delete;
+  TestEnvironment& operator=(const TestEnvironment&) = delete;
+
+  /// Runs something on the loop's thread, where the runner and the database live. A crash point in
+  /// it ends the runner, and not the test.
+  template <class Task>
+  void run_on_loop(Task task) {
+    loop_.call([&] {
+      try {
+        task();
+      } catch (const RunnerEnded&) {
+      }
+    });
+  }
+
+  /// On the loop: what ran before is gone, but for its journal.
+  void start(const ReleaseState& release) {
+    release_ = release;
+    restart();
+  }
+
+  /// On the loop.
+  void set_release(const ReleaseState& release) {
+    release_ = release;
+    if (!runner_ || runner_is_dead_)
+      return;
+    runner_->set_release(build, release_);
+    runner_->run_due_actions();
+  }
+
+  /// Waits until a condition on the runner holds; false when it does not within some seconds.
+  template <class Condition>
+  bool wait_until(Condition condition) {
+    for (int i = 0; i < 3000; ++i) {
+      bool holds = false;
+      loop_.call([&] { holds = !runner_is_dead_ && runner_ && condition(); });
+      if (holds)
+        return true;
+      std::this_thread::sleep_for(1ms);
+    }
+    return false;
+  }
+
+  bool wait_until_allowed(int stage) {
+    return wait_until([&] { return runner_->allows(build, stage); });
+  }
+
+  void crash_at(int point) { crash_at_ = point; }
+  /// How many crash points have been passed.
+  int points() const { return points_; }
+  Runner& runner() { return *runner_; }
+  standin::Database& database() { return *database_; }
+
+ private:
+  void create_database() {
+    database_ = std::make_unique<standin::Database>(loop_, http::ServerSettings{}, "", nullptr);
+    database_->execute(
+        "CREATE TABLE counter (n INTEGER); INSERT INTO counter VALUES (0);"
+        "CREATE TABLE visits (id INTEGER PRIMARY KEY, n INTEGER)");
+    for (int id = 1; id <= 10; ++id)
+      database_->execute("INSERT INTO visits VALUES (" + std::to_string(id) + ", 0)");
+  }
+
+  void drop_runner() {
+    runner_.reset();
+    target_.reset();
+    journal_.reset();
+  }
+
+  void restart() {
+    drop_runner();
+    try {
+      journal_ = std::make_unique<journal::Journal>((folder_ / "journal").string());
+    } catch (const journal::JournalError&) {
+      restart_later();
+      return;
+    }
+    target_ = std::make_unique<Target>(loop_, "127.0.0.1:" + std::to_string(database_->port()));
+    runner_ = std::make_unique<Runner>(loop_, runner_settings(), *journal_, *target_, log_);
+    try {
+      if (!runner_->has_plan(build))
+        runner_->accept_plan(plan_text, "plan", "test");
+    } catch (const journal::JournalError&) {
+      runner_.reset();
+      restart_later();
+      return;
+    }
+    runner_->set_release(build, release_);
+    runner_->run_due_actions();
+  }
+
+  /// As a supervisor would.
+  void restart_later() {
+    loop_.in(2ms, [this] { restart(); });
+  }
+
+  RunnerSettings runner_settings() {
+    RunnerSettings settings;
+    settings.holder = "me";
+    settings.lease_length = 10s;
+    settings.stages = 3;
+    settings.journal_retry_delay = 5ms;
+    settings.on_crash_point = [this](const char*) { on_crash_point(); };
+    return settings;
+  }
+
+  /// The runner that ends here must write nothing more; it is started anew a little later.
+  void on_crash_point() {
+    if (points_++ != crash_at_)
+      return;
+    crash_at_ = -1;
+    runner_is_dead_ = true;
+    loop_.in(1ms, [this] {
+      runner_is_dead_ = false;
+      restart();
+    });
+    throw RunnerEnded();
+  }
+
+  fs::path folder_ =
+      fs::temp_directory_path() / ("robinhoist-migration-" + std::to_string(::getpid()));
+  net::Loop loop_{net::steady_now()};
+  std::thread thread_{[this] { loop_.run(); }};
+  log::Logger log_{"test", "off"};
+  std::unique_ptr<standin::Database> database_{};
+  std::unique_ptr<journal::Journal> journal_{};
+  std::unique_ptr<Target> target_{};
+  std::unique_ptr<Runner> runner_{};
+  ReleaseState release_{};
+  int points_ = 0;
+  int crash_at_ = -1;
+  bool runner_is_dead_ = false;
+};
+
+/// RunnerEnded leaves a handler of the loop; POCO's reactor hands it to the error handler.
+struct IgnoreErrors : Poco::ErrorHandler {
+  void exception(const Poco::Exception&) override {}
+  void exception(const std::exception&) override {}
+  void exception() override {}
+};
+
+void ignore_runner_ends() {
+  static IgnoreErrors handler;
+  Poco::ErrorHandler::set(&handler);
+}
+
+struct MigrationRun {
+  std::string problem{};  ///< Empty when it came to the end that it must come to.
+  int points = 0;
+};
+
+/// What the database holds after the plan was applied, or rolled back again.
+std::string wrong_values(standin::Database& database, bool after_rollback) {
+  std::string wrong;
+  const auto expect = [&](const char* query, double expected) {
+    const double value = database.ask(query).value_or(-1);
+    if (value != expected)
+      wrong += std::string(query) + " gives " + std::to_string(value) + "; ";
+  };
+  expect("SELECT n FROM counter", 1);
+  expect("SELECT count(*) FROM sqlite_master WHERE name = 'chairs'", after_rollback ? 0 : 1);
+  expect("SELECT min(n) FROM visits", after_rollback ? 0 : 1);
+  expect("SELECT max(n) FROM visits", after_rollback ? 0 : 1);
+  return wrong;
+}
+
+/// Offers the release, starts its first stage, and lets it go on or rolls it back. The runner ends
+/// at one crash point; -1 for none.
+MigrationRun run_migration(int crash_at, bool roll_back) {
+  TestEnvironment environment;
+  environment.crash_at(crash_at);
+  environment.run_on_loop([&] { environment.start(offered); });
+  if (!environment.wait_until_allowed(0))
+    return {.problem = "never allows wave 0"};
+  environment.run_on_loop([&] { environment.set_release(first_stage); });
+  const auto is_complete = [&] { return environment.runner().is_complete(); };
+  if (roll_back) {
+    environment.run_on_loop([&] { environment.set_release(rolled_back); });
+    if (!environment.wait_until(is_complete))
+      return {.problem = "never settles its way back"};
+  } else if (!environment.wait_until(
+                 [&] { return environment.runner().allows(build, 1) && is_complete(); })) {
+    return {.problem = "never allows wave 1"};
+  }
+  MigrationRun run;
+  environment.run_on_loop([&] {
+    run.points = environment.points();
+    run.problem = wrong_values(environment.database(), roll_back);
+  });
+  return run;
+}
+
+TEST(MigrationRunner, EndedAtEveryPointSkipsAndRepeatsNothing) {
+  ignore_runner_ends();
+  for (bool roll_back : {false, true}) {
+    const MigrationRun undisturbed = run_migration(-1, roll_back);
+    ASSERT_EQ(undisturbed.problem, "");
+    ASSERT_GT(undisturbed.points, 10);
+    for (int point = 0; point < undisturbed.points; ++point)
+      EXPECT_EQ(run_migration(point, roll_back).problem, "")
+          << "ended at point " << point << (roll_back ? " with a rollback" : "");
+  }
+}
+
+TEST(MigrationRunner, CopesWithFaultsOfTheDatabase) {
+  for (auto fault :
+       {standin::DbFault::refuse, standin::DbFault::error_inside, standin::DbFault::drop_on_commit,
+        standin::DbFault::locked, standin::DbFault::hang, standin::DbFault::late}) {
+    TestEnvironment environment;
+    environment.run_on_loop([&] {
+      environment.database().fault(fault, 2, 300ms);
+      environment.start(first_stage);
+    });
+    EXPECT_TRUE(environment.wait_until_allowed(1)) << static_cast<int>(fault);
+    environment.run_on_loop([&] {
+      EXPECT_EQ(environment.database().ask("SELECT n FROM counter"), 1);
+      EXPECT_EQ(environment.database().ask("SELECT sum(n) FROM visits"), 10);
+    });
+  }
+}
+
+/// Each write, truncation and sync of the journal's files fails in turn, alone and with the two
+/// after it.
+TEST(MigrationRunner, CopesWithEachErrorOfTheJournalsDisk) {
+  ignore_runner_ends();
+  tests::FaultyVfs disk;
+  disk.fail(-1, 0);
+  ASSERT_EQ(run_migration(-1, true).problem, "");
+  const int operations = disk.seen();
+  ASSERT_GT(operations, 50);
+  for (int failures : {1, 3})
+    for (int operation = 0; operation < operations; ++operation) {
+      disk.fail(operation, failures);
+      EXPECT_EQ(run_migration(-1, true).problem, "")
+          << "operation " << operation << " of " << operations;
+    }
+}
+
+TEST(MigrationRunner, VerifiesAppliedStepsAndChangesNothing) {
+  TestEnvironment environment;
+  environment.run_on_loop([&] { environment.start(first_stage); });
+  ASSERT_TRUE(environment.wait_until_allowed(1));
+  const auto verify = [&] {
+    std::string result;
+    environment.run_on_loop(
+        [&] { environment.runner().verify([&](const std::string& json) { result = json; }); });
+    environment.wait_until([&] { return !result.empty(); });
+    return result;
+  };
+  EXPECT_EQ(verify().find("not"), std::string::npos);
+  environment.run_on_loop([&] { environment.database().execute("DROP TABLE chairs"); });
+  const std::string result = verify();
+  EXPECT_NE(result.find(R"("id":"table","state":"does not hold")"), std::string::npos) << result;
+  environment.run_on_loop([&] { EXPECT_TRUE(environment.runner().allows(build, 1)); });
+}
+
+TEST(MigrationRunner, WithAnOlderTokenRunsNothing) {
+  TestEnvironment environment;
+  environment.run_on_loop([&] {
+    environment.database().execute("UPDATE rh_fence SET token = 1000");
+    environment.start(first_stage);
+  });
+  std::this_thread::sleep_for(50ms);
+  environment.run_on_loop(
+      [&] { EXPECT_EQ(environment.database().ask("SELECT n FROM counter"), 0); });
+}
+
+void expect_rejected(Runner& runner, const std::string& text, const char* problem) {
+  try {
+    runner.accept_plan(text, "plan", "test");
+    ADD_FAILURE() << "accepted, though " << problem;
+  } catch (const settings::ValidationError& error) {
+    EXPECT_NE(std::string(error.what()).find(problem), std::string::npos) << error.what();
+  }
+}
+
+std::string plan_with(const std::string& old_text, const std::string& new_text) {
+  std::string plan = plan_text;
+  return plan.replace(plan.find(old_text), old_text.size(), new_text);
+}
+
+TEST(MigrationRunner, AcceptsAnEditedPlanOnlyWhereNothingWasApplied) {
+  TestEnvironment environment;
+  environment.run_on_loop([&] { environment.start(offered); });
+  ASSERT_TRUE(environment.wait_until_allowed(0));
+  environment.run_on_loop([&] {
+    Runner& runner = environment.runner();
+    expect_rejected(runner, plan_with("n + 1", "n + 2"), "has been applied with other content");
+    expect_rejected(runner, plan_with("step counter", "step another"),
+                    "step counter has been applied and is missing now");
+    EXPECT_EQ(runner.accept_plan(plan_with("(batch 4)", "(batch 5)"), "plan", "test"), build);
+    environment.set_release(first_stage);
+  });
+  EXPECT_TRUE(environment.wait_until_allowed(1));
+  environment.run_on_loop(
+      [&] { EXPECT_EQ(environment.database().ask("SELECT n FROM counter"), 1); });
+}
+
+}  // namespace
+}  // namespace robinhoist::migration
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -4,7 +4,7 @@
 
 #include <csignal>
 
-#include "child.h"
+#include "child_process.h"
 #include "platform/process.h"
 #include "platform/protocol.h"
 #include "platform/sources.h"
@@ -49,7 +49,7 @@
 
 INSTANTIATE_TEST_SUITE_P(All, PlatformPlay,
                          testing::ValuesIn(tests::files_in(TESTS "/platform", ".txt")),
-                         tests::stem);
+                         tests::script_name);
 
 TEST(Config, says_which_field_is_wrong) {
   const std::pair<std::pair<const char*, const char*>, const char*> cases[] = {
@@ -565,7 +565,7 @@
 // One after the other in one process at one address: the second knows nothing of the first's
 // products.
 TEST(Customers, one_follows_another_at_the_same_address) {
-  const int port = tests::port_free();
+  const int port = tests::free_port();
   for (const bool second : {false, true}) {
     const std::string text =
         with(config_text(), "127.0.0.1:0", "127.0.0.1:" + std::to_string(port));
@@ -664,7 +664,7 @@
   net::Loop& loop;
   Desk endpoint, desk;
   tests::RawClient client{};
-  const int port = tests::port_free();
+  const int port = tests::free_port();
   const std::string file = testing::TempDir() + "platform-" + std::to_string(::getpid()) + ".json";
   Around(net::Loop& on, std::function<void(const http::ExchangePtr&)> node_does)
       : loop(on), endpoint(on, std::move(node_does)), desk(on, [this](const http::ExchangePtr& e) {
@@ -702,7 +702,7 @@
   });
   Desk moved(loop, [&](const http::ExchangePtr& e) { e->begin_stream({}); });
   ::setenv("ROUTER_CONFIG", around.file.c_str(), 1);
-  tests::Child proxy({"platform"}, "/dev/null");
+  tests::ChildProcess proxy({"platform"}, "/dev/null");
   ::unsetenv("ROUTER_CONFIG");
   loop.in(600ms, [&] { around.ask("POST /pay", "Content-Length: 0\r\n"); });
   loop.in(700ms, [&] {
@@ -736,7 +736,7 @@
                 [&](const http::ExchangePtr& e) { e->answer(http::text_response(200, "done")); });
   rusage before{}, after{};
   ::getrusage(RUSAGE_CHILDREN, &before);
-  tests::Child proxy({"platform", "--config", around.file}, "/dev/null", 30);
+  tests::ChildProcess proxy({"platform", "--config", around.file}, "/dev/null", 30);
   std::vector<std::unique_ptr<tests::RawClient>> silent;
   loop.in(500ms, [&] {
     for (int i = 0; i < 60; ++i) {
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -14,11 +14,11 @@
 #include <random>
 #include <thread>
 
-#include "child.h"
+#include "child_process.h"
 #include "endpoint_cache/endpoint_cache.h"
 #include "load/load.h"
 #include "machine/machine.h"
-#include "plays.h"
+#include "scripted_test.h"
 #include "settings/sexp_reader.h"
 
 namespace robinhoist {
@@ -26,7 +26,7 @@
 
 using namespace std::chrono_literals;
 namespace fs = std::filesystem;
-using tests::port_free;
+using tests::free_port;
 using tests::Words;
 
 std::string temp(const std::string& name) {
@@ -73,7 +73,7 @@
 
 INSTANTIATE_TEST_SUITE_P(All, SettingsFile,
                          testing::ValuesIn(tests::files_in(TESTS "/settings", ".conf")),
-                         tests::stem);
+                         tests::script_name);
 
 TEST(Saved, is_whole_or_not_there) {
   const std::string file = temp("list");
@@ -100,8 +100,9 @@
   EXPECT_NE(endpoint_cache::write("/nowhere/at/all", "x"), "");
 }
 
-struct Child : tests::Child {
-  Child(const Words& words, rlim_t files = 0) : tests::Child(words, temp("child.log"), files) {}
+struct Child : tests::ChildProcess {
+  Child(const Words& words, rlim_t files = 0)
+      : tests::ChildProcess(words, temp("child.log"), files) {}
 };
 
 int connect_to(int port) {
@@ -142,7 +143,7 @@
 
 // List, controller, stand-ins and an umpire as four processes.
 struct Fleet {
-  int list = port_free(), releases = port_free(), front = port_free(), admin = port_free();
+  int list = free_port(), releases = free_port(), front = free_port(), admin = free_port();
   std::map<std::string, std::unique_ptr<Child>> children{};
   Fleet() {
     const std::string booking = "(include \"" ROOT "/deploy/example/booking.conf\")\n";
@@ -220,7 +221,7 @@
 // A controller killed at drawn moments while steps run: nothing is skipped, run twice or out of
 // order. More kills by the environment's ROBINHOIST_KILLS.
 TEST(Process, a_controller_killed_again_and_again_runs_each_step_once) {
-  const int db = port_free(), port = port_free();
+  const int db = free_port(), port = free_port();
   const std::string at = "127.0.0.1:" + std::to_string(db);
   for (const char* old : {"k.journal", "k.journal-wal", "k.journal-shm"})
     fs::remove(temp(old));
@@ -359,7 +360,7 @@
     } else if (w[0] == "slow") {
       it().slowed(std::stod(w[1]));
     } else if (w[0] == "expect") {
-      EXPECT_TRUE(tests::compares(counts[w[1]], w[2], std::stod(w[3]))) << counts[w[1]];
+      EXPECT_TRUE(tests::compare(counts[w[1]], w[2], std::stod(w[3]))) << counts[w[1]];
     } else {
       throw std::runtime_error("no such step");
     }
@@ -370,11 +371,12 @@
 
 TEST_P(MachinePlay, goes_as_written) {
   MachineStage stage;
-  tests::play(GetParam(), [&](const Words& words) { stage.step(words); });
+  tests::run_script(GetParam(), [&](const Words& words) { stage.step(words); });
 }
 
 INSTANTIATE_TEST_SUITE_P(All, MachinePlay,
-                         testing::ValuesIn(tests::files_in(TESTS "/machine", ".txt")), tests::stem);
+                         testing::ValuesIn(tests::files_in(TESTS "/machine", ".txt")),
+                         tests::script_name);
 
 // The same seed gives the same txns; what may not come again does not.
 TEST(LoadReport, is_drawn_from_its_seed_and_repeats_what_it_may) {
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -35,7 +35,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(All, ProxyPlay, testing::ValuesIn(tests::files_in(TESTS "/proxy", ".txt")),
-                         tests::stem);
+                         tests::script_name);
 
 // A watch that breaks in mid-event is taken up where it stood; one that can't be is begun anew.
 // Each cap is acknowledged.
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -11,9 +11,9 @@
 #include "history.h"
 #include "http/stream_client.h"
 #include "json/reader.h"
-#include "plays.h"
 #include "releases/follower.h"
 #include "rollout/names.h"
+#include "scripted_test.h"
 
 namespace robinhoist {
 namespace {
@@ -48,7 +48,7 @@
                          : w[1] == "live" ? members->live()
                          : w[1] == "on"   ? members->to_go_on()
                                           : members->to_go_back();
-      EXPECT_TRUE(tests::compares(figure, w[2], std::stod(w[3]))) << figure;
+      EXPECT_TRUE(tests::compare(figure, w[2], std::stod(w[3]))) << figure;
     } else {
       throw std::runtime_error("no such line");
     }
@@ -58,10 +58,11 @@
 class MembersPlay : public testing::TestWithParam<std::string> {};
 TEST_P(MembersPlay, goes_as_written) {
   MembersStage stage;
-  tests::play(GetParam(), [&](const Words& words) { stage.step(words); });
+  tests::run_script(GetParam(), [&](const Words& words) { stage.step(words); });
 }
 INSTANTIATE_TEST_SUITE_P(All, MembersPlay,
-                         testing::ValuesIn(tests::files_in(TESTS "/members", ".txt")), tests::stem);
+                         testing::ValuesIn(tests::files_in(TESTS "/members", ".txt")),
+                         tests::script_name);
 
 struct FollowerStage {
   releases::Follower follower{};
@@ -119,11 +120,11 @@
 class FollowerPlay : public testing::TestWithParam<std::string> {};
 TEST_P(FollowerPlay, goes_as_written) {
   FollowerStage stage;
-  tests::play(GetParam(), [&](const Words& words) { stage.step(words); });
+  tests::run_script(GetParam(), [&](const Words& words) { stage.step(words); });
 }
 INSTANTIATE_TEST_SUITE_P(All, FollowerPlay,
                          testing::ValuesIn(tests::files_in(TESTS "/follower", ".txt")),
-                         tests::stem);
+                         tests::script_name);
 
 TEST(Selector, takes_what_it_says) {
   const objects::Fields labels{{"team", "front"}, {"tier", "a"}}, fields{{"status.phase", "trial"}};
@@ -357,10 +358,10 @@
 class ApiPlay : public testing::TestWithParam<std::string> {};
 TEST_P(ApiPlay, goes_as_written) {
   ApiStage stage;
-  tests::play(GetParam(), [&](const Words& words) { stage.step(words); });
+  tests::run_script(GetParam(), [&](const Words& words) { stage.step(words); });
 }
 INSTANTIATE_TEST_SUITE_P(All, ApiPlay, testing::ValuesIn(tests::files_in(TESTS "/api", ".txt")),
-                         tests::stem);
+                         tests::script_name);
 
 // One that does not read is cut, and says so last; one that reads misses nothing for it.
 TEST(Watches, a_slow_one_is_cut_and_no_other_suffers) {
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -2,8 +2,8 @@
 // tests/rollout/README.md.
 #include "rollout/rollout.h"
 
-#include "plays.h"
 #include "rollout/names.h"
+#include "scripted_test.h"
 
 namespace robinhoist::rollout {
 namespace {
@@ -138,10 +138,10 @@
       EXPECT_NE(refused, "");
     } else if (w[0] == "expect" && w[1] == "orders") {
       std::string what = w[2] + (w.size() > 5 ? " " + w[3] : "");
-      EXPECT_TRUE(tests::compares(orders[what], w[w.size() - 2], std::stod(w.back())))
+      EXPECT_TRUE(tests::compare(orders[what], w[w.size() - 2], std::stod(w.back())))
           << orders[what];
     } else if (w[0] == "expect") {
-      EXPECT_TRUE(tests::compares(figure(w[1]), w[2], std::stod(w[3]))) << figure(w[1]);
+      EXPECT_TRUE(tests::compare(figure(w[1]), w[2], std::stod(w[3]))) << figure(w[1]);
     } else {
       throw std::runtime_error("no such step");
     }
@@ -152,11 +152,12 @@
 
 TEST_P(RolloutPlay, goes_as_written) {
   Stage stage;
-  tests::play(GetParam(), [&](const Words& words) { stage.step(words); });
+  tests::run_script(GetParam(), [&](const Words& words) { stage.step(words); });
 }
 
 INSTANTIATE_TEST_SUITE_P(All, RolloutPlay,
-                         testing::ValuesIn(tests::files_in(TESTS "/rollout", ".txt")), tests::stem);
+                         testing::ValuesIn(tests::files_in(TESTS "/rollout", ".txt")),
+                         tests::script_name);
 
 }  // namespace
 }  // namespace robinhoist::rollout
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -29,7 +29,7 @@
 }
 
 // The words of a line; # opens a comment.
-ScenarioRunner::Words words_of(const std::string& line) {
+ScenarioRunner::Words split_words(const std::string& line) {
   std::istringstream in(line.substr(0, line.find('#')));
   return {std::istream_iterator<std::string>(in), {}};
 }
@@ -54,7 +54,7 @@
   for (const std::string& line : lines_of(fs::path(SCENARIOS) / (GetParam() + ".txt"))) {
     ++number;
     SCOPED_TRACE("line " + std::to_string(number) + ": " + line);
-    const ScenarioRunner::Words words = words_of(line);
+    const ScenarioRunner::Words words = split_words(line);
     if (words.empty())
       continue;
     ASSERT_NO_THROW(runner.execute(words));
--- a/tests/stage.h
+++ b/tests/stage.h
@@ -10,8 +10,8 @@
 #include <memory>
 #include <thread>
 
-#include "plays.h"
 #include "proxy/router.h"
+#include "scripted_test.h"
 #include "time/time_types.h"
 
 namespace robinhoist::tests {
@@ -257,19 +257,19 @@
     if (w[1] == "node") {
       ScriptNode& endpoint = *scripted.at(w[2]);
       if (w[3] == "requests")
-        EXPECT_TRUE(tests::compares(endpoint.requests, w[4], std::stod(w[5]))) << endpoint.requests;
+        EXPECT_TRUE(tests::compare(endpoint.requests, w[4], std::stod(w[5]))) << endpoint.requests;
       else
         EXPECT_EQ(endpoint.last.headers.get(w[3]), w[4]);
       return;
     }
     if (w[1] == "open") {
       EXPECT_TRUE(
-          tests::compares(static_cast<double>(router->open_requests()), w[2], std::stod(w[3])));
+          tests::compare(static_cast<double>(router->open_requests()), w[2], std::stod(w[3])));
       EXPECT_TRUE(router->held() < 1000);
       return;
     }
     if (w[1] == "clients") {
-      EXPECT_TRUE(tests::compares(static_cast<double>(router->clients()), w[2], std::stod(w[3])))
+      EXPECT_TRUE(tests::compare(static_cast<double>(router->clients()), w[2], std::stod(w[3])))
           << router->clients();
       return;
     }
@@ -302,7 +302,7 @@
       double count = 0;
       for (std::size_t at = 0; (at = client.got.find("HTTP/1.1 ", at)) != std::string::npos; ++at)
         ++count;
-      EXPECT_TRUE(tests::compares(count, wanted, std::stod(w[4]))) << count;
+      EXPECT_TRUE(tests::compare(count, wanted, std::stod(w[4]))) << count;
     } else
       throw std::runtime_error("expects what?");
   }
@@ -352,7 +352,7 @@
 // Plays a file; afterwards nothing may be left behind.
 inline void play_on(Stage& stage, const std::string& file) {
   stage.loop.call([&] { stage.begin(); });
-  play(file, [&](const Words& words) {
+  run_script(file, [&](const Words& words) {
     if (words[0] == "run")
       return std::this_thread::sleep_for(ms(words[1]));
     std::string wrong;
