--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -65,9 +65,9 @@
   for (int i = 0; i < 200; ++i)
     Journal(file_).append(entry);
   {
-    constexpr int page_size = 4096;
+    constexpr std::size_t page_size = 4096;
     std::fstream damaged(file_, std::ios::in | std::ios::out | std::ios::binary);
-    damaged.seekp(page_size * 2);
+    damaged.seekp(std::streamoff{page_size * 2});
     damaged << std::string(page_size, '\xff');
   }
   expect_open_fails(file_, "damaged");
--- a/tests/scripted_test.h
+++ b/tests/scripted_test.h
@@ -90,7 +90,7 @@
     const Words words = split_words(line);
     if (words.empty())
       continue;
-    SCOPED_TRACE(file + ":" + std::to_string(number) + ": " + line);
+    SCOPED_TRACE(testing::Message() << file << ":" << number << ": " << line);
     try {
       run_line(words);
     } catch (const std::exception& error) {
