--- a/src/migration/target.cpp
+++ b/src/migration/target.cpp
@@ -36,12 +36,30 @@
   return request;
 }
 
+const char* call_failure_text(http::CallResult result) {
+  switch (result) {
+    case http::CallResult::answered:
+      return "";
+    case http::CallResult::connect_failed:
+      return "not reached";
+    case http::CallResult::not_sent:
+      return "not sent";
+    case http::CallResult::connection_lost:
+      return "connection broke";
+    case http::CallResult::malformed:
+      return "garbled answer";
+    case http::CallResult::timed_out:
+      return "no answer in time";
+    case http::CallResult::cancelled:
+      break;
+  }
+  return "called off";
+}
+
 std::string failure_text(http::CallResult result, const http::Response& response) {
   if (result == http::CallResult::answered)
     return "status " + std::to_string(response.status) + ": " + response.body;
-  static const char* const texts[] = {
-      "", "not reached", "connection broke", "garbled answer", "no answer in time", "called off"};
-  return texts[static_cast<int>(result)];
+  return call_failure_text(result);
 }
 
 std::string run_body(int build, const Step& step, Direction direction, std::int64_t cursor,
--- a/tests/migration_runner_test.cpp
+++ b/tests/migration_runner_test.cpp
@@ -107,6 +107,11 @@
     return wait_until([&] { return runner_->allows(build, stage); });
   }
 
+  /// On the loop.
+  std::unique_ptr<Target> new_target() {
+    return std::make_unique<Target>(loop_, "127.0.0.1:" + std::to_string(database_->port()));
+  }
+
   void crash_at(int point) { crash_at_ = point; }
   /// How many crash points have been passed.
   int points() const { return points_; }
@@ -137,7 +142,7 @@
       restart_later();
       return;
     }
-    target_ = std::make_unique<Target>(loop_, "127.0.0.1:" + std::to_string(database_->port()));
+    target_ = new_target();
     runner_ = std::make_unique<Runner>(loop_, runner_settings(), *journal_, *target_, log_);
     try {
       if (!runner_->has_plan(build))
@@ -264,6 +269,30 @@
   }
 }
 
+TEST(MigrationTarget, NamesALostConnectionAndALateAnswer) {
+  Step step;
+  step.id = "s";
+  step.apply_statement = "SELECT 1";
+  step.timeout = 150ms;
+  const auto reason_of = [&](standin::DbFault fault) {
+    TestEnvironment environment;
+    std::unique_ptr<Target> target;
+    std::string reason;
+    environment.run_on_loop([&] {
+      environment.start(ReleaseState{});
+      environment.database().fault(fault, 1, 300ms);
+      target = environment.new_target();
+      target->run(build, step, Direction::apply, 0, 1,
+                  [&](const RunOutcome& outcome) { reason = outcome.reason; });
+    });
+    environment.wait_until([&] { return !reason.empty(); });
+    environment.run_on_loop([&] { target.reset(); });
+    return reason;
+  };
+  EXPECT_EQ(reason_of(standin::DbFault::drop_on_commit), "connection broke");
+  EXPECT_EQ(reason_of(standin::DbFault::hang), "no answer in time");
+}
+
 TEST(MigrationRunner, CopesWithFaultsOfTheDatabase) {
   for (auto fault :
        {standin::DbFault::refuse, standin::DbFault::error_inside, standin::DbFault::drop_on_commit,
