--- a/src/json/reader.h
+++ b/src/json/reader.h
@@ -1,8 +1,8 @@
 /// Checked reading of JSON objects.
 ///
-/// A document is parsed with parse_object(); its fields are then read by name and type. A field that
-/// is missing or has another type throws DecodeError, whose text names the field. The caller adds
-/// where the document came from.
+/// A document is parsed with parse_object(); its fields are then read by name and type. A field
+/// that is missing or has another type throws DecodeError, whose text names the field. The caller
+/// adds where the document came from.
 #pragma once
 #include <rapidjson/document.h>
 #include <rapidjson/error/en.h>
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -7,7 +7,7 @@
 #include <filesystem>
 #include <thread>
 
-#include "child.h"
+#include "child_process.h"
 #include "platform/process.h"
 #include "platform/protocol.h"
 #include "platform_fixture.h"
@@ -39,7 +39,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(All, PlatformScript,
-                         testing::ValuesIn(files_in(TESTS "/platform", ".txt")), stem);
+                         testing::ValuesIn(files_in(TESTS "/platform", ".txt")), script_name);
 
 TEST(Config, names_the_field_that_is_wrong) {
   struct Case {
@@ -156,7 +156,7 @@
 // One after the other in one process at one address: the second knows nothing of the first's
 // request classes.
 TEST(Customers, one_follows_another_at_the_same_address) {
-  const int port = port_free();
+  const int port = free_port();
   for (const bool second : {false, true}) {
     const std::string text =
         replace_once(config_text(), "127.0.0.1:0", "127.0.0.1:" + std::to_string(port));
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -5,9 +5,9 @@
 
 #include "membership/membership.h"
 #include "objects/selector.h"
-#include "plays.h"
 #include "releases/follower.h"
 #include "rollout/names.h"
+#include "scripted_test.h"
 
 namespace robinhoist {
 namespace {
@@ -42,7 +42,7 @@
       membership_->expire(now_);
     } else if (words[0] == "expect") {
       const int count = measure(words[1]);
-      EXPECT_TRUE(tests::compares(count, words[2], std::stod(words[3]))) << count;
+      EXPECT_TRUE(tests::compare(count, words[2], std::stod(words[3]))) << count;
     } else {
       throw std::runtime_error("no such line");
     }
@@ -69,10 +69,11 @@
 };
 
 TEST_P(MembershipScenario, BehavesAsWritten) {
-  tests::play(GetParam(), [this](const Words& words) { step(words); });
+  tests::run_script(GetParam(), [this](const Words& words) { step(words); });
 }
 INSTANTIATE_TEST_SUITE_P(All, MembershipScenario,
-                         testing::ValuesIn(tests::files_in(TESTS "/members", ".txt")), tests::stem);
+                         testing::ValuesIn(tests::files_in(TESTS "/members", ".txt")),
+                         tests::script_name);
 
 // --- What a proxy makes of a watch
 
@@ -142,11 +143,11 @@
 };
 
 TEST_P(FollowerScenario, BehavesAsWritten) {
-  tests::play(GetParam(), [this](const Words& words) { step(words); });
+  tests::run_script(GetParam(), [this](const Words& words) { step(words); });
 }
 INSTANTIATE_TEST_SUITE_P(All, FollowerScenario,
                          testing::ValuesIn(tests::files_in(TESTS "/follower", ".txt")),
-                         tests::stem);
+                         tests::script_name);
 
 // --- Selectors
 
