--- a/src/controller/process.cpp
+++ b/src/controller/process.cpp
@@ -2,12 +2,16 @@
 
 #include <csignal>
 
+#include "controller/controller.h"
+#include "deployment/deployment.h"
 #include "net/signals.h"
 #include "registry/service.h"
 
 namespace robinhoist::controller {
 namespace {
 
+using namespace std::chrono_literals;
+
 Token read_token(settings::SexpReader form) {
   Token token;
   token.name = form.positional(0, "a name");
@@ -21,19 +25,34 @@
   return token;
 }
 
+void read_steps(settings::SexpReader& steps, settings::SexpReader& controller, Settings& settings) {
+  settings.steps_target = steps.text("target");
+  settings.steps_lease = steps.duration("lease", 100ms, 1h, 10s);
+  settings.throttle_backfills = steps.boolean("throttle", true);
+  steps.finish();
+  if (settings.journal.empty())
+    controller.add_problem("steps", "need a (journal FILE): what ran must outlive the process");
+}
+
+bool is_loopback(const std::string& address) {
+  const std::string host = address.substr(0, address.rfind(':'));
+  return host == "localhost" || host == "[::1]" || host.rfind("127.", 0) == 0;
+}
+
 // A series of versions lives as long as the process does.
-std::string fresh_series() {
+std::string new_series() {
   return std::to_string(net::wall_now().time_since_epoch().count());
 }
 
+// Runs the service that `make` creates on a loop until a signal ends it.
 template <class Make>
-int serve(const char* who, Make make) {
-  log::Logger log(who);
+int serve(const char* name, Make make) {
+  log::Logger log(name);
   net::Loop loop(net::steady_now());
   net::Signals signals(loop, {SIGTERM, SIGINT}, [&](int) { loop.quit(); });
   std::signal(SIGPIPE, SIG_IGN);
   auto service = make(loop, log);
-  log.info("serves", {{"port", log::text(service->port())}});
+  log.info("listening", {{"port", log::text(service->port())}});
   loop.run();
   return 0;
 }
@@ -41,43 +60,33 @@
 }  // namespace
 
 Settings read(settings::SexpReader root) {
-  Settings to;
-  auto deployment = deployment::read(root.child("deployment"));
+  Settings settings;
+  const auto deployment = deployment::read(root.child("deployment"));
   settings::SexpReader form = root.child("controller");
-  to.server.listen = form.text("listen");
-  to.places = form.integer("places", 1, 100000);
-  to.build = form.integer("build", 1, 65535);
-  to.journal = form.text("journal", "");
-  to.who = form.text("name", "controller");
-  if (auto steps = form.optional_child("steps")) {
-    to.steps_target = steps->text("target");
-    to.lease = steps->duration("lease", std::chrono::milliseconds(100), std::chrono::hours(1),
-                               std::chrono::seconds(10));
-    to.throttle = steps->boolean("throttle", true);
-    steps->finish();
-    if (to.journal.empty())
-      form.add_problem("steps", "need a (journal FILE): what ran must outlive the process");
-  }
+  settings.server.listen = form.text("listen");
+  settings.slots = form.integer("places", 1, 100000);
+  settings.initial_build = form.integer("build", 1, 65535);
+  settings.journal = form.text("journal", "");
+  settings.name = form.text("name", "controller");
+  if (auto steps = form.optional_child("steps"))
+    read_steps(*steps, form, settings);
   for (settings::SexpReader& token : form.children("token"))
-    to.tokens.push_back(read_token(token));
+    settings.tokens.push_back(read_token(token));
   // What anybody may do must not be within anybody's reach.
-  const std::string host = to.server.listen.substr(0, to.server.listen.rfind(':'));
-  if (to.tokens.empty() && host != "localhost" && host != "[::1]" && host.rfind("127.", 0) != 0)
+  if (settings.tokens.empty() && !is_loopback(settings.server.listen))
     form.add_problem("listen", "is not on loopback, and there is no (token ...)");
-  to.requests_per_s = form.number("requests-per-s", 0, 1e6, 0.0);
-  to.history = static_cast<std::size_t>(form.integer("history", 10, 1000000, 1000));
-  to.watches.most = static_cast<std::size_t>(form.integer("watches", 1, 100000, 5000));
-  to.members.lease = form.duration("umpire-lease", std::chrono::milliseconds(100),
-                                   std::chrono::hours(1), std::chrono::seconds(3));
-  to.members.memory = form.duration("umpire-memory", std::chrono::seconds(1),
-                                    std::chrono::hours(24 * 7), std::chrono::minutes(10));
-  if (to.members.memory < to.members.lease)
+  settings.requests_per_s = form.number("requests-per-s", 0, 1e6, 0.0);
+  settings.max_events = static_cast<std::size_t>(form.integer("history", 10, 1000000, 1000));
+  settings.watches.max_watches = static_cast<std::size_t>(form.integer("watches", 1, 100000, 5000));
+  settings.membership.lease = form.duration("umpire-lease", 100ms, 1h, 3s);
+  settings.membership.retention = form.duration("umpire-memory", 1s, 24h * 7, 10min);
+  if (settings.membership.retention < settings.membership.lease)
     form.add_problem("umpire-memory", "is less than umpire-lease");
   form.finish();
   root.finish();
-  to.proxies = deployment.proxies;
-  to.rollout = deployment.rollout;
-  return to;
+  settings.proxies = deployment.proxies;
+  settings.rollout = deployment.rollout;
+  return settings;
 }
 
 int run(const Settings& settings) {
@@ -87,17 +96,17 @@
 }
 
 ListSettings read_list(settings::SexpReader root) {
-  ListSettings to;
+  ListSettings settings;
   settings::SexpReader form = root.child("list");
-  to.server.listen = form.text("listen");
+  settings.server.listen = form.text("listen");
   form.finish();
   root.finish();
-  return to;
+  return settings;
 }
 
 int run_list(const ListSettings& settings) {
   return serve("list", [&](net::Loop& loop, const log::Logger&) {
-    return std::make_unique<registry::Service>(loop, settings.server, fresh_series());
+    return std::make_unique<registry::Service>(loop, settings.server, new_series());
   });
 }
 
--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -20,7 +20,7 @@
     case PromotionMode::first_vote:
       return 1;
     case PromotionMode::count:
-      return rollout::Rollout::needed(deployment.rollout.votes_to_promote, deployment.proxies);
+      return rollout::votes_needed(deployment.rollout.votes_to_promote, deployment.proxies);
   }
   return 0;
 }
@@ -29,7 +29,7 @@
 int votes_to_hold(const Deployment& deployment) {
   if (deployment.rollout.promotion_mode != PromotionMode::clock)
     return 0;
-  return rollout::Rollout::needed(deployment.rollout.votes_to_hold, deployment.proxies);
+  return rollout::votes_needed(deployment.rollout.votes_to_hold, deployment.proxies);
 }
 
 }  // namespace
@@ -91,7 +91,7 @@
   AnalysisSettings settings{};
   settings.promotion_mode = deployment.rollout.promotion_mode;
   settings.bake = deployment.rollout.bake;
-  settings.step = deployment.rollout.step;
+  settings.step = deployment.rollout.stage_duration;
   settings.vote_lifetime = deployment.rollout.vote_lifetime;
   settings.call_timeout = deployment.vote_timeout;
   settings.votes_per_s = deployment.rollout.votes_per_s;
@@ -100,7 +100,7 @@
   settings.votes_to_promote = votes_to_promote(deployment);
   settings.votes_to_hold = votes_to_hold(deployment);
   settings.votes_to_roll_back =
-      rollout::Rollout::needed(deployment.rollout.votes_to_roll_back, deployment.proxies);
+      rollout::votes_needed(deployment.rollout.votes_to_roll_back, deployment.proxies);
   return settings;
 }
 
--- a/src/deployment/reader.cpp
+++ b/src/deployment/reader.cpp
@@ -118,16 +118,16 @@
                             {word::count, PromotionMode::count},
                             {word::clock, PromotionMode::clock}});
   rollout.bake = form.duration(key::bake, 0ms, max_release_time);
-  rollout.step = form.duration(key::step, 0ms, max_release_time, 0ms);
-  if (rollout.promotion_mode == PromotionMode::clock && rollout.step == Duration{})
+  rollout.stage_duration = form.duration(key::step, 0ms, max_release_time, 0ms);
+  if (rollout.promotion_mode == PromotionMode::clock && rollout.stage_duration == Duration{})
     form.add_problem("step is missing: the clock needs it");
   rollout.settle = form.duration(key::settle, 0ms, 1h, 1s);
-  rollout.launch_most = form.duration(key::launch_within, 1ms, max_release_time, 8s);
+  rollout.max_launch_time = form.duration(key::launch_within, 1ms, max_release_time, 8s);
   rollout.drain = form.duration(key::drain, 0ms, max_release_time);
   if (rollout.drain < deployment.drain_grace)
     form.add_problem(key::drain,
                      "is shorter than the drain-grace of the rules: work would be cut off");
-  rollout.back_for = form.duration(key::rollback_window, 0ms, max_rollback_window, 0ms);
+  rollout.rollback_window = form.duration(key::rollback_window, 0ms, max_rollback_window, 0ms);
   rollout.vote_lifetime = form.duration(key::vote_lifetime, 1ms, 1h);
   rollout.votes_to_promote = form.number(key::promote_share, 0, 1, 0.0);
   rollout.votes_to_hold = form.number(key::hold_share, 0, 1, 0.1);
--- a/src/proxy/watch_release_source.cpp
+++ b/src/proxy/watch_release_source.cpp
@@ -107,7 +107,7 @@
         "&series=" + follower_.series() + "&resourceVersion=" + std::to_string(follower_.version());
   if (!settings_.token.empty())
     request.headers.add("Authorization", "Bearer " + settings_.token);
-  follower_.begins(from_scratch);
+  follower_.begin(from_scratch);
   stream_.start(
       request, {watch_silence_timeout, watch_silence_timeout},
       [this](std::string& body) { return read_events(body); },
@@ -131,21 +131,21 @@
   using Line = releases::Follower::Line;
   bool any = false;
   for (;;) {
-    const Line line = follower_.take(body, loop_.now());
+    const Line line = follower_.consume_line(body, loop_.now());
     if (line == Line::none)
       return any;
     any = true;
-    if (line == Line::taken)
+    if (line == Line::accepted)
       continue;
     follower_ = {};
     stream_.stop();
-    watch_ended(line == Line::begin_anew ? http_gone : 0);
+    watch_ended(line == Line::expired ? http_gone : 0);
     return false;
   }
 }
 
 void WatchReleaseSource::apply_newest() {
-  const auto newest = follower_.news(loop_.now());
+  const auto newest = follower_.next_update(loop_.now());
   if (!newest)
     return;
   newest_release_ = newest->name;
