--- a/tests/faulty_vfs.h
+++ b/tests/faulty_vfs.h
@@ -1,5 +1,7 @@
-// SQLite's file layer with a fault in it: from its nth write, cut or sync on, so many fail, half of
-// what they were given having been written. It becomes the default layer while it lives.
+/// SQLite's file layer with a fault in it, for tests of durability.
+///
+/// From its nth write, truncation or sync on, so many of them fail; of a failing write half of the
+/// data has been written. It is SQLite's default layer while it exists.
 #pragma once
 #include <sqlite3.h>
 
@@ -8,6 +10,7 @@
 
 namespace robinhoist::tests {
 
+/// One at a time; files that were opened through it must be closed before it ends.
 class FaultyVfs {
  public:
   FaultyVfs() : real_(sqlite3_vfs_find(nullptr)), vfs_(*real_) {
@@ -30,23 +33,33 @@
   }
   FaultyVfs(const FaultyVfs&) = delete;
   FaultyVfs& operator=(const FaultyVfs&) = delete;
-  void fail(int from, int times) { from_ = from, until_ = from + times, seen_ = 0; }
+
+  /// Lets the operations from number `first` on fail, `count` of them, and starts counting at 0.
+  void fail(int first, int count) {
+    first_failure_ = first;
+    failures_end_ = first + count;
+    seen_ = 0;
+  }
+  /// How many operations there were since fail().
   int seen() const { return seen_; }
 
  private:
   struct File {
     sqlite3_file base;
-    FaultyVfs* of;
+    FaultyVfs* owner;
     sqlite3_file* real;
   };
+
+  /// Counts an operation.
   bool fails() {
-    const int now = seen_++;
-    return now >= from_ && now < until_;
+    const int number = seen_++;
+    return number >= first_failure_ && number < failures_end_;
   }
-  template <auto method, class... Args>
+  /// Hands a call on to the real file.
+  template <auto Method, class... Args>
   static int pass(sqlite3_file* file, Args... args) {
     sqlite3_file* real = reinterpret_cast<File*>(file)->real;
-    return (real->pMethods->*method)(real, args...);
+    return (real->pMethods->*Method)(real, args...);
   }
   static const sqlite3_io_methods& methods() {
     using M = sqlite3_io_methods;
@@ -56,18 +69,18 @@
       m.xClose = pass<&M::xClose>;
       m.xRead = pass<&M::xRead, void*, int, sqlite3_int64>;
       m.xWrite = [](sqlite3_file* file, const void* data, int size, sqlite3_int64 at) {
-        if (!reinterpret_cast<File*>(file)->of->fails())
+        if (!reinterpret_cast<File*>(file)->owner->fails())
           return pass<&M::xWrite>(file, data, size, at);
         pass<&M::xWrite>(file, data, size / 2, at);
         return SQLITE_IOERR_WRITE;
       };
       m.xTruncate = [](sqlite3_file* file, sqlite3_int64 size) {
-        return reinterpret_cast<File*>(file)->of->fails() ? SQLITE_IOERR_TRUNCATE
-                                                          : pass<&M::xTruncate>(file, size);
+        return reinterpret_cast<File*>(file)->owner->fails() ? SQLITE_IOERR_TRUNCATE
+                                                             : pass<&M::xTruncate>(file, size);
       };
       m.xSync = [](sqlite3_file* file, int flags) {
-        return reinterpret_cast<File*>(file)->of->fails() ? SQLITE_IOERR_FSYNC
-                                                          : pass<&M::xSync>(file, flags);
+        return reinterpret_cast<File*>(file)->owner->fails() ? SQLITE_IOERR_FSYNC
+                                                             : pass<&M::xSync>(file, flags);
       };
       m.xFileSize = pass<&M::xFileSize, sqlite3_int64*>;
       m.xLock = pass<&M::xLock, int>;
@@ -90,7 +103,9 @@
 
   sqlite3_vfs* real_;
   sqlite3_vfs vfs_;
-  int from_ = -1, until_ = -1, seen_ = 0;
+  int first_failure_ = -1;
+  int failures_end_ = -1;
+  int seen_ = 0;
 };
 
 }  // namespace robinhoist::tests
