--- a/src/json/framer.h
+++ b/src/json/framer.h
@@ -1,63 +1,100 @@
-// Cuts a stream of JSON objects into whole ones, however they are laid out and in whatever pieces
-// they come. Whether an object makes sense is the parser's to say. Free of I/O.
+/// Cuts a stream of JSON objects into single objects.
+///
+/// The objects may be laid out over several lines and arrive in pieces of any size. Whether an
+/// object is valid JSON is left to the parser. It does no I/O.
 #pragma once
 #include <cstddef>
 #include <string_view>
 
 namespace robinhoist::json {
 
-enum class FrameStatus { more, object, bad };
+enum class FrameStatus {
+  incomplete,  ///< More input is needed.
+  object,      ///< A whole object is in Framer::object().
+  malformed,   ///< Something other than blanks stands between objects, or an object is too long.
+};
 
+/// Scans a buffer that grows at its end, and from whose front the caller removes what consume()
+/// says.
 class Framer {
  public:
-  // An object longer than `most` is none.
-  explicit Framer(std::size_t most) : most_(most) {}
+  /// An object longer than `max_object_size` bytes is malformed.
+  explicit Framer(std::size_t max_object_size) : max_object_size_(max_object_size) {}
 
-  // Looks on through what has come, from where it stopped. After `object` that is in object();
-  // `bad`: what comes between objects is no space.
-  FrameStatus next(std::string_view in) {
-    for (; at_ < in.size(); ++at_) {
-      const char c = in[at_];
+  /// Goes on through the buffer from where the last call stopped.
+  FrameStatus next(std::string_view buffer) {
+    for (; position_ < buffer.size(); ++position_) {
+      const char c = buffer[position_];
       if (depth_ == 0) {
-        lines_ += c == '\n';
-        if (c == ' ' || c == '\t' || c == '\r' || c == '\n')
+        if (c == '\n')
+          ++lines_;
+        if (is_blank(c))
           continue;
         if (c != '{')
-          return FrameStatus::bad;
-        begin_ = at_;
+          return FrameStatus::malformed;
+        object_begin_ = position_;
         depth_ = 1;
-      } else if (at_ - begin_ >= most_) {
-        return FrameStatus::bad;
-      } else if (escaped_) {
-        escaped_ = false;
-      } else if (quoted_) {
-        escaped_ = c == '\\';
-        quoted_ = c != '"';
-      } else if (c == '"') {
-        quoted_ = true;
-      } else if (c == '{' || c == '[') {
-        ++depth_;
-      } else if ((c == '}' || c == ']') && --depth_ == 0) {
-        object_ = in.substr(begin_, ++at_ - begin_);
+        continue;
+      }
+      if (position_ - object_begin_ >= max_object_size_)
+        return FrameStatus::malformed;
+      if (ends_object(c)) {
+        ++position_;
+        object_ = buffer.substr(object_begin_, position_ - object_begin_);
         return FrameStatus::object;
       }
     }
-    return FrameStatus::more;
+    return FrameStatus::incomplete;
   }
+
+  /// The last whole object; a view of the buffer that next() got.
   std::string_view object() const { return object_; }
-  // How many lines have ended between objects.
+
+  /// How many line ends there were between objects.
   std::size_t lines() const { return lines_; }
-  // What lies before is done with; the caller takes it off the front.
-  std::size_t done() {
-    const std::size_t done = depth_ > 0 ? begin_ : at_;
-    at_ -= done;
-    begin_ = 0;
-    return done;
+
+  /// How many bytes at the front of the buffer are not needed any more. The caller removes them.
+  std::size_t consume() {
+    const std::size_t consumed = depth_ > 0 ? object_begin_ : position_;
+    position_ -= consumed;
+    object_begin_ = 0;
+    return consumed;
   }
 
  private:
-  std::size_t most_, at_ = 0, begin_ = 0, depth_ = 0, lines_ = 0;
-  bool quoted_ = false, escaped_ = false;
+  static bool is_blank(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
+
+  /// Takes one character inside an object; true when it is the object's last.
+  bool ends_object(char c) {
+    if (in_string_) {
+      scan_string(c);
+      return false;
+    }
+    if (c == '"')
+      in_string_ = true;
+    else if (c == '{' || c == '[')
+      ++depth_;
+    else if (c == '}' || c == ']')
+      --depth_;
+    return depth_ == 0;
+  }
+
+  void scan_string(char c) {
+    if (escaped_) {
+      escaped_ = false;
+      return;
+    }
+    escaped_ = c == '\\';
+    in_string_ = c != '"';
+  }
+
+  std::size_t max_object_size_;
+  std::size_t position_ = 0;
+  std::size_t object_begin_ = 0;
+  std::size_t depth_ = 0;
+  std::size_t lines_ = 0;
+  bool in_string_ = false;
+  bool escaped_ = false;
   std::string_view object_{};
 };
 
--- a/src/platform/watch.cpp
+++ b/src/platform/watch.cpp
@@ -77,7 +77,7 @@
     failed(error.what());
     return false;
   }
-  body.erase(0, framer_.done());
+  body.erase(0, framer_.consume());
   const bool alive = objects > 0 || framer_.lines() > lines_before;
   if (alive)
     succeeded();
@@ -88,9 +88,9 @@
 std::size_t Watch::deliver_objects(std::string& body) {
   for (std::size_t objects = 0;; ++objects) {
     const json::FrameStatus framed = framer_.next(body);
-    if (framed == json::FrameStatus::bad)
+    if (framed == json::FrameStatus::malformed)
       throw json::DecodeError("what comes is no JSON object");
-    if (framed == json::FrameStatus::more)
+    if (framed == json::FrameStatus::incomplete)
       return objects;
     on_object_(json::parse_object(framer_.object()));
   }
