--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -63,16 +63,15 @@
 EndpointSettings endpoint_settings(const Deployment& deployment, int zone, int number) {
   EndpointSettings settings{};
   settings.zone = zone;
-  settings.cold_for = deployment.warm_up_time;
-  settings.fall_window = deployment.collapse_window;
-  settings.cold_from = deployment.initial_warm_up_factor;
-  settings.fall_multiple = deployment.collapse_multiple;
-  settings.must_ask = false;  // the list's source watches by itself
-  settings.sized = deployment.uses_sizes;
-  settings.probes = false;
+  settings.warm_up_time = deployment.warm_up_time;
+  settings.collapse_window = deployment.collapse_window;
+  settings.initial_warm_up_factor = deployment.initial_warm_up_factor;
+  settings.collapse_multiple = deployment.collapse_multiple;
+  settings.polls_list = false;  // the list's source watches by itself
+  settings.uses_sizes = deployment.uses_sizes;
   settings.reports = deployment.load_reports;
-  settings.me = number;
-  settings.proxies = deployment.proxies;
+  settings.proxy_index = number;
+  settings.proxy_count = deployment.proxies;
   return settings;
 }
 
@@ -112,14 +111,11 @@
   for (const NamedTenant& named : deployment.tenants)
     settings.tenants.push_back(named.tenant);
   settings.max_attempts = deployment.max_attempts;
-  settings.proxies = deployment.proxies;
   settings.hedging = deployment.hedging;
   settings.cancelling = true;
-  settings.advice = deployment.retry_after;
-  settings.max_pause = deployment.retry_delay;
-  settings.slack = Duration{};
+  settings.retry_after = deployment.retry_after;
+  settings.retry_delay = deployment.retry_delay;
   settings.tick = tick;
-  settings.over_quota_weight = deployment.over_quota_weight;
   return settings;
 }
 
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -93,36 +93,37 @@
 void decode_request_limits(const Value& object, RequestSettings& settings) {
   const Value& bounds = json::nested_object(object, field::bounds);
   settings.max_attempts = json::integer(bounds, field::max_attempts, 1);
-  settings.proxies = json::integer(object, field::proxies, 1);
+  json::integer(object, field::proxies, 1);  // checked in this order, used by the endpoint settings
   settings.hedging = json::boolean(bounds, field::hedging);
   settings.cancelling = json::boolean(bounds, field::cancelling);
-  settings.advice = json::boolean(bounds, field::retry_after);
-  settings.max_pause = not_negative_ms(bounds, field::max_retry_after_ms);
-  settings.slack =
-      not_negative_ms(json::nested_object(object, field::safety), field::answer_slack_ms);
+  settings.retry_after = json::boolean(bounds, field::retry_after);
+  settings.retry_delay = not_negative_ms(bounds, field::max_retry_after_ms);
+  // Checked, not used.
+  not_negative(json::nested_object(object, field::safety), field::answer_slack_ms);
   settings.tick = positive_ms(object, field::tick_ms);
-  settings.over_quota_weight = not_negative(object, field::over_quota_weight);
+  not_negative(object, field::over_quota_weight);  // checked, not used
 }
 
 EndpointSettings decode_endpoint_settings(const Value& object) {
   const Value& safety = json::nested_object(object, field::safety);
   EndpointSettings settings{};
   settings.zone = json::integer(object, field::zone);
-  settings.me = json::integer(object, field::proxy_index);
-  settings.proxies = json::integer(object, field::proxies, 1);
-  settings.cold_for = json::duration(safety, field::warm_up_time_ms);
-  settings.fall_window = positive_ms(safety, field::collapse_window_ms);
-  settings.ask_within = not_negative_ms(safety, field::poll_within_ms);
-  settings.cold_from = positive(safety, field::initial_warm_up_factor);
-  if (settings.cold_from > 1)
+  settings.proxy_index = json::integer(object, field::proxy_index);
+  settings.proxy_count = json::integer(object, field::proxies, 1);
+  settings.warm_up_time = json::duration(safety, field::warm_up_time_ms);
+  settings.collapse_window = positive_ms(safety, field::collapse_window_ms);
+  not_negative(safety, field::poll_within_ms);  // checked, not used
+  settings.initial_warm_up_factor = positive(safety, field::initial_warm_up_factor);
+  if (settings.initial_warm_up_factor > 1)
     throw bad_setting(field::initial_warm_up_factor, "must not be above 1");
-  settings.fall_multiple = positive(safety, field::collapse_multiple);
-  settings.must_ask =
+  settings.collapse_multiple = positive(safety, field::collapse_multiple);
+  settings.polls_list =
       json::enumerator<bool>(object, field::list_mode, {{"automatic", false}, {"subscribe", true}});
-  settings.sized = json::enumerator<bool>(
+  settings.uses_sizes = json::enumerator<bool>(
       object, field::sizes,
       {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
-  settings.probes = json::boolean(json::nested_object(object, field::bounds), field::probes);
+  // Checked, not used.
+  json::boolean(json::nested_object(object, field::bounds), field::probes);
   settings.reports = json::enumerator<LoadReportSource>(
       json::nested_object(object, field::load_report), field::load_report_source,
       {{"piggyback", LoadReportSource::answers},
@@ -203,9 +204,9 @@
 
 std::optional<double>* load_field(LoadReport& report, std::string_view name) {
   const std::pair<const char*, std::optional<double>*> values[] = {
-      {load::in_flight, &report.held},         {load::queued, &report.waiting},
-      {load::utilization, &report.busy},       {load::service_ms, &report.service_ms},
-      {load::served_per_s, &report.served_ps}, {load::failed_per_s, &report.failed_ps}};
+      {load::in_flight, &report.in_flight},       {load::queued, &report.queued},
+      {load::utilization, &report.utilization},   {load::service_ms, &report.service_ms},
+      {load::served_per_s, &report.served_per_s}, {load::failed_per_s, &report.failed_per_s}};
   for (const auto& [known, value] : values)
     if (name == known)
       return value;
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -31,15 +31,15 @@
 // The field of a load report that a metric belongs to, or null.
 std::optional<double>* load_metric(LoadReport& load, std::string_view name) {
   if (name == "cpu_utilization")
-    return &load.busy;
+    return &load.utilization;
   if (name == "named_metrics.held")
-    return &load.held;
+    return &load.in_flight;
   if (name == "named_metrics.waiting")
-    return &load.waiting;
+    return &load.queued;
   if (name == "rps_fractional")
-    return &load.served_ps;
+    return &load.served_per_s;
   if (name == "eps")
-    return &load.failed_ps;
+    return &load.failed_per_s;
   return nullptr;
 }
 
--- a/src/proxy/process.h
+++ b/src/proxy/process.h
@@ -1,7 +1,7 @@
 /// One proxy as a process: event loop, sources, router and admin API.
 ///
-///   SIGTERM, SIGINT   no new requests; exits once all open ones are answered. A second signal
-///                     exits at once.
+/// On SIGTERM or SIGINT it accepts no new requests and exits once all open ones are answered. A
+/// second signal makes it exit at once.
 #pragma once
 #include "proxy/settings.h"
 
--- a/src/proxy/router_decisions.cpp
+++ b/src/proxy/router_decisions.cpp
@@ -8,24 +8,6 @@
 #include "rollout/names.h"
 
 namespace robinhoist::proxy {
-namespace {
-
-const char* verdict_text(Verdict verdict) {
-  switch (verdict) {
-    case Verdict::promote:
-      return "promote";
-    case Verdict::hold:
-      return "hold";
-    case Verdict::roll_back:
-      return "roll back";
-    case Verdict::none:
-      break;
-  }
-  return "none";
-}
-
-}  // namespace
-
 // ---- Decisions of the engine
 
 // Carrying out a decision may give the engine more input; the outermost call goes on until there
@@ -67,7 +49,7 @@
       vote(decision);
       break;
     case Action::wake:
-      schedule_engine(decision.span);
+      schedule_engine(decision.duration);
       break;
     case Action::log:
       set_mode(decision);
@@ -82,8 +64,8 @@
   ++counters_.attempts;
   ++upstream.in_flight;
   Duration timeout = std::max(Duration(1), request.deadline - loop_.now());
-  if (decision.span > Duration{})
-    timeout = std::min(timeout, decision.span);
+  if (decision.duration > Duration{})
+    timeout = std::min(timeout, decision.duration);
   tracer_.attempt_started(request, upstream, timeout, loop_.now());
   auto on_end = [this, id](http::CallResult how, http::Response&& response) {
     attempt_ended(id, protocol_.classify(how, response), std::move(response));
@@ -103,8 +85,8 @@
   const char* reason =
       request.attempts.empty() ? wire_names::no_capacity : rollout::to_string(request.last_outcome);
   ++counters_.rejected;
-  finish(request, protocol_.rejected(decision.span, reason),
-         {.outcome = wire_names::rejected, .reason = reason, .retry_after = decision.span});
+  finish(request, protocol_.rejected(decision.duration, reason),
+         {.outcome = wire_names::rejected, .reason = reason, .retry_after = decision.duration});
   forget_if_done(decision.request_id);
 }
 
@@ -137,7 +119,7 @@
   ++counters_.votes;
   log_.info("vote", {{"build", log::text(decision.build)},
                      {"stage", log::text(decision.stage)},
-                     {"verdict", verdict_text(decision.verdict)}});
+                     {"verdict", to_string(decision.verdict)}});
   const Vote vote{.build = decision.build, .stage = decision.stage, .verdict = decision.verdict};
   release_source_.vote(vote, [this](Outcome outcome) {
     engine_.vote_answered(outcome, loop_.now());
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -82,10 +82,10 @@
 void put_details(json::Writer& out, const Decision& decision) {
   switch (decision.action) {
     case Action::forward:
-      out.put_ms(field::timeout_ms, decision.span);
+      out.put_ms(field::timeout_ms, decision.duration);
       break;
     case Action::reject:
-      out.put_ms(field::retry_after_ms, decision.span);
+      out.put_ms(field::retry_after_ms, decision.duration);
       break;
     case Action::cancel:
       out.put(field::attempt, decision.attempt);
@@ -99,7 +99,7 @@
       out.put(field::reason, static_cast<int>(decision.verdict));
       break;
     case Action::wake:
-      out.put_ms(field::delay_ms, decision.span);
+      out.put_ms(field::delay_ms, decision.duration);
       out.put(field::timer, 0);
       break;
     case Action::log:
