--- a/tests/scenario_runner.cpp
+++ b/tests/scenario_runner.cpp
@@ -6,6 +6,8 @@
 #include <sstream>
 #include <stdexcept>
 
+#include "scenario_names.h"
+
 namespace robinhoist {
 
 namespace {
@@ -31,57 +33,6 @@
   return static_cast<int>(number_at(words, index));
 }
 
-// The notation's names of an enumeration.
-template <class T>
-using Names = std::map<std::string, T>;
-
-template <class T>
-T enumerator(const std::string& name, const Names<T>& names) {
-  const auto found = names.find(name);
-  if (found == names.end())
-    throw std::runtime_error("unknown word " + name);
-  return found->second;
-}
-
-const Names<Outcome> outcome_names = {{"ok", Outcome::ok},
-                                      {"error", Outcome::error},
-                                      {"full", Outcome::rejected},
-                                      {"timeout", Outcome::timeout},
-                                      {"noconn", Outcome::connect_failure},
-                                      {"reset", Outcome::reset},
-                                      {"cancelled", Outcome::cancelled},
-                                      {"moot", Outcome::obsolete},
-                                      {"unknown", Outcome::unknown}};
-const Names<Idempotency> idempotency_names = {{"inquiry", Idempotency::idempotent},
-                                              {"referenced", Idempotency::idempotent_with_key},
-                                              {"once", Idempotency::non_idempotent}};
-const Names<DedupScope> dedup_scope_names = {
-    {"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}};
-const Names<EndpointPhase> endpoint_phase_names = {{"in", EndpointPhase::ready},
-                                                   {"lame", EndpointPhase::draining},
-                                                   {"out", EndpointPhase::removed}};
-const Names<ReleasePhase> release_phase_names = {{"trial", ReleasePhase::canary},
-                                                 {"back", ReleasePhase::rolling_back},
-                                                 {"released", ReleasePhase::released},
-                                                 {"withdrawn", ReleasePhase::rolled_back}};
-const Names<PromotionMode> promotion_mode_names = {{"first", PromotionMode::first_vote},
-                                                   {"count", PromotionMode::count},
-                                                   {"clock", PromotionMode::clock}};
-
-const char* verdict_name(Verdict verdict) {
-  switch (verdict) {
-    case Verdict::none:
-      return "none";
-    case Verdict::promote:
-      return "on";
-    case Verdict::hold:
-      return "hold";
-    case Verdict::roll_back:
-      return "back";
-  }
-  return "?";
-}
-
 std::vector<std::string> split(const std::string& text, char separator) {
   std::vector<std::string> parts;
   std::istringstream in(text);
