--- a/src/proxy/admin_server.h
+++ b/src/proxy/admin_server.h
@@ -1,10 +1,10 @@
 /// The admin API of a proxy, on a port of its own that clients must not reach:
 ///
-///   GET  /health      200 once it serves
-///   GET  /status      counters and endpoints as JSON
-///   GET  /txns        all traces, one JSON object a line
-///   GET  /txns/ID     the trace of one request
-///   POST /wrong       {"node": NAME}: a client has found a response of that endpoint wrong
+/// - `GET /health`: 200 once it serves
+/// - `GET /status`: counters and endpoints as JSON
+/// - `GET /txns`: all traces, one JSON object a line
+/// - `GET /txns/ID`: the trace of one request
+/// - `POST /wrong` with `{"node": NAME}`: a client has found a response of that endpoint wrong
 #pragma once
 #include <string>
 
--- a/src/proxy/router_decisions.cpp
+++ b/src/proxy/router_decisions.cpp
@@ -8,24 +8,6 @@
 #include "rollout/names.h"
 
 namespace robinhoist::proxy {
-namespace {
-
-const char* verdict_text(Verdict verdict) {
-  switch (verdict) {
-    case Verdict::promote:
-      return "promote";
-    case Verdict::hold:
-      return "hold";
-    case Verdict::roll_back:
-      return "roll back";
-    case Verdict::none:
-      break;
-  }
-  return "none";
-}
-
-}  // namespace
-
 // ---- Decisions of the engine
 
 // Carrying out a decision may give the engine more input; the outermost call goes on until there
@@ -137,7 +119,7 @@
   ++counters_.votes;
   log_.info("vote", {{"build", log::text(decision.build)},
                      {"stage", log::text(decision.stage)},
-                     {"verdict", verdict_text(decision.verdict)}});
+                     {"verdict", to_string(decision.verdict)}});
   const Vote vote{.build = decision.build, .stage = decision.stage, .verdict = decision.verdict};
   release_source_.vote(vote, [this](Outcome outcome) {
     engine_.vote_answered(outcome, loop_.now());
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -66,8 +66,8 @@
 void Service::poll(const http::ExchangePtr& exchange) {
   auto request = http::LongPoll::read(exchange);
   const Update update = registry_.changes_since(request.series, request.since);
-  const bool has_news = update.complete || !update.entries.empty();
-  if (has_news || request.wait <= Duration{})
+  const bool has_changes = update.complete || !update.entries.empty();
+  if (has_changes || request.wait <= Duration{})
     send_update(request);
   else
     waiting_.wait(std::move(request));
--- a/tests/api_test.cpp
+++ b/tests/api_test.cpp
@@ -6,7 +6,7 @@
 #include "api_fixture.h"
 #include "api_history_run.h"
 #include "json/reader.h"
-#include "plays.h"
+#include "scripted_test.h"
 
 namespace robinhoist {
 namespace {
@@ -147,10 +147,10 @@
 };
 
 TEST_P(ApiScenario, BehavesAsWritten) {
-  tests::play(GetParam(), [this](const Words& words) { step(words); });
+  tests::run_script(GetParam(), [this](const Words& words) { step(words); });
 }
 INSTANTIATE_TEST_SUITE_P(All, ApiScenario, testing::ValuesIn(tests::files_in(TESTS "/api", ".txt")),
-                         tests::stem);
+                         tests::script_name);
 
 // docs/openapi.json and the server name the same paths and methods.
 TEST(Api, ServesWhatItsDescriptionNames) {
--- a/tests/platform_process_test.cpp
+++ b/tests/platform_process_test.cpp
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <memory>
 
-#include "child.h"
+#include "child_process.h"
 #include "platform_fixture.h"
 #include "raw_client.h"
 
@@ -68,7 +68,7 @@
   ScriptedService services_{loop_,
                             [this](const http::ExchangePtr& exchange) { serve_watches(exchange); }};
   RawClient client_{};
-  const int port_ = port_free();
+  const int port_ = free_port();
   const std::string config_file_ =
       testing::TempDir() + "platform-" + std::to_string(::getpid()) + ".json";
 };
@@ -79,7 +79,7 @@
   ScriptedService moved(loop_,
                         [](const http::ExchangePtr& exchange) { exchange->begin_stream({}); });
   ::setenv("ROUTER_CONFIG", config_file_.c_str(), 1);
-  Child proxy({"platform"}, "/dev/null");
+  ChildProcess proxy({"platform"}, "/dev/null");
   ::unsetenv("ROUTER_CONFIG");
   loop_.in(600ms, [&] { send("POST /pay", "Content-Length: 0\r\n"); });
   loop_.in(700ms, [&] {
@@ -118,7 +118,7 @@
   constexpr int silent_clients = 60;
   rusage before{};
   ::getrusage(RUSAGE_CHILDREN, &before);
-  Child proxy({"platform", "--config", config_file_}, "/dev/null", max_descriptors);
+  ChildProcess proxy({"platform", "--config", config_file_}, "/dev/null", max_descriptors);
   std::vector<std::unique_ptr<RawClient>> silent;
   loop_.in(500ms, [&] {
     for (int i = 0; i < silent_clients; ++i) {
--- a/tests/proxy_fixture.h
+++ b/tests/proxy_fixture.h
@@ -11,10 +11,10 @@
 #include <utility>
 #include <vector>
 
-#include "plays.h"
 #include "proxy/router.h"
 #include "raw_client.h"
 #include "scripted_endpoint.h"
+#include "scripted_test.h"
 #include "time/time_types.h"
 
 namespace robinhoist::tests {
@@ -205,7 +205,7 @@
   void expect_endpoint(const Words& words) {
     const ScriptedEndpoint& endpoint = *scripted.at(words[2]);
     if (words[3] == "requests")
-      EXPECT_TRUE(compares(endpoint.requests(), words[4], std::stod(words[5])))
+      EXPECT_TRUE(compare(endpoint.requests(), words[4], std::stod(words[5])))
           << endpoint.requests();
     else
       EXPECT_EQ(endpoint.last_request().headers.get(words[3]), words[4]);
@@ -213,13 +213,13 @@
 
   void expect_open(const Words& words) {
     const auto open = static_cast<double>(router->open_requests());
-    EXPECT_TRUE(compares(open, words[2], std::stod(words[3]))) << open;
+    EXPECT_TRUE(compare(open, words[2], std::stod(words[3]))) << open;
     EXPECT_LT(router->tracked_requests(), 1000u);
   }
 
   void expect_clients(const Words& words) {
     const auto count = static_cast<double>(router->clients());
-    EXPECT_TRUE(compares(count, words[2], std::stod(words[3]))) << count;
+    EXPECT_TRUE(compare(count, words[2], std::stod(words[3]))) << count;
   }
 
   void expect_drained(const Words& words) { EXPECT_EQ(drained_, words[1] == "drained"); }
@@ -250,7 +250,7 @@
     else if (what == "nothing")
       EXPECT_EQ(client.received, "");
     else if (what == "answers")
-      EXPECT_TRUE(compares(count_responses(client.received), wanted, std::stod(words[4])))
+      EXPECT_TRUE(compare(count_responses(client.received), wanted, std::stod(words[4])))
           << count_responses(client.received);
     else
       throw std::runtime_error("expects what?");
@@ -281,7 +281,7 @@
 /// Runs a script file; afterwards no request may be left behind.
 inline void run_script(ProxyFixture& fixture, const std::string& file) {
   fixture.loop.call([&] { fixture.start(); });
-  play(file, [&](const Words& words) {
+  run_script(file, [&](const Words& words) {
     if (words[0] == "run") {
       std::this_thread::sleep_for(parse_ms(words[1]));
       return;
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -41,7 +41,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(All, ProxyScript, testing::ValuesIn(files_in(TESTS "/proxy", ".txt")),
-                         stem);
+                         script_name);
 
 // The controller's side of a watch, with heartbeats.
 class ReleaseWatch : public testing::Test {
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -2,8 +2,8 @@
 /// tests/rollout/README.md.
 #include "rollout/rollout.h"
 
-#include "plays.h"
 #include "rollout/names.h"
+#include "scripted_test.h"
 
 namespace robinhoist::rollout {
 namespace {
@@ -173,11 +173,10 @@
     } else if (words[1] == "orders") {
       const std::string which = words[2] + (words.size() > 5 ? " " + words[3] : "");
       const int count = command_counts_[which];
-      EXPECT_TRUE(tests::compares(count, words[words.size() - 2], std::stod(words.back())))
-          << count;
+      EXPECT_TRUE(tests::compare(count, words[words.size() - 2], std::stod(words.back()))) << count;
     } else {
       const double measured = measure(words[1]);
-      EXPECT_TRUE(tests::compares(measured, words[2], std::stod(words[3]))) << measured;
+      EXPECT_TRUE(tests::compare(measured, words[2], std::stod(words[3]))) << measured;
     }
   }
 
@@ -214,11 +213,12 @@
 };
 
 TEST_P(RolloutScenario, BehavesAsWritten) {
-  tests::play(GetParam(), [this](const Words& words) { step(words); });
+  tests::run_script(GetParam(), [this](const Words& words) { step(words); });
 }
 
 INSTANTIATE_TEST_SUITE_P(All, RolloutScenario,
-                         testing::ValuesIn(tests::files_in(TESTS "/rollout", ".txt")), tests::stem);
+                         testing::ValuesIn(tests::files_in(TESTS "/rollout", ".txt")),
+                         tests::script_name);
 
 }  // namespace
 }  // namespace robinhoist::rollout
