--- /dev/null
+++ b/src/emulator/fault_injector.cpp
@@ -0,0 +1,230 @@
+#include "emulator/fault_injector.h"
+
+#include <algorithm>
+#include <cmath>
+#include <memory>
+#include <utility>
+#include <vector>
+
+namespace robinhoist::emulator {
+namespace {
+
+using namespace std::chrono_literals;
+using day::Kind;
+using day::Trouble;
+
+constexpr Duration min_neighbour_interval = 10ms;
+
+int rounded(double value) {
+  return static_cast<int>(std::floor(value + 0.5));
+}
+
+}  // namespace
+
+void FaultInjector::begin(const Trouble& fault) {
+  if (!begin_server_fault(fault) && !begin_client_fault(fault))
+    begin_other_fault(fault);
+}
+
+void FaultInjector::at_end(const Trouble& fault, std::function<void()> undo) {
+  simulation_.engine.in(fault.lasts, std::move(undo));
+}
+
+void FaultInjector::draw_delays() {
+  draw_registry_delay();
+  draw_publish_delay();
+}
+
+void FaultInjector::draw_registry_delay() {
+  const day::Day& day = simulation_.day;
+  targets_.registry.set_delay(simulation_.sample_between(day.list_least, day.list_most));
+}
+
+void FaultInjector::draw_publish_delay() {
+  const day::Day& day = simulation_.day;
+  targets_.controller.set_publish_delay(simulation_.sample_between(day.news_least, day.news_most));
+}
+
+// False: it is no fault of servers.
+bool FaultInjector::begin_server_fault(const Trouble& fault) {
+  Fleet& fleet = targets_.fleet;
+  const double size = fault.size;
+  switch (fault.kind) {
+    case Kind::crash:
+    case Kind::vanish:
+      crash_servers(fault);
+      return true;
+    case Kind::slow:
+      on_servers(
+          fault, [&fleet, size](int server) { fleet.slow(server, size); },
+          [&fleet](int server) { fleet.slow(server, 1); });
+      return true;
+    case Kind::fast_errors:
+      on_servers(
+          fault, [&fleet, size](int server) { fleet.fail(server, size); },
+          [&fleet](int server) { fleet.fail(server, 0); });
+      return true;
+    case Kind::neighbour:
+      take_cores(fault);
+      return true;
+    case Kind::connection_squeeze: {
+      const day::Day& day = simulation_.day;
+      const int max_connections = static_cast<int>(size * day.deployment.proxies / day.places) + 1;
+      on_servers(
+          fault, [&fleet, max_connections](int server) { fleet.squeeze(server, max_connections); },
+          [&fleet](int server) { fleet.squeeze(server, 0); });
+      return true;
+    }
+    case Kind::slow_handshakes:
+      on_servers(
+          fault, [&fleet, size](int server) { fleet.slow_handshake(server, from_seconds(size)); },
+          [&fleet](int server) { fleet.slow_handshake(server, 0ms); });
+      return true;
+    default:
+      return false;
+  }
+}
+
+// False: it is no fault of clients.
+bool FaultInjector::begin_client_fault(const Trouble& fault) {
+  load::Load& load = targets_.clients.load();
+  const auto& deployment = simulation_.day.deployment;
+  switch (fault.kind) {
+    case Kind::burst:
+      load.burst(fault.size);
+      at_end(fault, [&load] { load.burst(1); });
+      return true;
+    case Kind::hot_caller:
+      concentrate_load(fault);
+      return true;
+    case Kind::bad_requests:
+      load.poison(fault.tenant.empty() ? -1 : deployment.tenant(fault.tenant), fault.size);
+      at_end(fault, [&load] { load.poison(-1, 0); });
+      return true;
+    case Kind::retry_abuse:
+      load.abuse(deployment.tenant(fault.tenant), static_cast<int>(fault.size), fault.extra);
+      at_end(fault, [&load] { load.abuse(-1, 0, 1); });
+      return true;
+    default:
+      return false;
+  }
+}
+
+void FaultInjector::begin_other_fault(const Trouble& fault) {
+  LinkFaults& links = simulation_.link_faults;
+  switch (fault.kind) {
+    case Kind::slow_link:
+      slow_links(fault);
+      break;
+    case Kind::zone_cut:
+      links.cut_zone = fault.zone;
+      at_end(fault, [&links] { links.cut_zone.clear(); });
+      break;
+    case Kind::stale_list:
+      targets_.registry.set_delay(simulation_.day.list_most + from_seconds(fault.size));
+      at_end(fault, [this] { draw_registry_delay(); });
+      break;
+    case Kind::controller_crash:
+      targets_.controller.crash();
+      at_end(fault, [this] { targets_.controller.start(); });
+      break;
+    case Kind::controller_down:
+      disturb_controller(fault);
+      break;
+    case Kind::proxy_crash:
+    case Kind::proxy_roll:
+      restart_proxies(fault);
+      break;
+    case Kind::probe_fail:    // the decision module asks for no health checks
+    case Kind::watch_breaks:  // nothing is lost on the way here: a broken watch is resumed
+    default:
+      break;
+  }
+}
+
+void FaultInjector::on_servers(const Trouble& fault, const ServerAction& begin,
+                               const ServerAction& end) {
+  const SimulatedServers& servers = targets_.servers;
+  const auto chosen = std::make_shared<const std::vector<int>>(targets_.servers.pick(fault.part));
+  servers.for_each_running(*chosen, begin);
+  at_end(fault, [&servers, chosen, end] { servers.for_each_running(*chosen, end); });
+}
+
+void FaultInjector::crash_servers(const Trouble& fault) {
+  SimulatedServers& servers = targets_.servers;
+  for (const int machine : servers.pick(fault.part)) {
+    servers.crash(machine, fault.kind == Kind::vanish);
+    at_end(fault, [&servers, machine] { servers.recover(machine); });
+  }
+}
+
+// Another program takes a share of the cores, on and off.
+void FaultInjector::take_cores(const Trouble& fault) {
+  const auto chosen = std::make_shared<const std::vector<int>>(targets_.servers.pick(fault.part));
+  const auto take = [this, chosen](double share) {
+    targets_.servers.for_each(
+        *chosen, [this, share](int server) { targets_.fleet.neighbour(server, share); });
+  };
+  const Duration interval = std::max<Duration>(min_neighbour_interval, from_seconds(fault.extra));
+  for (int turn = 0; interval * turn < fault.lasts; ++turn) {
+    const double share = turn % 2 == 0 ? fault.size : 0;
+    simulation_.engine.in(interval * turn, [take, share] { take(share); });
+  }
+  at_end(fault, [take] { take(0); });
+}
+
+void FaultInjector::slow_links(const Trouble& fault) {
+  LinkFaults& links = simulation_.link_faults;
+  links.slow_zone = fault.zone;
+  links.delay = from_seconds(fault.size);
+  links.loss = fault.extra;
+  at_end(fault, [&links] { links.slow_zone.clear(); });
+}
+
+void FaultInjector::disturb_controller(const Trouble& fault) {
+  SimulatedController& controller = targets_.controller;
+  if (fault.how == "stale")
+    controller.set_publish_delay(simulation_.day.news_most + from_seconds(fault.size));
+  else if (fault.how == "silence")
+    controller.fall_silent(fault.size);
+  else
+    controller.fail();
+  at_end(fault, [this] {
+    draw_publish_delay();
+    targets_.controller.recover();
+  });
+}
+
+// A few proxies get a share of all traffic.
+void FaultInjector::concentrate_load(const Trouble& fault) {
+  const int proxies = simulation_.day.deployment.proxies;
+  const int count = std::max(1, rounded(fault.part * proxies));
+  std::vector<int> chosen;
+  chosen.reserve(static_cast<std::size_t>(count));
+  for (int i = 0; i < count; ++i)
+    chosen.push_back((i * 7 + 1) % proxies);  // spread over the zones
+  load::Load& load = targets_.clients.load();
+  load.hot(chosen, fault.size);
+  at_end(fault, [&load] { load.hot({}, 0); });
+}
+
+void FaultInjector::restart_proxies(const Trouble& fault) {
+  const int proxies = static_cast<int>(simulation_.proxies.size());
+  std::vector<int> chosen(simulation_.proxies.size());
+  for (int proxy = 0; proxy < proxies; ++proxy)
+    chosen[proxy] = proxy;
+  std::shuffle(chosen.begin(), chosen.end(), simulation_.random);
+  const int count = std::clamp(rounded(fault.part * proxies), 1, proxies);
+  const bool in_turn = fault.kind == Kind::proxy_roll;
+  const int batch = in_turn ? std::max(1, static_cast<int>(fault.size * proxies)) : proxies;
+  const int batches = (count + batch - 1) / batch;
+  const Duration down = in_turn ? from_seconds(fault.extra) : fault.lasts;
+  for (int i = 0; i < count; ++i) {
+    const Duration begins = in_turn ? fault.lasts * (i / batch) / batches : Duration{};
+    const int proxy = chosen[i];
+    simulation_.engine.in(begins, [this, proxy] { targets_.processes.kill(proxy); });
+    simulation_.engine.in(begins + down, [this, proxy] { targets_.processes.start(proxy); });
+  }
+}
+
+}  // namespace robinhoist::emulator
--- /dev/null
+++ b/src/emulator/fault_injector.h
@@ -0,0 +1,54 @@
+/// Carries out the faults of a scenario in simulated time.
+#pragma once
+#include <functional>
+
+#include "day/notation.h"
+#include "emulator/fleet.h"
+#include "emulator/proxy_processes.h"
+#include "emulator/simulated_servers.h"
+#include "emulator/simulation.h"
+
+namespace robinhoist::emulator {
+
+class FaultInjector {
+ public:
+  /// The parts that faults act on.
+  struct Targets {
+    Fleet& fleet;
+    SimulatedServers& servers;
+    SimulatedRegistry& registry;
+    SimulatedController& controller;
+    SimulatedClients& clients;
+    ProxyProcesses& processes;
+  };
+
+  FaultInjector(Simulation& simulation, const Targets& targets)
+      : simulation_(simulation), targets_(targets) {}
+
+  /// Begins a fault now, and plans its end. The fault outlives the run.
+  void begin(const day::Trouble& fault);
+  /// Draws how late the registry and the controller notify in a scenario without such faults.
+  void draw_delays();
+
+ private:
+  using ServerAction = std::function<void(int server)>;
+
+  bool begin_server_fault(const day::Trouble& fault);
+  bool begin_client_fault(const day::Trouble& fault);
+  void begin_other_fault(const day::Trouble& fault);
+  void at_end(const day::Trouble& fault, std::function<void()> undo);
+  void on_servers(const day::Trouble& fault, const ServerAction& begin, const ServerAction& end);
+  void crash_servers(const day::Trouble& fault);
+  void take_cores(const day::Trouble& fault);
+  void slow_links(const day::Trouble& fault);
+  void disturb_controller(const day::Trouble& fault);
+  void concentrate_load(const day::Trouble& fault);
+  void restart_proxies(const day::Trouble& fault);
+  void draw_registry_delay();
+  void draw_publish_delay();
+
+  Simulation& simulation_;
+  Targets targets_;
+};
+
+}  // namespace robinhoist::emulator
--- /dev/null
+++ b/src/emulator/proxy_processes.h
@@ -0,0 +1,32 @@
+/// The proxies as processes in simulated time: they start, are killed, and come back.
+#pragma once
+#include "emulator/simulated_clients.h"
+#include "emulator/simulated_controller.h"
+#include "emulator/simulated_registry.h"
+#include "emulator/simulation.h"
+
+namespace robinhoist::emulator {
+
+class ProxyProcesses {
+ public:
+  ProxyProcesses(Simulation& simulation, SimulatedRegistry& registry,
+                 SimulatedController& controller, SimulatedClients& clients)
+      : simulation_(simulation), registry_(registry), controller_(controller), clients_(clients) {}
+
+  /// Nothing for a proxy that is up.
+  void start(int proxy);
+  /// Nothing for a proxy that is down.
+  void kill(int proxy);
+  /// Notes the orderly end of all that are up, at the end of the run.
+  void note_stopped();
+
+ private:
+  void note(int proxy, const char* event);
+
+  Simulation& simulation_;
+  SimulatedRegistry& registry_;
+  SimulatedController& controller_;
+  SimulatedClients& clients_;
+};
+
+}  // namespace robinhoist::emulator
--- /dev/null
+++ b/src/emulator/simulated_controller.h
@@ -0,0 +1,74 @@
+/// The release controller in simulated time: the rollout's core, membership, late updates, votes
+/// and its own faults.
+#pragma once
+#include <functional>
+#include <memory>
+
+#include "emulator/simulated_servers.h"
+#include "emulator/simulation.h"
+#include "membership/membership.h"
+#include "rollout/rollout.h"
+
+namespace robinhoist::emulator {
+
+class SimulatedController {
+ public:
+  SimulatedController(Simulation& simulation, SimulatedServers& servers);
+
+  /// Starts the process, with the state that the one before has saved, if any.
+  void start();
+  /// Ends the process without a word.
+  void crash();
+
+  void machine_started(int machine);
+  void machine_stopped(int machine);
+  /// Submits a release; while the process is down, as soon as it is back.
+  void submit(const day::Offer& offer);
+  /// A vote leaves a proxy now.
+  void vote(int proxy, int build, int stage, Verdict verdict);
+  /// Sends a proxy the present update.
+  void notify(int proxy);
+  /// Lets proxies send heartbeats from now on.
+  void begin_heartbeats();
+
+  /// Updates reach the proxies this much later.
+  void set_publish_delay(Duration delay) { publish_delay_ = delay; }
+  /// From now on votes get no answer; this share of them counts all the same.
+  void fall_silent(double counted_share);
+  /// From now on votes are answered with an error.
+  void fail() { failing_ = true; }
+  /// Ends both of these.
+  void recover();
+
+ private:
+  /// Who voted; the answer is lost when the proxy has restarted meanwhile.
+  struct Voter {
+    int proxy;
+    int incarnation;
+  };
+
+  void decide();
+  void log_changes();
+  void publish();
+  void count_vote(Voter voter, int build, int stage, Verdict verdict);
+  void answer_vote(Voter voter, Duration after, Outcome outcome);
+  void heartbeat(int proxy);
+
+  Simulation& simulation_;
+  SimulatedServers& servers_;
+  std::unique_ptr<rollout::Rollout> rollout_{};  // null: the process is down
+  rollout::RolloutState saved_{};
+  membership::Membership membership_;
+  ReleaseUpdate published_{};
+  TimePoint published_at_{};
+  Duration publish_delay_{};
+  TimePoint last_publish_due_{};
+  int published_version_ = 0;
+  std::size_t logged_changes_ = 0;
+  bool silent_ = false;
+  bool failing_ = false;
+  double counted_share_ = 0;  // of the votes, while silent
+  Engine::Id check_timer_{};
+};
+
+}  // namespace robinhoist::emulator
