--- a/src/controller/proxy_routes.cpp
+++ b/src/controller/proxy_routes.cpp
@@ -43,10 +43,10 @@
   vote.stage = json::integer(body, "stage", 0, max_stage);
   vote.verdict =
       json::enumerator<Verdict>(body, "verdict",
-                                {{rollout::to_string(Verdict::none), Verdict::none},
-                                 {rollout::to_string(Verdict::promote), Verdict::promote},
-                                 {rollout::to_string(Verdict::hold), Verdict::hold},
-                                 {rollout::to_string(Verdict::roll_back), Verdict::roll_back}});
+                                {{rollout::api_name(Verdict::none), Verdict::none},
+                                 {rollout::api_name(Verdict::promote), Verdict::promote},
+                                 {rollout::api_name(Verdict::hold), Verdict::hold},
+                                 {rollout::api_name(Verdict::roll_back), Verdict::roll_back}});
   if (vote.proxy.empty())
     json::throw_wrong_type(field::proxy, "a name");
   return vote;
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -93,8 +93,8 @@
           .voted =
               [this](const std::string& proxy, int build, int stage, Verdict verdict,
                      Outcome outcome) {
-                record::voted(told_, loop_.now(), proxy, build, stage, rollout::to_string(verdict),
-                              rollout::to_string(outcome));
+                record::voted(told_, loop_.now(), proxy, build, stage, rollout::api_name(verdict),
+                              rollout::api_name(outcome));
               }});
   controller_port_ = controller_->port();
   changes_ = 0;
@@ -381,7 +381,7 @@
   for (; changes_ < changes.size(); ++changes_) {
     const rollout::Change& change = changes[changes_];
     record::release_moved(told_, change.at, change.build, change.stage,
-                          rollout::to_string(change.phase), change.why);
+                          rollout::api_name(change.phase), change.why);
   }
 }
 
@@ -398,7 +398,7 @@
     return;
   newest = release.build;
   record::told_news(told_, loop_.now(), proxy, release.build, status.stage,
-                    rollout::to_string(*status.phase), status.cap);
+                    rollout::api_name(*status.phase), status.cap);
 }
 
 }  // namespace robinhoist::day
--- a/src/emulator/simulated_controller.cpp
+++ b/src/emulator/simulated_controller.cpp
@@ -80,7 +80,7 @@
   const auto& changes = rollout_->changes();
   for (; logged_changes_ < changes.size(); ++logged_changes_) {
     const rollout::Change& change = changes[logged_changes_];
-    const char* phase = rollout::to_string(change.phase);
+    const char* phase = rollout::api_name(change.phase);
     simulation_.summary.verdicts.push_back(
         {change.at, change.build, change.stage, phase, change.why});
     if (simulation_.log.notifications)
@@ -107,7 +107,7 @@
   const TimePoint now = simulation_.engine.now();
   if (simulation_.log.notifications)
     record::told_news(*simulation_.log.notifications, now, proxy_name(proxy), published_.build,
-                      published_.stage, rollout::to_string(published_.phase), published_.cap);
+                      published_.stage, rollout::api_name(published_.phase), published_.cap);
   ReleaseUpdate update = published_;
   update.since += now - published_at_;
   simulation_.engine.in(simulation_.network.way(), [&to, update, life = to.life()] {
@@ -141,7 +141,7 @@
   }
   if (simulation_.log.notifications)
     record::voted(*simulation_.log.notifications, now, proxy_name(voter.proxy), build, stage,
-                  rollout::to_string(verdict), rollout::to_string(outcome));
+                  rollout::api_name(verdict), rollout::api_name(outcome));
   if (silent_) {
     answer_vote(voter, simulation_.day.deployment.vote_timeout, Outcome::timeout);
     return;
--- a/src/emulator/simulated_proxy.cpp
+++ b/src/emulator/simulated_proxy.cpp
@@ -221,7 +221,7 @@
       finish(in_flight,
              {.end = load::End::rejected,
               .status = 503,
-              .why = in_flight.attempts.empty() ? "no-room" : rollout::to_string(in_flight.last),
+              .why = in_flight.attempts.empty() ? "no-room" : rollout::api_name(in_flight.last),
               .stay_away = decision.duration});
       forget(decision.request_id);
       break;
@@ -232,7 +232,7 @@
       finish(in_flight,
              {.end = load::End::failed,
               .status = late ? 504 : 502,
-              .why = in_flight.attempts.empty() ? "expired" : rollout::to_string(in_flight.last)});
+              .why = in_flight.attempts.empty() ? "expired" : rollout::api_name(in_flight.last)});
       forget(decision.request_id);
       break;
     }
--- a/src/proxy/request_tracer.cpp
+++ b/src/proxy/request_tracer.cpp
@@ -41,7 +41,7 @@
                                     [](const InFlightAttempt& attempt) { return !attempt.ended; });
   if (is_hedge)
     return "second copy";
-  return std::string("again after ") + rollout::to_string(request.last_outcome);
+  return std::string("again after ") + rollout::api_name(request.last_outcome);
 }
 
 }  // namespace
@@ -78,7 +78,7 @@
        {"expires_in_ms", number_text(to_millis(info.deadline - context.now))},
        {"told_build", log::text(release_.build)},
        {"told_wave", log::text(release_.stage)},
-       {"told_phase", rollout::to_string(release_.phase)},
+       {"told_phase", rollout::api_name(release_.phase)},
        {"told_cap", number_text(release_.cap)},
        {"mode", context.mode},
        {"open", log::text(context.unanswered)}});
@@ -116,7 +116,7 @@
                        {{wire_names::attempt, log::text(id.attempt)},
                         {wire_names::endpoint, upstream.name},
                         {"build", log::text(upstream.build)},
-                        {"outcome", rollout::to_string(request.last_outcome)},
+                        {"outcome", rollout::api_name(request.last_outcome)},
                         {"status", log::text(status)},
                         {"used", yes_or_no(used)}});
 }
--- a/src/proxy/router_decisions.cpp
+++ b/src/proxy/router_decisions.cpp
@@ -83,7 +83,7 @@
 void Router::reject(const Decision& decision) {
   InFlightRequest& request = in_flight_.at(decision.request_id);
   const char* reason =
-      request.attempts.empty() ? wire_names::no_capacity : rollout::to_string(request.last_outcome);
+      request.attempts.empty() ? wire_names::no_capacity : rollout::api_name(request.last_outcome);
   ++counters_.rejected;
   finish(request, protocol_.rejected(decision.duration, reason),
          {.outcome = wire_names::rejected, .reason = reason, .retry_after = decision.duration});
@@ -94,7 +94,7 @@
   InFlightRequest& request = in_flight_.at(decision.request_id);
   const bool timed_out = request.attempts.empty() || request.last_outcome == Outcome::timeout;
   const char* reason = request.attempts.empty() ? wire_names::deadline_passed
-                                                : rollout::to_string(request.last_outcome);
+                                                : rollout::api_name(request.last_outcome);
   ++counters_.failed;
   finish(request, protocol_.failed(timed_out, reason),
          {.outcome = wire_names::failed, .reason = reason});
--- a/src/proxy/watch_release_source.cpp
+++ b/src/proxy/watch_release_source.cpp
@@ -220,7 +220,7 @@
                                .put(proxy_field, settings_.proxy)
                                .put(incarnation_field, incarnation_)
                                .put("stage", vote.stage)
-                               .put("verdict", rollout::to_string(vote.verdict))
+                               .put("verdict", rollout::api_name(vote.verdict))
                                .end_object()
                                .text();
   connections_.call(post("/v1/releases/" + newest_release_ + "/votes", body),
--- a/src/releases/release_codec.cpp
+++ b/src/releases/release_codec.cpp
@@ -84,7 +84,7 @@
   for (const ProxyStatus& proxy : proxies) {
     out.begin_object();
     out.put("name", proxy.proxy);
-    out.put("vote", rollout::to_string(proxy.vote));
+    out.put("vote", rollout::api_name(proxy.vote));
     if (proxy.cap) {
       out.put("acknowledgedCap", *proxy.cap);
       out.put("stage", proxy.stage);
@@ -194,12 +194,12 @@
 }  // namespace
 
 const char* phase_name(const std::optional<ReleasePhase>& phase) {
-  return phase ? rollout::to_string(*phase) : pending;
+  return phase ? rollout::api_name(*phase) : pending;
 }
 
 std::optional<ReleasePhase> decode_phase(const json::Value& status) {
   const auto named = [](ReleasePhase phase) {
-    return std::pair<const char*, std::optional<ReleasePhase>>(rollout::to_string(phase), phase);
+    return std::pair<const char*, std::optional<ReleasePhase>>(rollout::api_name(phase), phase);
   };
   return json::enumerator<std::optional<ReleasePhase>>(status, "phase",
                                                        {{pending, std::nullopt},
--- a/src/rollout/names.h
+++ b/src/rollout/names.h
@@ -7,8 +7,8 @@
 
 namespace robinhoist::rollout {
 
-const char* to_string(ReleasePhase phase);
-const char* to_string(Verdict verdict);
-const char* to_string(Outcome outcome);
+const char* api_name(ReleasePhase phase);
+const char* api_name(Verdict verdict);
+const char* api_name(Outcome outcome);
 
 }  // namespace robinhoist::rollout
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -132,7 +132,7 @@
     ASSERT_TRUE(update);
     EXPECT_EQ(update->release.build, std::stoi(words[1]));
     EXPECT_EQ(update->release.stage, std::stoi(words[2]));
-    EXPECT_EQ(rollout::to_string(update->release.phase), words[3]);
+    EXPECT_EQ(rollout::api_name(update->release.phase), words[3]);
     EXPECT_EQ(update->release.cap, std::stod(words[4]));
     EXPECT_EQ(update->release.since, milliseconds(words[5]));
   }
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -32,7 +32,7 @@
 
 Verdict verdict_named(const std::string& name) {
   for (Verdict verdict : {Verdict::none, Verdict::promote, Verdict::hold, Verdict::roll_back})
-    if (name == to_string(verdict))
+    if (name == api_name(verdict))
       return verdict;
   throw std::runtime_error("no verdict: " + name);
 }
@@ -126,7 +126,7 @@
   void vote(const Words& words) {
     const Outcome outcome = rollout().vote(words[1], std::stoi(words[2]), std::stoi(words[3]),
                                            verdict_named(words[4]), now_);
-    EXPECT_EQ(to_string(outcome), words[5]);
+    EXPECT_EQ(api_name(outcome), words[5]);
   }
 
   void votes(const Words& words) {
@@ -167,7 +167,7 @@
 
   void expect(const Words& words) {
     if (words[1] == "phase") {
-      EXPECT_EQ(to_string(rollout().release_update(now_).phase), words[2]);
+      EXPECT_EQ(api_name(rollout().release_update(now_).phase), words[2]);
     } else if (words[1] == "refused") {
       EXPECT_NE(rejection_, "");
     } else if (words[1] == "orders") {
