--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -88,9 +88,9 @@
     fleet_.answered = [this](std::uint64_t attempt, const Answer& answer) {
       SimulatedProxy& proxy = *simulation_.proxies[attempt >> proxy_bits];
       simulation_.engine.in(simulation_.network.way(),
-                            [&proxy, attempt, answer, life = proxy.life()] {
-                              if (proxy.up() && proxy.life() == life)
-                                proxy.ended(attempt, outcome_of(answer.is), answer);
+                            [&proxy, attempt, answer, incarnation = proxy.incarnation()] {
+                              if (proxy.up() && proxy.incarnation() == incarnation)
+                                proxy.attempt_ended(attempt, outcome_of(answer.is), answer);
                             });
     };
     fleet_.killed = [this](int server) {
--- a/src/emulator/simulated_clients.cpp
+++ b/src/emulator/simulated_clients.cpp
@@ -40,7 +40,7 @@
   OpenRequest& open = open_[id];
   open.sent = request;
   const SimulatedProxy& proxy = *simulation_.proxies[request.proxy];
-  open.incarnation = proxy.life();
+  open.incarnation = proxy.incarnation();
   if (!proxy.up()) {
     engine.in(refusal_time, [this, id] { break_off(id, load::End::unreached); });
     return;
@@ -59,14 +59,14 @@
     return;
   const OpenRequest& open = found->second;
   SimulatedProxy& proxy = *simulation_.proxies[open.sent.proxy];
-  if (!proxy.up() || proxy.life() != open.incarnation) {
+  if (!proxy.up() || proxy.incarnation() != open.incarnation) {
     break_off(id, load::End::broken);
     return;
   }
   load::Try request = open.sent;
   const TimePoint deadline = simulation_.engine_time(request.until);
   request.at = simulation_.engine_time(request.at);
-  proxy.take(request, deadline);
+  proxy.request_arrived(request, deadline);
 }
 
 void SimulatedClients::give_up(std::int64_t id) {
@@ -74,7 +74,7 @@
   if (found == open_.end())
     return;
   const load::Try request = found->second.sent;
-  simulation_.proxies[request.proxy]->left(id);
+  simulation_.proxies[request.proxy]->client_disconnected(id);
   finish(request, load::End::timed_out, {.status = 0});
 }
 
@@ -85,7 +85,7 @@
   const load::Try request = found->second.sent;
   SimulatedProxy& proxy = *simulation_.proxies[request.proxy];
   if (proxy.up())
-    proxy.left(id);
+    proxy.client_disconnected(id);
   finish(request, load::End::left, {.status = 0});
 }
 
@@ -192,7 +192,7 @@
     return;
   SimulatedProxy& proxy = *simulation_.proxies[request.proxy];
   simulation_.engine.in(simulation_.sample_between(day.reports_least, day.reports_most),
-                        [&proxy, server = answer.server] { proxy.found_wrong(server); });
+                        [&proxy, server = answer.server] { proxy.answer_found_wrong(server); });
 }
 
 void SimulatedClients::proxy_started(int proxy) {
--- a/src/emulator/simulated_controller.cpp
+++ b/src/emulator/simulated_controller.cpp
@@ -110,25 +110,26 @@
                       published_.stage, rollout::api_name(published_.phase), published_.cap);
   ReleaseUpdate update = published_;
   update.since += now - published_at_;
-  simulation_.engine.in(simulation_.network.way(), [&to, update, life = to.life()] {
-    if (to.life() == life)
-      to.release(update);
+  simulation_.engine.in(simulation_.network.way(), [&to, update, incarnation = to.incarnation()] {
+    if (to.incarnation() == incarnation)
+      to.release_updated(update);
   });
 }
 
 void SimulatedController::vote(int proxy, int build, int stage, Verdict verdict) {
   ++simulation_.summary.votes;
-  const int life = simulation_.proxies[proxy]->life();
+  const int incarnation = simulation_.proxies[proxy]->incarnation();
   if (!rollout_) {
-    answer_vote({proxy, life}, 2 * simulation_.network.way(), Outcome::connect_failure);
+    answer_vote({proxy, incarnation}, 2 * simulation_.network.way(), Outcome::connect_failure);
     return;
   }
-  simulation_.engine.in(simulation_.network.way(), [this, proxy, life, build, stage, verdict] {
-    if (rollout_)
-      count_vote({proxy, life}, build, stage, verdict);
-    else
-      answer_vote({proxy, life}, simulation_.network.way(), Outcome::reset);
-  });
+  simulation_.engine.in(
+      simulation_.network.way(), [this, proxy, incarnation, build, stage, verdict] {
+        if (rollout_)
+          count_vote({proxy, incarnation}, build, stage, verdict);
+        else
+          answer_vote({proxy, incarnation}, simulation_.network.way(), Outcome::reset);
+      });
 }
 
 void SimulatedController::count_vote(Voter voter, int build, int stage, Verdict verdict) {
@@ -153,13 +154,14 @@
 void SimulatedController::answer_vote(Voter voter, Duration after, Outcome outcome) {
   simulation_.engine.in(after, [this, voter, outcome] {
     SimulatedProxy& to = *simulation_.proxies[voter.proxy];
-    if (to.life() == voter.incarnation)
+    if (to.incarnation() == voter.incarnation)
       to.vote_answered(outcome);
   });
 }
 
 void SimulatedController::heartbeat(int proxy) {
-  membership_.heartbeat(proxy_name(proxy), std::to_string(simulation_.proxies[proxy]->life()),
+  membership_.heartbeat(proxy_name(proxy),
+                        std::to_string(simulation_.proxies[proxy]->incarnation()),
                         simulation_.engine.now());
 }
 
--- a/src/emulator/simulated_proxy.cpp
+++ b/src/emulator/simulated_proxy.cpp
@@ -1,23 +1,34 @@
 #include "emulator/simulated_proxy.h"
 
 #include <algorithm>
-#include <cmath>
+#include <utility>
 
 #include "rollout/names.h"
 
 namespace robinhoist::emulator {
 namespace {
+
 using namespace std::chrono_literals;
-constexpr Duration tick = 1ms;  // as the router tells the module
-constexpr WallTime wall_base{Duration(1'700'000'000'000'000)};
-
-std::uint64_t order_of(const std::string& name) {
-  // Any digest will do that is the same at every proxy.
-  std::uint64_t sum = 1469598103934665603ull;
-  for (unsigned char c : name)
-    sum = (sum ^ c) * 1099511628211ull;
+
+constexpr Duration tick = 1ms;  // as the router tells the decision module
+// The wall clock at the start of the simulation.
+constexpr WallTime wall_clock_zero{Duration(1'700'000'000'000'000)};
+// A proxy's number stands in the upper bits of its attempts' ids.
+constexpr int attempt_bits = 40;
+
+// A digest of a name that is the same at every proxy (FNV-1a; any would do).
+std::uint64_t digest(const std::string& name) {
+  std::uint64_t sum = 1469598103934665603ULL;
+  for (const unsigned char byte : name)
+    sum = (sum ^ byte) * 1099511628211ULL;
   return sum;
 }
+
+// Whether a connection stays open after an attempt that ended so.
+bool keeps_connection(Outcome outcome) {
+  return outcome == Outcome::ok || outcome == Outcome::error || outcome == Outcome::rejected;
+}
+
 }  // namespace
 
 SimulatedProxy::SimulatedProxy(Engine& engine, const deployment::Deployment& deployment,
@@ -29,13 +40,13 @@
       fleet_(fleet),
       network_(network),
       ways_(std::move(ways)),
-      next_attempt_id_(static_cast<std::uint64_t>(settings.number) << 40) {}
+      last_attempt_id_(static_cast<std::uint64_t>(settings.number) << attempt_bits) {}
 
 void SimulatedProxy::start() {
-  ++life_;
-  born_ = engine_.now();
+  ++incarnation_;
+  started_at_ = engine_.now();
   last_request_id_ = 0;
-  heard_release_ = false;
+  release_known_ = false;
   upstreams_.clear();
   upstream_of_.clear();
   policy_ = make_policy(
@@ -43,25 +54,26 @@
       deployment::endpoint_settings(deployment_, settings_.zone, settings_.number),
       deployment::canary_quota_settings(deployment_), deployment::analysis_settings(deployment_),
       deployment::request_settings(deployment_, tick));
-  std::vector<registry::Endpoint> saved;
-  for (auto& [name, entry] : listed_)
-    saved.push_back(entry);
-  if (!saved.empty())
-    list(saved, true, true);
-  pull();
+  std::vector<registry::Endpoint> cached;
+  for (const auto& [name, endpoint] : endpoints_)
+    cached.push_back(endpoint);
+  if (!cached.empty())
+    endpoints_updated(cached, EndpointUpdateKind::cached);
+  run_policy();
 }
 
 void SimulatedProxy::kill() {
   if (!up())
     return;
-  engine_.cancel(wake_);
-  for (auto& [id, in_flight] : requests_)
-    for (InFlightAttempt& out : in_flight.attempts) {
-      engine_.cancel(out.timer);
-      if (!out.ended)
-        fleet_.gone(out.server, out.id);
+  engine_.cancel(policy_timer_);
+  for (auto& [id, request] : requests_) {
+    for (InFlightAttempt& attempt : request.attempts) {
+      engine_.cancel(attempt.timer);
+      if (!attempt.ended)
+        fleet_.gone(attempt.server, attempt.id);
     }
-  for (Upstream& upstream : upstreams_)
+  }
+  for (const Upstream& upstream : upstreams_)
     if (upstream.server >= 0)
       fleet_.connections(upstream.server) -= upstream.idle + upstream.busy;
   requests_.clear();
@@ -70,145 +82,164 @@
   policy_.reset();
 }
 
-void SimulatedProxy::take(const load::Try& one, TimePoint until) {
-  const auto& request_class = deployment_.request_classes[one.request_class].request_class;
-  RequestInfo request{};
-  request.request_class = one.request_class;
-  request.tenant = deployment_.tenants.empty() ? 0 : one.tenant;
-  request.key = one.key;
+void SimulatedProxy::request_arrived(const load::Try& request, TimePoint deadline) {
+  const auto& request_class = deployment_.request_classes[request.request_class].request_class;
   const Duration remaining =
-      std::min(std::max(Duration(1), until - one.at), request_class.deadline);
-  request.deadline = local() + remaining - settings_.reserve;
-  request.request_id = last_request_id_ = last_request_id_ + 1;
+      std::min(std::max(Duration(1), deadline - request.at), request_class.deadline);
+  RequestInfo info{};
+  info.request_class = request.request_class;
+  info.tenant = deployment_.tenants.empty() ? 0 : request.tenant;
+  info.key = request.key;
+  info.deadline = local_time() + remaining - settings_.reserve;
+  info.request_id = ++last_request_id_;
   InFlightRequest in_flight;
-  in_flight.one = one;
-  in_flight.deadline = request.deadline;
-  in_flight.until = until;
-  requests_.emplace(request.request_id, std::move(in_flight));
-  request_of_[one.id] = request.request_id;
-  policy_->request_arrived(request, local());
-  pull();
+  in_flight.client_request = request;
+  in_flight.deadline = info.deadline;
+  requests_.emplace(info.request_id, std::move(in_flight));
+  request_of_[request.id] = info.request_id;
+  policy_->request_arrived(info, local_time());
+  run_policy();
 }
 
-void SimulatedProxy::left(std::int64_t try_id) {
-  auto at = request_of_.find(try_id);
-  if (at == request_of_.end())
+// As the router does, the policy runs with the next input or timer.
+void SimulatedProxy::client_disconnected(std::int64_t client_request) {
+  const auto found = request_of_.find(client_request);
+  if (found == request_of_.end())
     return;
-  const int request_id = at->second;
-  InFlightRequest& in_flight = requests_.at(request_id);
-  if (in_flight.answered)
+  const int request_id = found->second;
+  InFlightRequest& request = requests_.at(request_id);
+  if (request.answered)
     return;
-  in_flight.answered = true;
-  request_of_.erase(at);
+  request.answered = true;
+  request_of_.erase(found);
   policy_->client_disconnected(request_id);
-  forget(request_id);
-  // The router pulls with its next input or wake-up; so does this.
+  forget_if_done(request_id);
 }
 
-int SimulatedProxy::upstream_index(const registry::Endpoint& entry) {
-  const std::string id = entry.name + "@" + entry.address;
-  if (auto at = upstream_of_.find(id); at != upstream_of_.end())
-    return at->second;
-  if (entry.phase == EndpointPhase::removed)
-    return -1;
-  const int server = ways_.server_of(entry.name);
+// ---- Updates
+
+// Indices are not used again: a run is over before there are too many.
+int SimulatedProxy::upstream_index(const registry::Endpoint& endpoint) {
+  const std::string id = endpoint.name + "@" + endpoint.address;
+  const auto found = upstream_of_.find(id);
+  if (found != upstream_of_.end())
+    return found->second;
+  if (endpoint.phase == EndpointPhase::removed)
+    return no_upstream;
+  const int server = ways_.server_of(endpoint.name);
   if (server < 0)
-    return -1;
-  // Places are not used again here: a run is over before there are too many.
+    return no_upstream;
   upstreams_.push_back({.server = server});
-  return upstream_of_[id] = static_cast<int>(upstreams_.size()) - 1;
+  const int index = static_cast<int>(upstreams_.size()) - 1;
+  upstream_of_[id] = index;
+  return index;
+}
+
+EndpointInfo SimulatedProxy::describe(const registry::Endpoint& endpoint, int index) const {
+  EndpointInfo info{};
+  info.endpoint = index;
+  info.zone = std::max(0, deployment_.zone(endpoint.zone));
+  info.cell = endpoint.cell;
+  info.build = endpoint.build;
+  info.phase = endpoint.phase;
+  info.size = endpoint.size;
+  info.order = digest(endpoint.name);
+  if (endpoint.started == WallTime{})
+    return info;
+  info.started = TimePoint(endpoint.started - wall_clock_zero - started_at_.time_since_epoch());
+  if (info.started == TimePoint{})
+    info.started = TimePoint(Duration(1));  // zero would mean "long ago"
+  return info;
+}
+
+// What a complete list does not name has been removed.
+void SimulatedProxy::remove_unlisted(const std::vector<bool>& named) {
+  for (std::size_t i = 0; i < upstreams_.size(); ++i)
+    if (i >= named.size() || !named[i])
+      upstreams_[i].phase = EndpointPhase::removed;
+}
+
+// Until the controller has spoken, builds above the lowest listed one count as not yet announced.
+void SimulatedProxy::assume_lowest_build_released() {
+  if (release_known_ || endpoints_.empty())
+    return;
+  int lowest = endpoints_.begin()->second.build;
+  for (const auto& [name, endpoint] : endpoints_)
+    lowest = std::min(lowest, endpoint.build);
+  policy_->release_updated(ReleaseUpdate{lowest, 0, ReleasePhase::released, 1, Duration{}},
+                           local_time());
 }
 
-void SimulatedProxy::list(const std::vector<registry::Endpoint>& entries, bool whole, bool saved) {
+void SimulatedProxy::endpoints_updated(const std::vector<registry::Endpoint>& endpoints,
+                                       EndpointUpdateKind kind) {
   if (!up())
     return;
-  if (whole)
-    listed_.clear();
-  std::vector<EndpointInfo> news;
+  const bool complete = kind != EndpointUpdateKind::incremental;
+  if (complete)
+    endpoints_.clear();
+  std::vector<EndpointInfo> infos;
   std::vector<bool> named(upstreams_.size(), false);
-  for (const registry::Endpoint& entry : entries) {
-    if (entry.phase == EndpointPhase::removed)
-      listed_.erase(entry.name);
+  for (const registry::Endpoint& endpoint : endpoints) {
+    if (endpoint.phase == EndpointPhase::removed)
+      endpoints_.erase(endpoint.name);
     else
-      listed_[entry.name] = entry;
-    const int index = upstream_index(entry);
-    if (index < 0)
+      endpoints_[endpoint.name] = endpoint;
+    const int index = upstream_index(endpoint);
+    if (index == no_upstream)
       continue;
-    if (index >= static_cast<int>(named.size()))
-      named.resize(index + 1, false);
+    named.resize(upstreams_.size(), false);
     named[index] = true;
-    upstreams_[index].phase = entry.phase;
-    EndpointInfo endpoint{};
-    endpoint.endpoint = index;
-    endpoint.zone = std::max(0, deployment_.zone(entry.zone));
-    endpoint.cell = entry.cell;
-    endpoint.build = entry.build;
-    endpoint.phase = entry.phase;
-    endpoint.size = entry.size;
-    if (entry.started != WallTime{})
-      endpoint.started = TimePoint(entry.started - wall_base - born_.time_since_epoch());
-    if (entry.started != WallTime{} && endpoint.started == TimePoint{})
-      endpoint.started = TimePoint(Duration(1));
-    endpoint.order = order_of(entry.name);
-    news.push_back(endpoint);
+    upstreams_[index].phase = endpoint.phase;
+    infos.push_back(describe(endpoint, index));
   }
-  for (std::size_t i = 0; i < upstreams_.size(); ++i) {
-    Upstream& upstream = upstreams_[i];
-    if (whole && (i >= named.size() || !named[i]))
-      upstream.phase = EndpointPhase::removed;
-    if (upstream.phase == EndpointPhase::removed && upstream.idle > 0) {
-      fleet_.connections(upstream.server) -= upstream.idle;
-      upstream.idle = 0;
-    }
-  }
-  if (!heard_release_ && !listed_.empty()) {
-    int lowest = listed_.begin()->second.build;
-    for (auto& [name, entry] : listed_)
-      lowest = std::min(lowest, entry.build);
-    policy_->release_updated(ReleaseUpdate{lowest, 0, ReleasePhase::released, 1, Duration{}},
-                             local());
-  }
-  policy_->endpoints_updated(saved   ? EndpointUpdateKind::cached
-                             : whole ? EndpointUpdateKind::complete
-                                     : EndpointUpdateKind::incremental,
-                             news, local());
-  pull();
+  if (complete)
+    remove_unlisted(named);
+  for (Upstream& upstream : upstreams_)
+    if (upstream.phase == EndpointPhase::removed && upstream.idle > 0)
+      close_idle(upstream);
+  assume_lowest_build_released();
+  policy_->endpoints_updated(kind, infos, local_time());
+  run_policy();
 }
 
-void SimulatedProxy::release(const ReleaseUpdate& update) {
+void SimulatedProxy::release_updated(const ReleaseUpdate& update) {
   if (!up())
     return;
-  heard_release_ = true;
-  policy_->release_updated(update, local());
-  pull();
+  release_known_ = true;
+  policy_->release_updated(update, local_time());
+  run_policy();
 }
 
 void SimulatedProxy::vote_answered(Outcome outcome) {
   if (!up())
     return;
-  policy_->vote_answered(outcome, local());
-  pull();
+  policy_->vote_answered(outcome, local_time());
+  run_policy();
 }
 
-void SimulatedProxy::found_wrong(int server) {
+void SimulatedProxy::answer_found_wrong(int server) {
   if (!up())
     return;
-  for (std::size_t i = 0; i < upstreams_.size(); ++i)
-    if (upstreams_[i].server == server) {
-      policy_->answer_found_wrong(static_cast<int>(i));
-      return pull();
-    }
+  const auto found =
+      std::find_if(upstreams_.begin(), upstreams_.end(),
+                   [server](const Upstream& upstream) { return upstream.server == server; });
+  if (found == upstreams_.end())
+    return;
+  policy_->answer_found_wrong(static_cast<int>(found - upstreams_.begin()));
+  run_policy();
 }
 
-void SimulatedProxy::pull() {
-  if (pulling_)
-    return;
-  pulling_ = true;
-  while (auto decision = policy_->next(local())) {
+// ---- Decisions of the policy
+
+void SimulatedProxy::run_policy() {
+  if (running_policy_)
+    return;  // whoever runs it now goes on until there is nothing left
+  running_policy_ = true;
+  while (const auto decision = policy_->next(local_time())) {
     ++decisions_;
     carry_out(*decision);
   }
-  pulling_ = false;
+  running_policy_ = false;
 }
 
 void SimulatedProxy::carry_out(const Decision& decision) {
@@ -216,46 +247,18 @@
     case Action::forward:
       forward(decision);
       break;
-    case Action::reject: {
-      InFlightRequest& in_flight = requests_.at(decision.request_id);
-      finish(in_flight,
-             {.end = load::End::rejected,
-              .status = 503,
-              .why = in_flight.attempts.empty() ? "no-room" : rollout::api_name(in_flight.last),
-              .stay_away = decision.duration});
-      forget(decision.request_id);
+    case Action::reject:
+      reject(decision);
       break;
-    }
-    case Action::fail: {
-      InFlightRequest& in_flight = requests_.at(decision.request_id);
-      const bool late = in_flight.attempts.empty() || in_flight.last == Outcome::timeout;
-      finish(in_flight,
-             {.end = load::End::failed,
-              .status = late ? 504 : 502,
-              .why = in_flight.attempts.empty() ? "expired" : rollout::api_name(in_flight.last)});
-      forget(decision.request_id);
+    case Action::fail:
+      fail(decision);
       break;
-    }
-    case Action::cancel: {
-      InFlightAttempt& out = requests_.at(decision.request_id).attempts.at(decision.attempt);
-      if (out.ended)
-        break;
-      out.cancelled = true;
-      engine_.cancel(out.timer);
-      engine_.in(network_.way(),
-                 [this, server = out.server, id = out.id] { fleet_.gone(server, id); });
-      engine_.in(Duration{}, [this, id = out.id, life = life_] {
-        if (life == life_ && up())
-          ended(id, Outcome::cancelled, {});
-      });
+    case Action::cancel:
+      cancel(decision);
       break;
-    }
-    case Action::close: {
-      Upstream& upstream = upstreams_[decision.endpoint];
-      fleet_.connections(upstream.server) -= upstream.idle;
-      upstream.idle = 0;
+    case Action::close:
+      close_idle(upstreams_[decision.endpoint]);
       break;
-    }
     case Action::subscribe:
     case Action::fetch:
       ways_.refresh(settings_.number);
@@ -264,11 +267,7 @@
       ways_.vote(settings_.number, decision.build, decision.stage, decision.verdict);
       break;
     case Action::wake:
-      engine_.cancel(wake_);
-      wake_ = engine_.in(decision.duration, [this] {
-        wake_ = {};
-        pull();
-      });
+      schedule_policy(decision.duration);
       break;
     case Action::probe:
     case Action::log:
@@ -276,139 +275,189 @@
   }
 }
 
+void SimulatedProxy::schedule_policy(Duration delay) {
+  engine_.cancel(policy_timer_);
+  policy_timer_ = engine_.in(delay, [this] {
+    policy_timer_ = {};
+    run_policy();
+  });
+}
+
+void SimulatedProxy::reject(const Decision& decision) {
+  InFlightRequest& request = requests_.at(decision.request_id);
+  finish(request, {.end = load::End::rejected,
+                   .status = 503,
+                   .why = request.attempts.empty() ? "no-room" : rollout::api_name(request.last),
+                   .stay_away = decision.duration});
+  forget_if_done(decision.request_id);
+}
+
+void SimulatedProxy::fail(const Decision& decision) {
+  InFlightRequest& request = requests_.at(decision.request_id);
+  const bool late = request.attempts.empty() || request.last == Outcome::timeout;
+  finish(request, {.end = load::End::failed,
+                   .status = late ? 504 : 502,
+                   .why = request.attempts.empty() ? "expired" : rollout::api_name(request.last)});
+  forget_if_done(decision.request_id);
+}
+
+void SimulatedProxy::cancel(const Decision& decision) {
+  InFlightAttempt& attempt = requests_.at(decision.request_id).attempts.at(decision.attempt);
+  if (attempt.ended)
+    return;
+  attempt.cancelled = true;
+  engine_.cancel(attempt.timer);
+  engine_.in(network_.way(),
+             [this, server = attempt.server, id = attempt.id] { fleet_.gone(server, id); });
+  fail_attempt_later(attempt.id, Duration{}, Outcome::cancelled);
+}
+
+void SimulatedProxy::close_idle(Upstream& upstream) {
+  fleet_.connections(upstream.server) -= upstream.idle;
+  upstream.idle = 0;
+}
+
 void SimulatedProxy::forward(const Decision& decision) {
-  InFlightRequest& in_flight = requests_.at(decision.request_id);
-  const std::size_t index = in_flight.attempts.size();
+  InFlightRequest& request = requests_.at(decision.request_id);
+  const std::size_t index = request.attempts.size();
   Upstream& upstream = upstreams_[decision.endpoint];
   ++attempt_count_;
-  const std::uint64_t id = ++next_attempt_id_;
-  in_flight.attempts.push_back({id, upstream.server, decision.endpoint});
+  const std::uint64_t id = ++last_attempt_id_;
+  request.attempts.push_back({id, upstream.server, decision.endpoint});
   attempt_of_[id] = {decision.request_id, index};
-  Duration within = std::max(Duration(1), in_flight.deadline - local());
+  Duration timeout = std::max(Duration(1), request.deadline - local_time());
   if (decision.duration > Duration{})
-    within = std::min(within, decision.duration);
-  const auto fails = [&](Duration after, Outcome outcome) {
-    engine_.in(after, [this, id, outcome, life = life_] {
-      if (life == life_ && up())
-        ended(id, outcome, {});
-    });
-  };
-  Sent sent{.id = id,
-            .proxy = settings_.number,
-            .request_class = in_flight.one.request_class,
-            .attempt = static_cast<int>(index),
-            .request_id = decision.request_id,
-            .try_id = in_flight.one.id,
-            .work = in_flight.one.work,
-            .key = in_flight.one.key,
-            .poison = in_flight.one.poison};
-  const Duration there = network_.way();
+    timeout = std::min(timeout, decision.duration);
+
+  const Duration way = network_.way();
+  const Connection connection = take_connection(upstream, way);
+  if (!connection.available) {
+    request.attempts[index].upstream = no_upstream;
+    fail_attempt_later(id, connection.failure_delay, connection.failure);
+    return;
+  }
+  request.attempts[index].timer = engine_.in(timeout, [this, id] { attempt_timed_out(id); });
+  // A new connection takes a way there and back before the request goes.
+  const Duration arrives_in = connection.fresh ? 3 * way : way;
+  engine_.in(arrives_in, [this, id, server = upstream.server, incarnation = incarnation_,
+                          fresh = connection.fresh] {
+    if (incarnation == incarnation_ && up())
+      deliver(id, server, fresh);
+  });
+}
+
+// ---- Connections and ends of attempts
+
+SimulatedProxy::Connection SimulatedProxy::take_connection(Upstream& upstream, Duration way) {
   if (upstream.idle > 0) {
     --upstream.idle;
     ++upstream.busy;
-  } else {
-    if (upstream.busy >= settings_.connections_per_server) {
-      in_flight.attempts[index].upstream = -1;
-      return fails(Duration{}, Outcome::connect_failure);
-    }
-    // A new one: refused where nobody listens, closed at once where there are too many.
-    if (!fleet_.runs(upstream.server)) {
-      in_flight.attempts[index].upstream = -1;
-      return fails(2 * there, Outcome::connect_failure);
-    }
-    const int most = fleet_.max_connections(upstream.server);
-    if (most > 0 && fleet_.connections(upstream.server) >= most) {
-      in_flight.attempts[index].upstream = -1;
-      return fails(2 * there, Outcome::reset);
-    }
-    ++upstream.busy;
-    ++fleet_.connections(upstream.server);
-    sent.first = true;
+    return {.available = true};
   }
-  in_flight.attempts[index].timer = engine_.in(within, [this, id] {
-    auto at = attempt_of_.find(id);
-    if (at == attempt_of_.end())
-      return;
-    const int server = requests_.at(at->second.first).attempts[at->second.second].server;
-    engine_.in(network_.way(), [this, server, id] { fleet_.gone(server, id); });
-    ended(id, Outcome::timeout, {});
+  if (upstream.busy >= settings_.connections_per_server)
+    return {.failure = Outcome::connect_failure};
+  // Refused where nobody listens, closed at once where there are too many.
+  if (!fleet_.runs(upstream.server))
+    return {.failure_delay = 2 * way, .failure = Outcome::connect_failure};
+  const int max_connections = fleet_.max_connections(upstream.server);
+  if (max_connections > 0 && fleet_.connections(upstream.server) >= max_connections)
+    return {.failure_delay = 2 * way, .failure = Outcome::reset};
+  ++upstream.busy;
+  ++fleet_.connections(upstream.server);
+  return {.available = true, .fresh = true};
+}
+
+void SimulatedProxy::release_connection(const InFlightAttempt& attempt, Outcome outcome) {
+  if (attempt.upstream == no_upstream)
+    return;
+  Upstream& upstream = upstreams_[attempt.upstream];
+  --upstream.busy;
+  if (!fleet_.runs(upstream.server))
+    return;
+  const int max_connections = fleet_.max_connections(upstream.server);
+  const bool stays_open =
+      keeps_connection(outcome) && upstream.phase != EndpointPhase::removed &&
+      (max_connections == 0 || fleet_.connections(upstream.server) <= max_connections);
+  if (stays_open)
+    ++upstream.idle;
+  else
+    --fleet_.connections(upstream.server);
+}
+
+void SimulatedProxy::fail_attempt_later(std::uint64_t id, Duration delay, Outcome outcome) {
+  engine_.in(delay, [this, id, outcome, incarnation = incarnation_] {
+    if (incarnation == incarnation_ && up())
+      attempt_ended(id, outcome, {});
   });
-  // A connection takes a way there and back before the request goes.
-  engine_.in(sent.first ? 3 * there : there,
-             [this, server = upstream.server, id, life = life_, first = sent.first] {
-               if (life != life_ || !up())
-                 return;
-               auto at = attempt_of_.find(id);
-               if (at == attempt_of_.end())
-                 return;
-               const auto [request_id, place] = at->second;
-               const InFlightRequest& of = requests_.at(request_id);
-               if (of.attempts[place].ended || of.attempts[place].cancelled)
-                 return;
-               if (!fleet_.runs(server))
-                 return ended(id, Outcome::reset, {});
-               fleet_.arrive(server, {.id = id,
-                                      .proxy = settings_.number,
-                                      .request_class = of.one.request_class,
-                                      .attempt = static_cast<int>(place),
-                                      .request_id = request_id,
-                                      .try_id = of.one.id,
-                                      .work = of.one.work,
-                                      .key = of.one.key,
-                                      .poison = of.one.poison,
-                                      .first = first});
-             });
 }
 
-void SimulatedProxy::ended(std::uint64_t id, Outcome outcome, const Answer& answer) {
-  auto at = attempt_of_.find(id);
-  if (at == attempt_of_.end())
+void SimulatedProxy::attempt_timed_out(std::uint64_t id) {
+  const auto found = attempt_of_.find(id);
+  if (found == attempt_of_.end())
     return;
-  const auto [request_id, index] = at->second;
-  attempt_ended(request_id, index, outcome, answer);
+  const AttemptPlace place = found->second;
+  const int server = requests_.at(place.request_id).attempts[place.index].server;
+  engine_.in(network_.way(), [this, server, id] { fleet_.gone(server, id); });
+  attempt_ended(id, Outcome::timeout, {});
 }
 
-void SimulatedProxy::attempt_ended(int request_id, std::size_t index, Outcome outcome,
-                                   const Answer& answer) {
-  InFlightRequest& in_flight = requests_.at(request_id);
-  InFlightAttempt& out = in_flight.attempts[index];
-  if (out.ended)
+// The request of an attempt reaches its server.
+void SimulatedProxy::deliver(std::uint64_t id, int server, bool fresh_connection) {
+  const auto found = attempt_of_.find(id);
+  if (found == attempt_of_.end())
+    return;
+  const AttemptPlace place = found->second;
+  const InFlightRequest& request = requests_.at(place.request_id);
+  const InFlightAttempt& attempt = request.attempts[place.index];
+  if (attempt.ended || attempt.cancelled)
+    return;
+  if (!fleet_.runs(server)) {
+    attempt_ended(id, Outcome::reset, {});
     return;
-  out.ended = true;
-  engine_.cancel(out.timer);
-  attempt_of_.erase(out.id);
-  if (out.upstream >= 0) {
-    Upstream& upstream = upstreams_[out.upstream];
-    --upstream.busy;
-    // Kept open after an answer; gone with anything else.
-    const bool keeps =
-        outcome == Outcome::ok || outcome == Outcome::error || outcome == Outcome::rejected;
-    const int most = fleet_.max_connections(upstream.server);
-    if (fleet_.runs(upstream.server)) {
-      if (keeps && upstream.phase != EndpointPhase::removed &&
-          (most == 0 || fleet_.connections(upstream.server) <= most))
-        ++upstream.idle;
-      else
-        --fleet_.connections(upstream.server);
-    }
   }
-  in_flight.last = outcome;
+  const load::Try& client_request = request.client_request;
+  fleet_.arrive(server, {.id = id,
+                         .proxy = settings_.number,
+                         .request_class = client_request.request_class,
+                         .attempt = static_cast<int>(place.index),
+                         .request_id = place.request_id,
+                         .try_id = client_request.id,
+                         .work = client_request.work,
+                         .key = client_request.key,
+                         .poison = client_request.poison,
+                         .first = fresh_connection});
+}
+
+void SimulatedProxy::attempt_ended(std::uint64_t id, Outcome outcome, const Answer& answer) {
+  const auto found = attempt_of_.find(id);
+  if (found == attempt_of_.end())
+    return;
+  const AttemptPlace place = found->second;
+  InFlightRequest& request = requests_.at(place.request_id);
+  InFlightAttempt& attempt = request.attempts[place.index];
+  if (attempt.ended)
+    return;
+  attempt.ended = true;
+  engine_.cancel(attempt.timer);
+  attempt_of_.erase(found);
+  release_connection(attempt, outcome);
+  request.last = outcome;
   LoadReport load;
   if (answer.held >= 0) {
     load.utilization = answer.busy;
     load.in_flight = answer.held;
   }
-  const bool answers = outcome == Outcome::ok && !in_flight.answered;
-  policy_->attempt_ended(request_id, static_cast<int>(index), outcome,
-                         in_flight.answered || answers, load, local());
+  const bool answers = outcome == Outcome::ok && !request.answered;
+  policy_->attempt_ended(place.request_id, static_cast<int>(place.index), outcome,
+                         request.answered || answers, load, local_time());
   if (answers)
-    finish(in_flight, {.end = load::End::succeeded,
-                       .status = 200,
-                       .why = "answered",
-                       .server = out.server,
-                       .right = answer.right});
-  forget(request_id);
-  pull();
+    finish(request, {.end = load::End::succeeded,
+                     .status = 200,
+                     .why = "answered",
+                     .server = attempt.server,
+                     .right = answer.right});
+  forget_if_done(place.request_id);
+  run_policy();
 }
 
 void SimulatedProxy::server_killed(int server) {
@@ -418,29 +467,26 @@
     if (upstream.server == server)
       upstream.idle = 0;
   std::vector<std::uint64_t> broken;
-  for (auto& [id, where] : attempt_of_)
-    if (requests_.at(where.first).attempts[where.second].server == server)
+  for (const auto& [id, place] : attempt_of_)
+    if (requests_.at(place.request_id).attempts[place.index].server == server)
       broken.push_back(id);
   std::sort(broken.begin(), broken.end());
-  for (std::uint64_t id : broken)
-    engine_.in(network_.way(), [this, id, life = life_] {
-      if (life == life_ && up())
-        ended(id, Outcome::reset, {});
-    });
+  for (const std::uint64_t id : broken)
+    fail_attempt_later(id, network_.way(), Outcome::reset);
 }
 
-void SimulatedProxy::finish(InFlightRequest& in_flight, FinalAnswer how) {
-  if (in_flight.answered)
+void SimulatedProxy::finish(InFlightRequest& request, const FinalAnswer& answer) {
+  if (request.answered)
     return;
-  in_flight.answered = true;
-  request_of_.erase(in_flight.one.id);
-  ways_.answer(in_flight.one.id, how);
+  request.answered = true;
+  request_of_.erase(request.client_request.id);
+  ways_.answer(request.client_request.id, answer);
 }
 
-void SimulatedProxy::forget(int request_id) {
-  auto at = requests_.find(request_id);
-  if (at != requests_.end() && at->second.answered && !policy_->knows(request_id))
-    requests_.erase(at);
+void SimulatedProxy::forget_if_done(int request_id) {
+  const auto found = requests_.find(request_id);
+  if (found != requests_.end() && found->second.answered && !policy_->knows(request_id))
+    requests_.erase(found);
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/simulated_proxy.h
+++ b/src/emulator/simulated_proxy.h
@@ -1,9 +1,13 @@
-// One proxy in simulated time: the decision module as the router on sockets hosts it, with
-// connections, time-outs and the way to and from the servers. It makes no choice of its own.
+/// One proxy in simulated time.
+///
+/// It hosts a policy as the router on sockets does, with connections, time-outs and the way to and
+/// from the servers modelled. It makes no choice of its own.
 #pragma once
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
+#include <string>
 #include <unordered_map>
 #include <vector>
 
@@ -16,84 +20,123 @@
 
 namespace robinhoist::emulator {
 
+/// A proxy's response to a client.
 struct FinalAnswer {
   load::End end = load::End::succeeded;
-  int status = 200;
+  int status = 200;  ///< of HTTP; 0: none came
   const char* why = "";
-  int server = -1;
+  int server = -1;  ///< that answered; -1: none did
   bool right = true;
-  Duration stay_away{};
+  Duration stay_away{};  ///< as Retry-After says
 };
 
 struct SimulatedProxySettings {
-  int number = 0, zone = 0;
+  int number = 0;
+  int zone = 0;
   unsigned salt = 1;
-  Duration reserve = std::chrono::milliseconds(5);
+  Duration reserve = std::chrono::milliseconds(5);  ///< of the client's time, for the way back
   int connections_per_server = 256;
   PolicySpec policy{};
 };
 
 class SimulatedProxy {
  public:
+  /// What leaves the proxy now.
   struct Ways {
-    std::function<void(std::int64_t try_id, const FinalAnswer&)> answer;  // leaves the proxy now
+    std::function<void(std::int64_t client_request, const FinalAnswer&)> answer;
     std::function<void(int proxy, int build, int stage, Verdict verdict)> vote;
-    std::function<void(int proxy)> refresh;                 // the whole list, please
-    std::function<int(const std::string& name)> server_of;  // -1: none of that name
+    /// Asks for the complete list.
+    std::function<void(int proxy)> refresh;
+    /// The server of that name; -1: there is none.
+    std::function<int(const std::string& name)> server_of;
   };
+
   SimulatedProxy(Engine& engine, const deployment::Deployment& deployment,
                  const SimulatedProxySettings& settings, Fleet& fleet, Network& network, Ways ways);
 
-  // A process begins, with the list that the one before saved, if any; or ends without a word.
+  /// A process begins, with the list that the one before has cached, if any.
   void start();
+  /// The process ends without a word.
   void kill();
   bool up() const { return policy_ != nullptr; }
-  int life() const {
-    return life_;
-  }  // grows with each start: what is meant for an earlier one is lost
-
-  void take(const load::Try& one, TimePoint until);
-  void left(std::int64_t try_id);
-  void list(const std::vector<registry::Endpoint>& entries, bool whole, bool saved = false);
-  void release(const ReleaseUpdate& release);  // since: its age now
+  /// Grows with each start: what was meant for an earlier process is lost.
+  int incarnation() const { return incarnation_; }
+
+  // Inputs. Those of updates, votes and servers do nothing while the proxy is down.
+  void request_arrived(const load::Try& request, TimePoint deadline);
+  void client_disconnected(std::int64_t client_request);
+  void endpoints_updated(const std::vector<registry::Endpoint>& endpoints, EndpointUpdateKind kind);
+  /// `update.since` is its age now.
+  void release_updated(const ReleaseUpdate& update);
   void vote_answered(Outcome outcome);
-  void found_wrong(int server);
-  // Ends of attempts, as the network brings them.
-  void ended(std::uint64_t id, Outcome outcome, const Answer& answer);
+  void answer_found_wrong(int server);
+  /// The end of an attempt, as the network brings it.
+  void attempt_ended(std::uint64_t id, Outcome outcome, const Answer& answer);
   void server_killed(int server);
 
-  std::size_t held() const { return requests_.size(); }
   long attempts() const { return attempt_count_; }
   long decisions() const { return decisions_; }
 
  private:
+  static constexpr int no_upstream = -1;
+
   struct InFlightAttempt {
     std::uint64_t id;
-    int server, upstream;
-    bool ended = false, cancelled = false;
+    int server;
+    int upstream;  // no_upstream: it has no connection
+    bool ended = false;
+    bool cancelled = false;
     Engine::Id timer{};
   };
   struct InFlightRequest {
-    load::Try one{};
-    TimePoint deadline{}, until{};
+    load::Try client_request{};
+    TimePoint deadline{};
     std::vector<InFlightAttempt> attempts{};
     bool answered = false;
     Outcome last = Outcome::obsolete;
   };
-  struct Upstream {  // a server as the module numbers it
+  /// A server as the policy numbers it.
+  struct Upstream {
     int server = -1;
     EndpointPhase phase = EndpointPhase::removed;
     int idle = 0;  // connections kept open
     int busy = 0;
   };
-  TimePoint local() const { return TimePoint(engine_.now() - born_); }
-  void pull();
+  /// Where an attempt stands.
+  struct AttemptPlace {
+    int request_id;
+    std::size_t index;
+  };
+  /// The connection that an attempt goes out on, or why there is none.
+  struct Connection {
+    bool available = false;
+    bool fresh = false;
+    Duration failure_delay{};
+    Outcome failure = Outcome::connect_failure;
+  };
+
+  TimePoint local_time() const { return TimePoint(engine_.now() - started_at_); }
+  void run_policy();
   void carry_out(const Decision& decision);
   void forward(const Decision& decision);
-  void attempt_ended(int request_id, std::size_t index, Outcome outcome, const Answer& answer);
-  void finish(InFlightRequest& in_flight, FinalAnswer how);
-  void forget(int request_id);
-  int upstream_index(const registry::Endpoint& entry);
+  void reject(const Decision& decision);
+  void fail(const Decision& decision);
+  void cancel(const Decision& decision);
+  void close_idle(Upstream& upstream);
+  void schedule_policy(Duration delay);
+
+  Connection take_connection(Upstream& upstream, Duration way);
+  void release_connection(const InFlightAttempt& attempt, Outcome outcome);
+  void fail_attempt_later(std::uint64_t id, Duration delay, Outcome outcome);
+  void attempt_timed_out(std::uint64_t id);
+  void deliver(std::uint64_t id, int server, bool fresh_connection);
+  void finish(InFlightRequest& request, const FinalAnswer& answer);
+  void forget_if_done(int request_id);
+
+  int upstream_index(const registry::Endpoint& endpoint);
+  EndpointInfo describe(const registry::Endpoint& endpoint, int index) const;
+  void remove_unlisted(const std::vector<bool>& named);
+  void assume_lowest_build_released();
 
   Engine& engine_;
   const deployment::Deployment& deployment_;
@@ -101,21 +144,22 @@
   Fleet& fleet_;
   Network& network_;
   Ways ways_;
-  std::unique_ptr<Policy> policy_{};
-  TimePoint born_{};
-  int life_ = 0;
+  std::unique_ptr<Policy> policy_{};  // null: the proxy is down
+  TimePoint started_at_{};
+  int incarnation_ = 0;
   std::vector<Upstream> upstreams_{};
-  std::map<std::string, int> upstream_of_{};
-  std::map<std::string, registry::Endpoint> listed_{};
+  std::map<std::string, int> upstream_of_{};               // by name and address
+  std::map<std::string, registry::Endpoint> endpoints_{};  // kept over restarts, as the cache is
   std::unordered_map<int, InFlightRequest> requests_{};
-  std::unordered_map<std::int64_t, int> request_of_{};  // by try
-  std::unordered_map<std::uint64_t, std::pair<int, std::size_t>>
-      attempt_of_{};  // request and index
+  std::unordered_map<std::int64_t, int> request_of_{};  // by client request
+  std::unordered_map<std::uint64_t, AttemptPlace> attempt_of_{};
   int last_request_id_ = 0;
-  bool heard_release_ = false, pulling_ = false;
-  Engine::Id wake_{};
-  std::uint64_t next_attempt_id_ = 0;
-  long attempt_count_ = 0, decisions_ = 0;
+  bool release_known_ = false;
+  bool running_policy_ = false;
+  Engine::Id policy_timer_{};
+  std::uint64_t last_attempt_id_ = 0;
+  long attempt_count_ = 0;
+  long decisions_ = 0;
 };
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/simulated_registry.cpp
+++ b/src/emulator/simulated_registry.cpp
@@ -73,10 +73,12 @@
     record::told_list(*simulation_.log.notifications, simulation_.engine.now(), proxy_name(proxy),
                       *endpoints, complete);
   SimulatedProxy& to = *simulation_.proxies[proxy];
-  simulation_.engine.in(simulation_.network.way(), [&to, endpoints, complete, life = to.life()] {
-    if (to.life() == life)
-      to.list(*endpoints, complete);
-  });
+  simulation_.engine.in(
+      simulation_.network.way(), [&to, endpoints, complete, incarnation = to.incarnation()] {
+        if (to.incarnation() == incarnation)
+          to.endpoints_updated(*endpoints, complete ? EndpointUpdateKind::complete
+                                                    : EndpointUpdateKind::incremental);
+      });
 }
 
 }  // namespace robinhoist::emulator
