--- a/src/emulator/simulated_proxy.cpp
+++ b/src/emulator/simulated_proxy.cpp
@@ -11,19 +11,9 @@
 using namespace std::chrono_literals;
 
 constexpr Duration tick = 1ms;  // as the router tells the decision module
-// The wall clock at the start of the simulation.
-constexpr WallTime wall_clock_zero{Duration(1'700'000'000'000'000)};
 // A proxy's number stands in the upper bits of its attempts' ids.
 constexpr int attempt_bits = 40;
 
-// A digest of a name that is the same at every proxy (FNV-1a; any would do).
-std::uint64_t digest(const std::string& name) {
-  std::uint64_t sum = 1469598103934665603ULL;
-  for (const unsigned char byte : name)
-    sum = (sum ^ byte) * 1099511628211ULL;
-  return sum;
-}
-
 // Whether a connection stays open after an attempt that ended so.
 bool keeps_connection(Outcome outcome) {
   return outcome == Outcome::ok || outcome == Outcome::error || outcome == Outcome::rejected;
@@ -116,119 +106,6 @@
   forget_if_done(request_id);
 }
 
-// ---- Updates
-
-// Indices are not used again: a run is over before there are too many.
-int SimulatedProxy::upstream_index(const registry::Endpoint& endpoint) {
-  const std::string id = endpoint.name + "@" + endpoint.address;
-  const auto found = upstream_of_.find(id);
-  if (found != upstream_of_.end())
-    return found->second;
-  if (endpoint.phase == EndpointPhase::removed)
-    return no_upstream;
-  const int server = ways_.server_of(endpoint.name);
-  if (server < 0)
-    return no_upstream;
-  upstreams_.push_back({.server = server});
-  const int index = static_cast<int>(upstreams_.size()) - 1;
-  upstream_of_[id] = index;
-  return index;
-}
-
-EndpointInfo SimulatedProxy::describe(const registry::Endpoint& endpoint, int index) const {
-  EndpointInfo info{};
-  info.endpoint = index;
-  info.zone = std::max(0, deployment_.zone(endpoint.zone));
-  info.cell = endpoint.cell;
-  info.build = endpoint.build;
-  info.phase = endpoint.phase;
-  info.size = endpoint.size;
-  info.order = digest(endpoint.name);
-  if (endpoint.started == WallTime{})
-    return info;
-  info.started = TimePoint(endpoint.started - wall_clock_zero - started_at_.time_since_epoch());
-  if (info.started == TimePoint{})
-    info.started = TimePoint(Duration(1));  // zero would mean "long ago"
-  return info;
-}
-
-// What a complete list does not name has been removed.
-void SimulatedProxy::remove_unlisted(const std::vector<bool>& named) {
-  for (std::size_t i = 0; i < upstreams_.size(); ++i)
-    if (i >= named.size() || !named[i])
-      upstreams_[i].phase = EndpointPhase::removed;
-}
-
-// Until the controller has spoken, builds above the lowest listed one count as not yet announced.
-void SimulatedProxy::assume_lowest_build_released() {
-  if (release_known_ || endpoints_.empty())
-    return;
-  int lowest = endpoints_.begin()->second.build;
-  for (const auto& [name, endpoint] : endpoints_)
-    lowest = std::min(lowest, endpoint.build);
-  policy_->release_updated(ReleaseUpdate{lowest, 0, ReleasePhase::released, 1, Duration{}},
-                           local_time());
-}
-
-void SimulatedProxy::endpoints_updated(const std::vector<registry::Endpoint>& endpoints,
-                                       EndpointUpdateKind kind) {
-  if (!up())
-    return;
-  const bool complete = kind != EndpointUpdateKind::incremental;
-  if (complete)
-    endpoints_.clear();
-  std::vector<EndpointInfo> infos;
-  std::vector<bool> named(upstreams_.size(), false);
-  for (const registry::Endpoint& endpoint : endpoints) {
-    if (endpoint.phase == EndpointPhase::removed)
-      endpoints_.erase(endpoint.name);
-    else
-      endpoints_[endpoint.name] = endpoint;
-    const int index = upstream_index(endpoint);
-    if (index == no_upstream)
-      continue;
-    named.resize(upstreams_.size(), false);
-    named[index] = true;
-    upstreams_[index].phase = endpoint.phase;
-    infos.push_back(describe(endpoint, index));
-  }
-  if (complete)
-    remove_unlisted(named);
-  for (Upstream& upstream : upstreams_)
-    if (upstream.phase == EndpointPhase::removed && upstream.idle > 0)
-      close_idle(upstream);
-  assume_lowest_build_released();
-  policy_->endpoints_updated(kind, infos, local_time());
-  run_policy();
-}
-
-void SimulatedProxy::release_updated(const ReleaseUpdate& update) {
-  if (!up())
-    return;
-  release_known_ = true;
-  policy_->release_updated(update, local_time());
-  run_policy();
-}
-
-void SimulatedProxy::vote_answered(Outcome outcome) {
-  if (!up())
-    return;
-  policy_->vote_answered(outcome, local_time());
-  run_policy();
-}
-
-void SimulatedProxy::answer_found_wrong(int server) {
-  if (!up())
-    return;
-  const auto found =
-      std::find_if(upstreams_.begin(), upstreams_.end(),
-                   [server](const Upstream& upstream) { return upstream.server == server; });
-  if (found == upstreams_.end())
-    return;
-  policy_->answer_found_wrong(static_cast<int>(found - upstreams_.begin()));
-  run_policy();
-}
-
 // ---- Decisions of the policy
 
 void SimulatedProxy::run_policy() {
--- a/src/lab/experiment.h
+++ b/src/lab/experiment.h
@@ -1,10 +1,12 @@
-// An experiment: a base day, what is varied in it, and how often each cell is played. Read from
-// S-expressions, checked whole: every cell's day is read before anything runs.
-//
-//   (experiment (name how-many-umpires) (day "short.day") (repetitions 20) (seed 1)
-//     (policies module least-requests)   ; side by side, the first to compare with; module alone
-//     without (draw grid)                        ; grid, (random 30) or (latin 30) (vary umpires
-//     (at "deployment.umpires") (values 1 2 4 8)) (vary rate (at "day.load.rate") (from 100 400)))
+/// An experiment: a base scenario, what is varied in it, and how often each cell is played.
+///
+/// Read from S-expressions and checked whole: every cell's scenario is read before anything runs.
+///
+///     (experiment (name how-many-umpires) (day "short.day") (repetitions 20) (seed 1)
+///       (policies module least-requests)   ; the first to compare with; module alone without
+///       (draw grid)                        ; grid, (random 30) or (latin 30)
+///       (vary umpires (at "deployment.umpires") (values 1 2 4 8))
+///       (vary rate (at "day.load.rate") (from 100 400)))
 #pragma once
 #include <map>
 #include <string>
