--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -47,17 +47,18 @@
 EndpointPicker::Candidates EndpointPicker::find_candidates(const EndpointRequirements& requirements,
                                                            TimePoint now,
                                                            std::minstd_rand& random) {
+  const std::size_t subset_size = subset_size_.endpoints(now);
   Candidates candidates;
   for (Locality locality : {Locality::local, Locality::remote}) {
     const std::vector<int>& group = endpoints_.group(requirements.build, locality);
     std::vector<int>& found = locality == Locality::local ? candidates.local : candidates.remote;
-    found = sample_two(group, requirements, now, random);
+    found = sample_two(group, requirements, subset_size, now, random);
     if (found.size() == 2) {
       candidates.usable += group.size();
       continue;
     }
     found.clear();
-    scan(group, requirements, now, found, candidates);
+    scan(group, requirements, subset_size, now, found, candidates);
   }
   return candidates;
 }
@@ -72,10 +73,11 @@
 // Draws from a large subset until two endpoints will do: the same choice as a scan's, at a cost
 // that does not grow with the fleet. Fewer than two: it gave up.
 std::vector<int> EndpointPicker::sample_two(const std::vector<int>& group,
-                                            const EndpointRequirements& requirements, TimePoint now,
+                                            const EndpointRequirements& requirements,
+                                            std::size_t subset_size, TimePoint now,
                                             std::minstd_rand& random) {
   std::vector<int> found;
-  const std::size_t length = std::min(subset_size_.endpoints(now), group.size());
+  const std::size_t length = std::min(subset_size, group.size());
   if (length <= min_subset_to_sample)
     return found;
   const std::size_t start = subset_start(group);
@@ -84,7 +86,7 @@
     const auto offset =
         static_cast<std::size_t>(uniform_sample(random) * static_cast<double>(length));
     const int endpoint = group[(start + offset) % group.size()];
-    if (!may_receive(endpoint, requirements, now))
+    if (!may_receive(endpoint, requirements, subset_size, now))
       continue;
     if (!is_trusted(endpoint, requirements, now))
       ++unhealthy;
@@ -99,13 +101,13 @@
 
 // Steps through a group from the subset's start until the subset is full of healthy endpoints.
 void EndpointPicker::scan(const std::vector<int>& group, const EndpointRequirements& requirements,
-                          TimePoint now, std::vector<int>& found, Candidates& candidates) {
-  const std::size_t subset_size = subset_size_.endpoints(now);
+                          std::size_t subset_size, TimePoint now, std::vector<int>& found,
+                          Candidates& candidates) {
   const std::size_t start = subset_start(group);
   std::size_t healthy = 0;
   for (std::size_t i = 0; i < group.size() && healthy < subset_size; ++i) {
     const int endpoint = group[(start + i) % group.size()];
-    if (!may_receive(endpoint, requirements, now))
+    if (!may_receive(endpoint, requirements, subset_size, now))
       continue;
     if (!is_trusted(endpoint, requirements, now)) {
       candidates.unhealthy.push_back(endpoint);
@@ -119,9 +121,8 @@
 }
 
 bool EndpointPicker::may_receive(int endpoint, const EndpointRequirements& requirements,
-                                 TimePoint now) {
-  return requirements.may_use(endpoint) &&
-         slow_start_.allows(endpoint, subset_size_.endpoints(now), now) &&
+                                 std::size_t subset_size, TimePoint now) {
+  return requirements.may_use(endpoint) && slow_start_.allows(endpoint, subset_size, now) &&
          !health_.is_ejected(endpoint, now);
 }
 
--- a/src/policy/endpoint_picker.h
+++ b/src/policy/endpoint_picker.h
@@ -41,12 +41,14 @@
   Candidates find_candidates(const EndpointRequirements& requirements, TimePoint now,
                              std::minstd_rand& random);
   std::vector<int> sample_two(const std::vector<int>& group,
-                              const EndpointRequirements& requirements, TimePoint now,
-                              std::minstd_rand& random);
-  void scan(const std::vector<int>& group, const EndpointRequirements& requirements, TimePoint now,
-            std::vector<int>& found, Candidates& candidates);
+                              const EndpointRequirements& requirements, std::size_t subset_size,
+                              TimePoint now, std::minstd_rand& random);
+  void scan(const std::vector<int>& group, const EndpointRequirements& requirements,
+            std::size_t subset_size, TimePoint now, std::vector<int>& found,
+            Candidates& candidates);
   std::size_t subset_start(const std::vector<int>& group) const;
-  bool may_receive(int endpoint, const EndpointRequirements& requirements, TimePoint now);
+  bool may_receive(int endpoint, const EndpointRequirements& requirements, std::size_t subset_size,
+                   TimePoint now);
   bool is_trusted(int endpoint, const EndpointRequirements& requirements, TimePoint now);
   int better_of_two(const std::vector<int>& endpoints, TimePoint now, std::minstd_rand& random);
   double load_score(int endpoint, TimePoint now);
