--- a/src/migration/target.cpp
+++ b/src/migration/target.cpp
@@ -1,5 +1,6 @@
 #include "migration/target.h"
 
+#include "http/status.h"
 #include "json/reader.h"
 #include "json/writer.h"
 
@@ -12,7 +13,6 @@
 constexpr const char* marker_path = "/v1/steps/mark";
 constexpr const char* query_path = "/v1/query";
 
-constexpr int status_ok = 200;
 constexpr int status_fenced = 409;
 constexpr int status_changed_nothing = 422;
 
@@ -99,7 +99,7 @@
   if (result != http::CallResult::answered)
     return {.result = StepResult::unknown, .reason = reason};
   switch (response.status) {
-    case status_ok:
+    case http::status_ok:
       break;
     case status_fenced:
       return {.result = StepResult::fenced, .reason = reason};
@@ -116,7 +116,7 @@
 }
 
 ProbeOutcome marker_outcome(http::CallResult result, const http::Response& response) {
-  if (result != http::CallResult::answered || response.status != status_ok)
+  if (result != http::CallResult::answered || response.status != http::status_ok)
     return {.applied = ProbeResult::unknown, .reason = failure_text(result, response)};
   try {
     auto document = json::parse_object(response.body);
@@ -131,7 +131,7 @@
 ProbeOutcome check_outcome(http::CallResult result, const http::Response& response) {
   const bool is_answer =
       result == http::CallResult::answered &&
-      (response.status == status_ok || response.status == status_changed_nothing);
+      (response.status == http::status_ok || response.status == status_changed_nothing);
   if (!is_answer)
     return {.applied = ProbeResult::unknown, .reason = failure_text(result, response)};
   // A query that cannot be run, because a table is missing, says that the step is not applied.
--- a/src/platform/release_api.cpp
+++ b/src/platform/release_api.cpp
@@ -2,13 +2,13 @@
 
 #include <algorithm>
 #include <chrono>
-#include <optional>
 #include <utility>
 
 #include "json/reader.h"
 #include "json/writer.h"
 #include "platform/config.h"
 #include "platform/wire_names.h"
+#include "proxy/vote_outcome.h"
 
 namespace robinhoist::platform {
 namespace {
@@ -22,10 +22,6 @@
 // Two statements of one state differ in its age by the time that they took to come.
 constexpr Duration same_state_tolerance = 100ms;
 
-constexpr int http_ok = 200;
-constexpr int http_conflict = 409;
-constexpr int http_too_many_requests = 429;
-
 http::ConnectionPoolSettings vote_connections() {
   http::ConnectionPoolSettings settings;
   settings.max_connections = max_votes_in_flight;
@@ -58,22 +54,12 @@
   return {.phase = 3, .stage = 0};
 }
 
-// The result of a vote that was not accepted; nothing if it was.
-std::optional<Outcome> vote_failure(http::CallResult how, const http::Response& response) {
+Outcome vote_call_outcome(http::CallResult how, const http::Response& response) {
   if (how == http::CallResult::connect_failed || how == http::CallResult::not_sent)
     return Outcome::connect_failure;
   if (how != http::CallResult::answered)
     return Outcome::timeout;
-  switch (response.status) {
-    case http_ok:
-      return {};
-    case http_conflict:
-      return Outcome::obsolete;
-    case http_too_many_requests:
-      return Outcome::rejected;
-    default:
-      return Outcome::error;
-  }
+  return proxy::vote_outcome(response.status);
 }
 
 }  // namespace
@@ -156,8 +142,9 @@
 
 void ReleaseApi::vote_ended(http::CallResult how, const http::Response& response,
                             const OnVoteResult& on_result) {
-  if (const auto failure = vote_failure(how, response)) {
-    on_result(*failure);
+  const Outcome outcome = vote_call_outcome(how, response);
+  if (outcome != Outcome::ok) {
+    on_result(outcome);
     return;
   }
   ReleaseUpdate release{};
--- a/src/proxy/watch_release_source.cpp
+++ b/src/proxy/watch_release_source.cpp
@@ -6,9 +6,11 @@
 #include <chrono>
 #include <utility>
 
+#include "http/status.h"
 #include "json/reader.h"
 #include "json/writer.h"
 #include "proxy/api_client_settings.h"
+#include "proxy/vote_outcome.h"
 #include "rollout/names.h"
 
 namespace robinhoist::proxy {
@@ -25,11 +27,6 @@
 constexpr Duration report_timeout = 1s;
 constexpr int heartbeats_per_lease = 3;
 
-constexpr int http_ok = 200;
-constexpr int http_conflict = 409;
-constexpr int http_gone = 410;
-constexpr int http_too_many_requests = 429;
-
 // Field names of the controller's API that differ from the terms used here.
 constexpr const char* proxy_field = "umpire";
 constexpr const char* incarnation_field = "session";
@@ -42,23 +39,14 @@
          std::to_string(net::wall_now().time_since_epoch().count());
 }
 
-Outcome vote_outcome(http::CallResult how, const http::Response& response) {
+Outcome vote_call_outcome(http::CallResult how, const http::Response& response) {
   if (how == http::CallResult::connect_failed)
     return Outcome::connect_failure;
   if (how == http::CallResult::timed_out)
     return Outcome::timeout;
   if (how != http::CallResult::answered)
     return Outcome::reset;
-  switch (response.status) {
-    case http_ok:
-      return Outcome::ok;
-    case http_conflict:
-      return Outcome::obsolete;
-    case http_too_many_requests:
-      return Outcome::rejected;
-    default:
-      return Outcome::error;
-  }
+  return vote_outcome(response.status);
 }
 
 }  // namespace
@@ -139,7 +127,7 @@
       continue;
     follower_ = {};
     stream_.stop();
-    watch_ended(line == Line::expired ? http_gone : 0);
+    watch_ended(line == Line::expired ? http::status_gone : 0);
     return false;
   }
 }
@@ -155,9 +143,9 @@
 }
 
 void WatchReleaseSource::watch_ended(int status) {
-  if (status == http_gone)
+  if (status == http::status_gone)
     follower_ = {};  // what the controller no longer knows can't be resumed
-  const bool failed = status != http_ok;
+  const bool failed = status != http::status_ok;
   if (!failing_ && failed)
     log_.warn("release watch lost",
               {{"address", stream_.peer().toString()}, {"status", log::text(status)}});
@@ -189,12 +177,12 @@
 void WatchReleaseSource::heartbeat_ended(http::CallResult how, const http::Response& response) {
   if (how != http::CallResult::answered)
     return;
-  const bool conflict = response.status == http_conflict;
+  const bool conflict = response.status == http::status_conflict;
   if (conflict && !superseded_)
     log_.error("another process uses this proxy's name: votes are not counted",
                {{"name", settings_.proxy}});
   superseded_ = conflict;
-  if (response.status != http_ok)
+  if (response.status != http::status_ok)
     return;
   try {
     const Duration lease = json::duration(json::parse_object(response.body), "leaseMs");
@@ -226,7 +214,7 @@
   connections_.call(post("/v1/releases/" + newest_release_ + "/votes", body),
                     settings_.vote_timeout,
                     [on_result](http::CallResult how, http::Response&& response) {
-                      on_result(vote_outcome(how, response));
+                      on_result(vote_call_outcome(how, response));
                     });
 }
 
