--- a/src/emulator/simulated_proxy_updates.cpp
+++ b/src/emulator/simulated_proxy_updates.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 
 #include "emulator/simulated_proxy.h"
+#include "registry/endpoint_info.h"
 
 namespace robinhoist::emulator {
 namespace {
@@ -37,20 +38,9 @@
 }
 
 EndpointInfo SimulatedProxy::describe(const registry::Endpoint& endpoint, int index) const {
-  EndpointInfo info{};
-  info.endpoint = index;
-  info.zone = std::max(0, deployment_.zone(endpoint.zone));
-  info.cell = endpoint.cell;
-  info.build = endpoint.build;
-  info.phase = endpoint.phase;
-  info.size = endpoint.size;
-  info.order = digest(endpoint.name);
-  if (endpoint.started == WallTime{})
-    return info;
-  info.started = TimePoint(endpoint.started - wall_clock_zero - started_at_.time_since_epoch());
-  if (info.started == TimePoint{})
-    info.started = TimePoint(Duration(1));  // zero would mean "long ago"
-  return info;
+  return registry::endpoint_info(endpoint, index, deployment_.zone(endpoint.zone),
+                                 digest(endpoint.name),
+                                 wall_clock_zero + started_at_.time_since_epoch());
 }
 
 // What a complete list does not name has been removed.
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -3,8 +3,11 @@
 #include <xxhash.h>
 
 #include <algorithm>
+#include <cstdint>
 #include <utility>
 
+#include "registry/endpoint_info.h"
+
 namespace robinhoist::proxy {
 namespace {
 
@@ -70,20 +73,9 @@
 }
 
 EndpointInfo UpstreamPool::info_of(int index, const registry::Endpoint& entry) const {
-  EndpointInfo info{};
-  info.endpoint = index;
-  info.zone = std::max(0, module_settings_.zone(entry.zone));
-  info.cell = entry.cell;
-  info.build = entry.build;
-  info.phase = entry.phase;
-  info.size = entry.size;
-  if (entry.started != WallTime{}) {
-    // A start at the run's very beginning must not read as zero, which means "long ago".
-    const TimePoint started(entry.started - wall_start_);
-    info.started = started == TimePoint{} ? TimePoint(Duration(1)) : started;
-  }
-  info.order = XXH64(entry.name.data(), entry.name.size(), 0);
-  return info;
+  const std::uint64_t order = XXH64(entry.name.data(), entry.name.size(), 0);
+  return registry::endpoint_info(entry, index, module_settings_.zone(entry.zone), order,
+                                 wall_start_);
 }
 
 void UpstreamPool::refresh_connections(bool complete, const std::vector<bool>& mentioned) {
