--- a/src/audit/report_text.cpp
+++ b/src/audit/report_text.cpp
@@ -4,6 +4,7 @@
 
 #include "audit/audit.h"
 #include "audit/rules.h"
+#include "util/quantile.h"
 
 namespace robinhoist::audit {
 namespace {
@@ -16,16 +17,6 @@
   return text.data();
 }
 
-// 0 when there are no values.
-double quantile(std::vector<double> values, double fraction) {
-  if (values.empty())
-    return 0;
-  const auto position =
-      values.begin() + static_cast<long>(fraction * static_cast<double>(values.size() - 1));
-  std::nth_element(values.begin(), position, values.end());
-  return *position;
-}
-
 std::string breaches(const RuleReport& rule) {
   if (rule.kept())
     return "\n";
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -3,14 +3,11 @@
 #include <algorithm>
 
 #include "record/lines.h"
+#include "time/units.h"
 
 namespace robinhoist::day {
 namespace {
 using namespace std::chrono_literals;
-Duration seconds(double s) {
-  return Duration(static_cast<std::int64_t>(s * 1e6));
-}
-
 http::ConnectionPoolSettings call_settings() {
   http::ConnectionPoolSettings settings;
   settings.max_connections = 4000;
@@ -168,11 +165,12 @@
   if (end == load::End::succeeded) {
     const double random = std::uniform_real_distribution<double>(0, 1)(random_);
     if (random < (right ? day_.false_reports : day_.deployment.wrong_answer_report_share))
-      loop_.in(day_.reports_least + seconds(std::uniform_real_distribution<double>(0, 1)(random_) *
+      loop_.in(
+          day_.reports_least + from_seconds(std::uniform_real_distribution<double>(0, 1)(random_) *
                                             (day_.reports_most - day_.reports_least).count() / 1e6),
-               [this, proxy = one.proxy, node] { report(proxy, node); });
+          [this, proxy = one.proxy, node] { report(proxy, node); });
   }
-  load_.ended(one.id, end, pause ? seconds(*pause / 1e3) : Duration{}, now());
+  load_.ended(one.id, end, pause ? from_seconds(*pause / 1e3) : Duration{}, now());
   pull();
 }
 
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -6,15 +6,12 @@
 #include "record/lines.h"
 #include "releases/release_codec.h"
 #include "rollout/names.h"
+#include "time/units.h"
 
 namespace robinhoist::day {
 namespace {
 using namespace std::chrono_literals;
 
-Duration seconds(double s) {
-  return Duration(static_cast<std::int64_t>(s * 1e6));
-}
-
 int number_of(const std::string& proxy) {
   const std::size_t dash = proxy.rfind('-');
   return dash == std::string::npos ? -1 : std::atoi(proxy.c_str() + dash + 1);
@@ -106,7 +103,7 @@
 World::~World() = default;
 
 Duration World::drawn(Duration least, Duration most) {
-  return least + seconds(uniform_sample() * (most - least).count() / 1e6);
+  return least + from_seconds(uniform_sample() * (most - least).count() / 1e6);
 }
 
 bool World::all_up() const {
@@ -257,7 +254,7 @@
       break;
     case Kind::neighbour: {
       auto chosen = pick(trouble.part);
-      const Duration every = std::max<Duration>(10ms, seconds(trouble.extra));
+      const Duration every = std::max<Duration>(10ms, from_seconds(trouble.extra));
       for (int k = 0; every * k < trouble.lasts; ++k)
         loop_.in(every * k, [this, chosen, size, k] {
           each(chosen, [&](const std::string& n) { nodes_->neighbour(n, k % 2 == 0 ? size : 0); });
@@ -278,12 +275,13 @@
       break;
     }
     case Kind::slow_handshakes:
-      on_nodes([this, size](const std::string& n) { nodes_->slow_handshake(n, seconds(size)); },
-               [this](const std::string& n) { nodes_->slow_handshake(n, 0ms); });
+      on_nodes(
+          [this, size](const std::string& n) { nodes_->slow_handshake(n, from_seconds(size)); },
+          [this](const std::string& n) { nodes_->slow_handshake(n, 0ms); });
       break;
     case Kind::slow_link:
       slow_zone_ = trouble.zone;
-      link_by_ = seconds(size);
+      link_by_ = from_seconds(size);
       link_lost_ = trouble.extra;
       loop_.at(end, [this] { slow_zone_.clear(); });
       break;
@@ -292,7 +290,7 @@
       loop_.at(end, [this] { cut_zone_.clear(); });
       break;
     case Kind::stale_list:
-      list_->set_delay(day_.list_most + seconds(size));
+      list_->set_delay(day_.list_most + from_seconds(size));
       loop_.at(end, [this] { list_->set_delay(drawn(day_.list_least, day_.list_most)); });
       break;
     case Kind::controller_crash:
@@ -300,8 +298,8 @@
       loop_.at(end, [this] { start_controller(); });
       break;
     case Kind::watch_breaks:
-      for (Duration at = seconds(std::max(0.02, size)); at < trouble.lasts;
-           at += seconds(std::max(0.02, size)))
+      for (Duration at = from_seconds(std::max(0.02, size)); at < trouble.lasts;
+           at += from_seconds(std::max(0.02, size)))
         loop_.in(at, [this] {
           if (controller_)
             controller_->break_connections();
@@ -311,7 +309,7 @@
       if (!controller_)
         return;
       if (trouble.how == "stale")
-        controller_->set_publish_delay(day_.news_most + seconds(size));
+        controller_->set_publish_delay(day_.news_most + from_seconds(size));
       else
         controller_->inject_fault(
             trouble.how == "silence" ? controller::Fault::unresponsive : controller::Fault::errors,
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -6,6 +6,8 @@
 #include <utility>
 #include <vector>
 
+#include "time/units.h"
+
 namespace robinhoist::emulator {
 namespace {
 
--- a/src/emulator/simulation.cpp
+++ b/src/emulator/simulation.cpp
@@ -1,5 +1,7 @@
 #include "emulator/simulation.h"
 
+#include "time/units.h"
+
 namespace robinhoist::emulator {
 namespace {
 
@@ -34,10 +36,6 @@
   return min + from_seconds(uniform_sample() * static_cast<double>((max - min).count()) / 1e6);
 }
 
-Duration from_seconds(double seconds) {
-  return Duration(static_cast<std::int64_t>(seconds * 1e6));
-}
-
 std::string proxy_name(int proxy) {
   return "umpire-" + std::to_string(proxy);
 }
--- a/src/emulator/simulation.h
+++ b/src/emulator/simulation.h
@@ -62,8 +62,6 @@
   TimePoint start;  ///< of the scenario; processes start before it
 };
 
-/// A duration from seconds.
-Duration from_seconds(double seconds);
 /// A proxy's name in the event log.
 std::string proxy_name(int proxy);
 
--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -18,6 +18,7 @@
 #include <thread>
 
 #include "emulator/run.h"
+#include "util/quantile.h"
 
 extern char** environ;
 
--- a/src/lab/stats.cpp
+++ b/src/lab/stats.cpp
@@ -59,14 +59,6 @@
   return paired;
 }
 
-double quantile(std::vector<double> values, double part) {
-  if (values.empty())
-    return 0;
-  const auto at = values.begin() + static_cast<long>(part * static_cast<double>(values.size() - 1));
-  std::nth_element(values.begin(), at, values.end());
-  return *at;
-}
-
 const char* to_string(Verdict verdict) {
   static const char* const words[] = {"better", "worse", "can't tell"};
   return words[static_cast<int>(verdict)];
--- a/src/lab/stats.h
+++ b/src/lab/stats.h
@@ -23,7 +23,6 @@
 // `more_is_better`; runs that are missing on either side must be left out of both.
 Paired compare(const std::vector<double>& first, const std::vector<double>& second,
                bool more_is_better);
-double quantile(std::vector<double> values, double part);
 const char* to_string(Verdict verdict);
 
 }  // namespace robinhoist::lab
--- a/src/load/load.cpp
+++ b/src/load/load.cpp
@@ -3,14 +3,10 @@
 #include <algorithm>
 #include <cmath>
 
+#include "time/units.h"
+
 namespace robinhoist::load {
 namespace {
-double seconds(Duration s) {
-  return std::chrono::duration<double>(s).count();
-}
-Duration span(double s) {
-  return Duration(static_cast<std::int64_t>(s * 1e6));
-}
 constexpr double wave_s = 20, burst_s = 2;  // the periods of two shapes
 }  // namespace
 
@@ -33,8 +29,8 @@
 }
 
 double Load::rate_at(TimePoint now) const {
-  const double s = seconds(now.time_since_epoch());
-  const double length = std::max(1e-6, seconds(settings_.length));
+  const double s = to_seconds(now.time_since_epoch());
+  const double length = std::max(1e-6, to_seconds(settings_.length));
   double factor = burst_ / std::max(0.01, 1 - poison_share_);
   switch (settings_.shape) {
     case Shape::steady:
@@ -54,7 +50,7 @@
 
 void Load::plan_arrival(TimePoint from) {
   const double wait = boost::random::exponential_distribution<double>(rate_at(from))(random_);
-  arrival_at_ = from + std::max(Duration(1), span(wait));
+  arrival_at_ = from + std::max(Duration(1), from_seconds(wait));
   if (arrival_at_ >= TimePoint(settings_.length))
     arrivals_over_ = true;
 }
@@ -81,13 +77,13 @@
       one.tenant = poison_tenant_;
   }
   const RequestClass& request_class = settings_.request_classes[one.request_class];
-  const double mean = seconds(request_class.work);
+  const double mean = to_seconds(request_class.work);
   if (request_class.spread == Spread::exponential) {
-    one.work =
-        span(boost::random::exponential_distribution<double>(1 / std::max(1e-6, mean))(random_));
+    one.work = from_seconds(
+        boost::random::exponential_distribution<double>(1 / std::max(1e-6, mean))(random_));
   } else {
     const double sigma2 = std::log(1 + request_class.cv * request_class.cv);
-    one.work = span(boost::random::lognormal_distribution<double>(
+    one.work = from_seconds(boost::random::lognormal_distribution<double>(
         std::log(std::max(1e-6, mean)) - sigma2 / 2, std::sqrt(sigma2))(random_));
   }
   if (request_class.keyed)
@@ -112,9 +108,9 @@
                 uniform_sample() * (settings_.patience_most - settings_.patience_least);
   if (one.tenant == abuse_tenant_ && abuse_tries_ > 0)
     part = abuse_patience_;
-  one.until = now + span(seconds(request_class.deadline) * part);
+  one.until = now + from_seconds(to_seconds(request_class.deadline) * part);
   one.leaves = uniform_sample() < settings_.leaves
-                   ? now + span(seconds(one.until - now) * uniform_sample())
+                   ? now + from_seconds(to_seconds(one.until - now) * uniform_sample())
                    : TimePoint{};
 }
 
@@ -171,7 +167,7 @@
   if (!abused) {
     const Duration drawn =
         settings_.pause_least +
-        span(uniform_sample() * seconds(settings_.pause_most - settings_.pause_least));
+        from_seconds(uniform_sample() * to_seconds(settings_.pause_most - settings_.pause_least));
     if (settings_.pause == Pause::fixed)
       wait = drawn;
     if (settings_.pause == Pause::growing)
--- a/src/machine/machine.cpp
+++ b/src/machine/machine.cpp
@@ -2,11 +2,10 @@
 
 #include <algorithm>
 
+#include "time/units.h"
+
 namespace robinhoist::machine {
 namespace {
-double seconds(Duration s) {
-  return std::chrono::duration<double>(s).count();
-}
 Duration times(Duration s, double by) {
   return Duration(static_cast<std::int64_t>(static_cast<double>(s.count()) * by));
 }
@@ -45,7 +44,7 @@
 double Machine::warmth(TimePoint now) const {
   if (capacity_.cold_for <= Duration{} || now >= started_ + capacity_.cold_for)
     return 1;
-  double age = std::max(0.0, seconds(now - started_) / seconds(capacity_.cold_for));
+  double age = std::max(0.0, to_seconds(now - started_) / to_seconds(capacity_.cold_for));
   return capacity_.cold_from + (1 - capacity_.cold_from) * age;
 }
 
@@ -90,9 +89,9 @@
     Duration sum{};
     for (auto& [at, much] : pushed_)
       sum += much;
-    double most = capacity_.fall_multiple * able(now) * seconds(capacity_.fall_window);
-    most_pushed_ = std::max(most_pushed_, seconds(sum) / most);
-    if (seconds(sum) > most) {
+    double most = capacity_.fall_multiple * able(now) * to_seconds(capacity_.fall_window);
+    most_pushed_ = std::max(most_pushed_, to_seconds(sum) / most);
+    if (to_seconds(sum) > most) {
       fall(now);
       return Entry::down;
     }
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "platform/wire_names.h"
-#include "policy/statistics.h"
 #include "settings/sexp_reader.h"
+#include "time/units.h"
 
 namespace robinhoist::platform {
 namespace {
--- a/src/policy/admission_controller.cpp
+++ b/src/policy/admission_controller.cpp
@@ -4,6 +4,7 @@
 #include <cmath>
 
 #include "policy/statistics.h"
+#include "time/units.h"
 
 namespace robinhoist {
 
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <tuple>
 
-#include "policy/statistics.h"
+#include "time/units.h"
 
 namespace robinhoist {
 
--- a/src/policy/latency_test.cpp
+++ b/src/policy/latency_test.cpp
@@ -2,8 +2,9 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
-#include "policy/statistics.h"
+#include "util/quantile.h"
 
 namespace robinhoist {
 
@@ -79,7 +80,7 @@
 }
 
 double p99(std::vector<double> values) {
-  return quantile(values, 0.99);
+  return quantile(std::move(values), 0.99);
 }
 
 }  // namespace
--- a/src/policy/list_subscription.cpp
+++ b/src/policy/list_subscription.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "policy/statistics.h"
+#include "time/units.h"
 
 namespace robinhoist {
 
--- a/src/policy/request_scheduler.cpp
+++ b/src/policy/request_scheduler.cpp
@@ -5,6 +5,7 @@
 #include "policy/retry_rules.h"
 #include "policy/statistics.h"
 #include "policy/traffic_split.h"
+#include "time/units.h"
 
 namespace robinhoist {
 
@@ -262,7 +263,7 @@
 Decision RequestScheduler::send(ScheduledRequest& request, int endpoint, TimePoint now) {
   const int build = cluster_.endpoints()[endpoint].build;
   const bool is_first = request.attempts.empty();
-  const bool burdens_again = !is_first && !request.attempts.back().connect_failed;
+  const bool is_repeat = !is_first && !request.attempts.back().connect_failed;
   request.attempts.push_back(
       {.endpoint = endpoint,
        .build = build,
@@ -271,7 +272,7 @@
   cluster_.attempt_sent(endpoint, now);
   if (canary_quota_.is_canary(build))
     canary_quota_.canary_attempt_sent(request.info.request_class, now);
-  retry_budget_.attempt_sent(burdens_again);
+  retry_budget_.attempt_sent(is_repeat);
   if (is_first)
     admission_.first_attempt_sent();
   const int request_id = request.info.request_id;
--- a/src/policy/statistics.h
+++ b/src/policy/statistics.h
@@ -1,5 +1,5 @@
-/// Plain arithmetic of the decision module: unit conversions, random draws, tails of distributions
-/// and quantiles. Free functions without state.
+/// Plain arithmetic of the decision module: random draws, rates and tails of distributions. Free
+/// functions without state.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -7,25 +7,11 @@
 #include <vector>
 
 #include "time/time_types.h"
+#include "time/units.h"
 #include "util/sliding_window.h"
 
 namespace robinhoist {
 
-/// A length of time in seconds.
-inline double to_seconds(Duration duration) {
-  return std::chrono::duration<double>(duration).count();
-}
-
-/// A length of time in milliseconds.
-inline double to_millis(Duration duration) {
-  return to_seconds(duration) * 1e3;
-}
-
-/// A length of time from milliseconds, cut to whole microseconds.
-inline Duration from_millis(double milliseconds) {
-  return Duration(static_cast<long long>(milliseconds * 1e3));
-}
-
 /// A draw from the uniform distribution over [0, 1).
 inline double uniform_sample(std::minstd_rand& random) {
   return std::uniform_real_distribution<double>(0, 1)(random);
@@ -65,15 +51,6 @@
   return std::min(1.0, sum);
 }
 
-/// The value below which this fraction (0 to 1) of the values lies. Reorders the values, of which
-/// there must be at least one.
-inline double quantile(std::vector<double>& values, double fraction) {
-  const auto rank =
-      values.begin() + static_cast<long>(fraction * static_cast<double>(values.size() - 1));
-  std::nth_element(values.begin(), rank, values.end());
-  return *rank;
-}
-
 /// The fractional part of `number` times the golden ratio: consecutive numbers give points spread
 /// evenly over [0, 1), however many are taken.
 inline double golden_ratio_point(int number) {
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -4,8 +4,8 @@
 #include <cmath>
 #include <utility>
 
-#include "policy/statistics.h"
 #include "proxy/wire_names.h"
+#include "time/units.h"
 
 namespace robinhoist::proxy {
 namespace {
--- a/src/proxy/request_tracer.cpp
+++ b/src/proxy/request_tracer.cpp
@@ -6,9 +6,9 @@
 
 #include "json/writer.h"
 #include "log/logger.h"
-#include "policy/statistics.h"
 #include "proxy/wire_names.h"
 #include "rollout/names.h"
+#include "time/units.h"
 
 namespace robinhoist::proxy {
 namespace {
--- a/tests/request_policy_test.cpp
+++ b/tests/request_policy_test.cpp
@@ -8,7 +8,7 @@
 #include "policy/request_scheduler.h"
 #include "policy/retry_budget.h"
 #include "policy/retry_rules.h"
-#include "policy/statistics.h"
+#include "time/units.h"
 #include "util/sliding_window.h"
 
 namespace robinhoist {
