--- a/src/controller/release_objects.cpp
+++ b/src/controller/release_objects.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-// Votes and acknowledgements come one by one; they are written together after this.
+// Votes and acknowledgements arrive one at a time; this delay batches their writes.
 constexpr Duration update_delay = 200ms;
 
 constexpr const char* series_key = "series";
@@ -80,20 +80,20 @@
   catalog_.restore(std::move(releases), version, oldest, std::move(events));
 }
 
-// What the objects do not show yet.
+// Collects the changes that the objects do not reflect yet.
 ReleaseObjects::PendingChanges ReleaseObjects::pending_changes() const {
   PendingChanges pending;
   const TimePoint now = loop_.now();
-  const ReleaseUpdate present = rollout_.release_update(now);
-  // One that was rolled back and has no object has been deleted.
-  if (!catalog_.find_build(present.build) && present.phase != ReleasePhase::rolled_back) {
-    pending.drafts.push_back(catalog_.initial_release(present.build, random_id(), wall_clock_ms()));
+  const ReleaseUpdate current = rollout_.release_update(now);
+  // A release that was rolled back and has no object was deleted.
+  if (!catalog_.find_build(current.build) && current.phase != ReleasePhase::rolled_back) {
+    pending.drafts.push_back(catalog_.initial_release(current.build, random_id(), wall_clock_ms()));
     pending.urgent = true;
   }
   for (const auto& [name, release] : catalog_.all()) {
-    const bool settled = release.status.is_final() && release.build != present.build &&
-                         release.status.machines == 0 && !release.is_deleting();
-    if (settled)
+    const bool is_finished = release.status.is_final() && release.build != current.build &&
+                             release.status.machines == 0 && !release.is_deleting();
+    if (is_finished)
       continue;
     const releases::WallMillis wall_now = wall_clock_ms();
     auto draft = catalog_.update_status(name, status_.build(release, now, wall_now), wall_now);
@@ -109,11 +109,12 @@
 void ReleaseObjects::update(Scope scope) {
   PendingChanges pending = pending_changes();
   rollout::RolloutState state = rollout_.state(loop_.now());
-  // To the second, and without it in the comparison: time alone is no reason to write.
-  state.since = std::chrono::duration_cast<std::chrono::seconds>(state.since);
-  rollout::RolloutState timeless = state;
-  timeless.since = Duration{};
-  const std::string text = rollout::encode(timeless);
+  // The phase age is stored in whole seconds and left out of the comparison: the passage of time
+  // alone does not cause a write.
+  state.phase_age = std::chrono::duration_cast<std::chrono::seconds>(state.phase_age);
+  rollout::RolloutState comparable = state;
+  comparable.phase_age = Duration{};
+  const std::string text = rollout::encode(comparable);
   const bool state_changed = text != written_state_;
   const bool write_objects = pending.urgent || scope == Scope::all;
 
@@ -125,12 +126,13 @@
     return;
   if (write_objects)
     loop_.cancel(update_timer_);
-  // State and objects go into one transaction: nobody ever reads the one without the other.
+  // State and objects are written in one transaction so that neither is ever read without the
+  // other.
   if (journal_ && state_changed)
     pending_state_ = rollout::encode(state);
   commit(std::move(pending.drafts), {});
   written_state_ = text;
-  // A release that had no object before has one now, whose status may be due as well.
+  // An object created by this commit may need a status update as well.
   if (pending.urgent && scope == Scope::urgent)
     if (PendingChanges more = pending_changes(); more.urgent)
       commit(std::move(more.drafts), {});
@@ -184,7 +186,7 @@
     publish(catalog_.commit(drafts[i], snapshots[i]));
 }
 
-// In order also when the delay has become shorter.
+// Keeps publications in order even if the delay has become shorter.
 void ReleaseObjects::publish(objects::Event event) {
   const TimePoint now = loop_.now();
   last_publication_ = std::max(last_publication_, now + publish_delay_);
--- a/src/controller/release_objects.h
+++ b/src/controller/release_objects.h
@@ -1,5 +1,5 @@
-/// The release objects of the controller: kept as the rollout stands, written to the journal before
-/// anybody is notified of a change, and published to lists and watches.
+/// The release objects of the controller. They are updated from the state of the rollout, written
+/// to the journal, and only then published to lists and watches.
 #pragma once
 #include <memory>
 #include <optional>
@@ -18,7 +18,7 @@
 
 namespace robinhoist::controller {
 
-/// The wall clock at the resolution of objects.
+/// The wall-clock time at the resolution used by objects.
 releases::WallMillis wall_clock_ms();
 /// A random id of 16 hexadecimal digits.
 std::string random_id();
@@ -26,7 +26,8 @@
 /// Owns the catalog, the published store and the watches.
 class ReleaseObjects {
  public:
-  /// What it needs of the controller. All must outlive it; the journal may be null.
+  /// The parts of the controller that are used. All must outlive this object; the journal may be
+  /// null.
   struct Dependencies {
     net::Loop& loop;
     const Settings& settings;
@@ -37,27 +38,28 @@
     const FaultInjector& faults;
   };
 
-  /// Restores the objects from the journal; a journal of before there were objects has none.
+  /// Restores the objects from the journal. A journal written before objects were introduced has
+  /// none.
   ReleaseObjects(const Dependencies& dependencies, Watches::NotifiedCallback notified);
   ~ReleaseObjects();
   ReleaseObjects(const ReleaseObjects&) = delete;
   ReleaseObjects& operator=(const ReleaseObjects&) = delete;
 
-  /// Writes the rollout's state, and the objects that proxies go by, if they have changed; what
-  /// else has changed is written a little later. Throws journal::JournalError, and then nothing has
-  /// changed.
+  /// Writes changes to the rollout's state and to the objects that affect routing by proxies at
+  /// once; other changes are written after a short delay. Throws journal::JournalError, in which
+  /// case nothing has changed.
   void update() { update(Scope::urgent); }
-  /// Writes all that has changed a little later.
+  /// Schedules the writing of all changes after a short delay.
   void schedule_update();
-  /// Writes a draft, with the key of the request that made it, and publishes it. Throws
+  /// Writes a draft together with the idempotency key of its request, and publishes it. Throws
   /// journal::JournalError.
   void commit(const releases::Draft& draft, std::optional<journal::RequestKey> key = {});
-  /// Delays what is published from here on.
+  /// Delays the publication of all later changes.
   void set_publish_delay(Duration delay) { publish_delay_ = delay; }
 
-  /// The releases as they were written last.
+  /// The releases as last written.
   const releases::Catalog& catalog() const { return catalog_; }
-  /// The objects as they were published last.
+  /// The objects as last published.
   const objects::Store& published() const { return published_; }
   /// Identifies the sequence that the objects' versions belong to.
   const std::string& series() const { return series_; }
@@ -87,8 +89,8 @@
   releases::Catalog catalog_;
   objects::Store published_;
   std::string series_{};
-  std::string written_state_{};                 // of the rollout, without its time
-  std::optional<std::string> pending_state_{};  // to be written with the next commit
+  std::string written_state_{};                 // the rollout state as last written, without times
+  std::optional<std::string> pending_state_{};  // written with the next commit
   Duration publish_delay_{};
   TimePoint last_publication_{};
   std::unique_ptr<Watches> watches_{};
--- a/src/rollout/machine_set.cpp
+++ b/src/rollout/machine_set.cpp
@@ -6,17 +6,18 @@
 namespace robinhoist::rollout {
 namespace {
 
-// A machine that was commanded to stop is not commanded again before this has passed.
+// A stop command is not repeated before this interval has passed.
 constexpr auto stop_repeat_interval = std::chrono::hours(1000);
 
-// Slots are visited in steps of a prime, so that neighbours, which share a zone, are not all taken.
+// Slots are visited with a prime stride, so that machines are not started only in neighbouring
+// slots, which share a zone.
 constexpr long slot_stride = 7;
 constexpr long first_slot = 3;
 
 }  // namespace
 
 bool is_active(const Machine& machine) {
-  return machine.phase == MachinePhase::ordered || machine.phase == MachinePhase::up;
+  return machine.phase == MachinePhase::starting || machine.phase == MachinePhase::up;
 }
 
 const char* to_string(CommandKind kind) {
@@ -31,17 +32,17 @@
 
 MachineSet::MachineSet(int slots, int next_id, std::map<int, Machine> machines, TimePoint now)
     : slots_(slots), next_id_(next_id), machines_(std::move(machines)) {
-  // Machines in slots that the fleet no longer has are a matter for the next release.
+  // Machines in slots that the fleet no longer has are left to the next release.
   for (auto& [id, machine] : machines_) {
     machine.since = now;
-    if (machine.phase == MachinePhase::ordered)
-      command(CommandKind::start, id, machine);
+    if (machine.phase == MachinePhase::starting)
+      enqueue_command(CommandKind::start, id, machine);
     if (machine.phase == MachinePhase::draining)
-      command(CommandKind::drain, id, machine);
+      enqueue_command(CommandKind::drain, id, machine);
   }
 }
 
-void MachineSet::command(CommandKind kind, int id, const Machine& machine) {
+void MachineSet::enqueue_command(CommandKind kind, int id, const Machine& machine) {
   commands_.push_back({kind, id, machine.slot, machine.build});
 }
 
@@ -53,15 +54,15 @@
   return command;
 }
 
-void MachineSet::started(int id, TimePoint now) {
+void MachineSet::mark_started(int id, TimePoint now) {
   const auto found = machines_.find(id);
-  if (found == machines_.end() || found->second.phase != MachinePhase::ordered)
+  if (found == machines_.end() || found->second.phase != MachinePhase::starting)
     return;
   found->second.phase = MachinePhase::up;
   found->second.since = now;
 }
 
-void MachineSet::stopped(int id, TimePoint now) {
+void MachineSet::mark_stopped(int id, TimePoint now) {
   const auto found = machines_.find(id);
   if (found == machines_.end())
     return;
@@ -70,15 +71,15 @@
     machines_.erase(found);
     return;
   }
-  machine.phase = MachinePhase::ordered;
+  machine.phase = MachinePhase::starting;
   machine.since = now;
 }
 
 void MachineSet::start(int slot, int build, TimePoint now) {
   const int id = next_id_++;
-  const Machine machine{slot, build, MachinePhase::ordered, now};
+  const Machine machine{slot, build, MachinePhase::starting, now};
   machines_[id] = machine;
-  command(CommandKind::start, id, machine);
+  enqueue_command(CommandKind::start, id, machine);
 }
 
 void MachineSet::start_spread(int count, int build, TimePoint now) {
@@ -109,7 +110,7 @@
 void MachineSet::drain(int id, Machine& machine, TimePoint now) {
   machine.phase = MachinePhase::draining;
   machine.since = now;
-  command(CommandKind::drain, id, machine);
+  enqueue_command(CommandKind::drain, id, machine);
 }
 
 void MachineSet::drain_build(int build, TimePoint now) {
@@ -138,7 +139,7 @@
     if (machine.phase != MachinePhase::draining || now < machine.since + drain_time)
       continue;
     machine.since = now + stop_repeat_interval;
-    command(CommandKind::stop, id, machine);
+    enqueue_command(CommandKind::stop, id, machine);
   }
 }
 
--- a/src/rollout/names.h
+++ b/src/rollout/names.h
@@ -1,5 +1,6 @@
-/// The names of the policy module's enumerators as the API, logs and records have them. Some are
-/// older than the terms used in the code; the tables in names.cpp are the only place of those.
+/// The external names of the policy module's enumerators, as used by the API, logs and records.
+/// Some of them predate the terms used in the code. The tables in names.cpp are the only mapping
+/// between the two.
 #pragma once
 #include "policy/endpoint.h"
 #include "policy/release.h"
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -9,10 +9,10 @@
 
 constexpr std::size_t max_changes = 1000;
 constexpr auto check_interval = std::chrono::milliseconds(50);
-// A share of the slots is taken as whole when it is only this far above it.
+// Absorbs floating-point error when a share of the slots is rounded up to a whole number.
 constexpr double rounding_tolerance = 1e-9;
 
-// Reasons of changes. Clients read them in a release's status, so they keep their wording.
+// Reasons for changes. They are part of the API, in the status of a release, and of stored data.
 namespace reason {
 constexpr const char* submitted = "offered";
 constexpr const char* next_submitted = "the next build is offered";
@@ -47,7 +47,7 @@
       queued_build_(state.queued_build),
       past_outcomes_(state.past_outcomes),
       phase_(state.phase),
-      phase_since_(now - state.since),
+      phase_since_(now - state.phase_age),
       stage_(state.stage),
       stage_started_(state.stage_started),
       stage_started_at_(now),
@@ -63,7 +63,7 @@
           .next_machine = machines_.next_id(),
           .version = version_,
           .phase = phase_,
-          .since = now - phase_since_,
+          .phase_age = now - phase_since_,
           .stage_started = stage_started_,
           .held_by_operator = held_by_operator_,
           .queued_build = queued_build_,
@@ -93,7 +93,7 @@
   return Outcome::ok;
 }
 
-// Whether a vote on the present build has a meaning in this phase and mode.
+// Whether a vote on the current build applies in this phase and promotion mode.
 bool Rollout::accepts(int stage, Verdict verdict, TimePoint now) const {
   const bool on_canary_stage = phase_ == ReleasePhase::canary && stage == stage_;
   const bool by_clock = settings_.promotion_mode == PromotionMode::clock;
@@ -103,7 +103,7 @@
     case Verdict::hold:
       return on_canary_stage && by_clock;
     case Verdict::roll_back:
-      // Also after the release, until the next build is submitted.
+      // Also accepted after the release, until the next build is submitted.
       return can_roll_back(now);
     case Verdict::none:
       return true;
@@ -127,7 +127,7 @@
   return true;
 }
 
-// --- What is known
+// --- Queries
 
 ReleaseUpdate Rollout::release_update(TimePoint now) const {
   double cap = 0;
@@ -164,7 +164,7 @@
   return votes_.count(verdict, build_, stage_, now);
 }
 
-// How many machines of the release a stage runs.
+// The number of machines of the release that a stage runs.
 int Rollout::stage_machines(int stage) const {
   const double share = settings_.stages[stage];
   const int wanted = static_cast<int>(std::ceil(share * machines_.slots() - rounding_tolerance));
@@ -178,7 +178,7 @@
   return found->second == Gate::open;
 }
 
-// To be asked of a stage that is due; notes how long it waits.
+// Call only for a stage that is due. Updates the time that the stage has waited for its gate.
 bool Rollout::passes_gate(int stage, TimePoint now) {
   if (!gate_wait_since_) {
     gate_wait_since_ = now;
@@ -273,14 +273,14 @@
 void Rollout::advance_stage(TimePoint now) {
   const int next = stage_ + 1;
   if (next >= static_cast<int>(settings_.stages.size())) {
-    enter(ReleasePhase::released, stage_, reason::last_stage_over, now);
+    enter_phase(ReleasePhase::released, stage_, reason::last_stage_over, now);
     return;
   }
-  // The present stage goes on until the migration steps before the next are done.
+  // The current stage continues until the migration steps before the next stage are done.
   if (!passes_gate(next, now))
     return;
   const bool by_clock = settings_.promotion_mode == PromotionMode::clock;
-  enter(ReleasePhase::canary, next, by_clock ? reason::by_clock : reason::by_votes, now);
+  enter_phase(ReleasePhase::canary, next, by_clock ? reason::by_clock : reason::by_votes, now);
   stage_started_ = false;
   decide(now);
 }
@@ -297,18 +297,19 @@
 
 void Rollout::begin_rollback(const std::string& why, TimePoint now) {
   held_by_operator_ = false;
-  enter(ReleasePhase::rolling_back, stage_, why, now);
+  enter_phase(ReleasePhase::rolling_back, stage_, why, now);
   machines_.fill_slots(baseline_, now);
 }
 
-// The release's machines drain only once the baseline serves everywhere, or has had its time to.
+// The release's machines are drained only once the baseline is up in every slot, or its launch time
+// limit has passed.
 void Rollout::continue_rollback(TimePoint now) {
   const bool baseline_serves = machines_.count_up(baseline_) >= machines_.slots() ||
                                now >= phase_since_ + settings_.max_launch_time;
   if (baseline_serves)
     machines_.drain_build(build_, now);
   if (!machines_.has_build(build_))
-    enter(ReleasePhase::rolled_back, stage_, reason::machines_gone, now);
+    enter_phase(ReleasePhase::rolled_back, stage_, reason::machines_gone, now);
 }
 
 void Rollout::drain_replaced_machines(TimePoint now) {
@@ -331,12 +332,12 @@
   gates_.erase(gates_.begin(), gates_.lower_bound({build_, 0}));
   held_by_operator_ = false;
   stage_started_ = false;
-  enter(ReleasePhase::canary, 0, reason::submitted, now);
+  enter_phase(ReleasePhase::canary, 0, reason::submitted, now);
   decided_at_ = now;
   decide(now);
 }
 
-void Rollout::enter(ReleasePhase phase, int stage, const std::string& why, TimePoint now) {
+void Rollout::enter_phase(ReleasePhase phase, int stage, const std::string& why, TimePoint now) {
   phase_ = phase;
   stage_ = stage;
   phase_since_ = now;
--- a/src/rollout/rollout.h
+++ b/src/rollout/rollout.h
@@ -1,7 +1,8 @@
 /// The state machine of the release controller. One release at a time advances through its stages
-/// over the slots of the fleet, by a clock or by the proxies' votes, and is rolled back when enough
-/// of them vote for that. Free of I/O and clocks: the inputs note what has happened, next_command()
-/// decides and hands out one command at a time until there is none. Not thread safe.
+/// over the slots of the fleet, either on a timer or by the proxies' votes, and is rolled back when
+/// enough proxies vote for a rollback. Performs no I/O and reads no clock: input functions record
+/// events, and next_command() makes the decisions and returns one command at a time until none is
+/// left. Not thread safe.
 #pragma once
 #include <map>
 #include <optional>
@@ -19,7 +20,7 @@
 
 namespace robinhoist::rollout {
 
-/// A change of a release's phase or stage, or a hold by an operator, and the reason for it.
+/// A change of a release's phase or stage, or an operator's hold or resume, with its reason.
 struct Change {
   TimePoint at;
   int build;
@@ -28,78 +29,82 @@
   std::string why;
 };
 
-/// Whether a stage may begin as far as its migration steps go.
+/// Whether the migration steps required by a stage allow it to begin.
 enum class Gate { closed, open };
 
-/// Of how many proxies the shares of votes are taken.
+/// The numbers of proxies that vote thresholds are computed from.
 struct Electorate {
+  /// For votes to promote.
   int promote;
-  /// Also for votes to hold.
+  /// For votes to hold or to roll back.
   int roll_back;
 };
 
-/// The rollout of releases over one fleet. All times are of the host's run clock and never go back.
+/// The rollout of releases over one fleet. All times come from one monotonic clock of the host.
 class Rollout {
  public:
-  /// A fleet that runs `build` in all its slots; the first machines' ids are the slots' numbers.
+  /// A fleet that runs `build` in all its slots; the ids of the first machines are the slot
+  /// numbers.
   Rollout(const Settings& settings, int slots, int build, int proxies);
-  /// Resumes from a snapshot. What had been commanded and not confirmed is commanded again.
+  /// Resumes from a snapshot. Commands that were not confirmed are issued again.
   Rollout(const Settings& settings, int slots, int proxies, const RolloutState& state,
           TimePoint now);
-  /// The snapshot from which a later process can resume.
+  /// A snapshot from which a later process can resume.
   RolloutState state(TimePoint now) const;
 
-  /// Queues a build; a canary that is under way is rolled back first. Returns why not, when the
-  /// build is not newer than all before it.
+  /// Queues a build; a canary in progress is rolled back first. Returns the reason for rejection if
+  /// the build is not newer than all earlier ones.
   std::optional<std::string> submit(int build, TimePoint now);
-  /// A machine that was commanded to start is up.
-  void machine_started(int id, TimePoint now) { machines_.started(id, now); }
-  /// A machine has ended, as commanded or by itself. One that ended by itself is expected back
-  /// under its id.
-  void machine_stopped(int id, TimePoint now) { machines_.stopped(id, now); }
-  /// `ok`: the vote stands. `obsolete`: not on the present build or stage, or without a meaning in
-  /// this phase or mode. `rejected`: too many votes.
+  /// Records that a machine that was commanded to start is up.
+  void machine_started(int id, TimePoint now) { machines_.mark_started(id, now); }
+  /// Records that a machine has stopped, on command or on its own. A machine that stopped on its
+  /// own is expected to restart with the same id.
+  void machine_stopped(int id, TimePoint now) { machines_.mark_stopped(id, now); }
+  /// Records a vote. `ok`: the vote counts. `obsolete`: it is not for the current build or stage,
+  /// or does not apply in this phase or promotion mode. `rejected`: the vote rate limit is
+  /// exceeded.
   Outcome vote(const std::string& proxy, int build, int stage, Verdict verdict, TimePoint now);
   void set_electorate(Electorate electorate) { electorate_ = electorate; }
-  /// An operator's hold, which no vote lifts. False when there is nothing to change.
+  /// An operator's hold, which votes can't lift. hold() and resume() return false if they change
+  /// nothing.
   bool hold(const std::string& why, TimePoint now) { return set_hold(true, "held: " + why, now); }
   bool resume(const std::string& why, TimePoint now) {
     return set_hold(false, "resumed: " + why, now);
   }
-  /// An operator's rollback. False when the release can't be rolled back (any more).
+  /// An operator's rollback. Returns false if the release can't, or can no longer, be rolled back.
   bool roll_back(const std::string& why, TimePoint now);
-  /// A stage does not begin while its gate is closed.
+  /// Opens or closes the gate of a stage. A stage does not begin while its gate is closed.
   void set_gate(int build, int stage, Gate gate) { gates_[{build, stage}] = gate; }
 
-  /// The next command for the machines; nothing when there is none to give now.
+  /// The next command for the orchestrator, if there is one now.
   std::optional<Command> next_command(TimePoint now);
-  /// When next_command() should be asked again at the latest; nothing while only an input can
-  /// change anything.
+  /// The latest time at which to call next_command() again; no value if only an input can change
+  /// the state.
   std::optional<TimePoint> next_check_at(TimePoint now) const;
 
-  /// The present release as the proxies shall know it.
+  /// The state of the current release to publish to the proxies.
   ReleaseUpdate release_update(TimePoint now) const;
-  /// Grows with each change of release_update().
+  /// Increases with every change of release_update().
   int version() const { return version_; }
   const std::map<int, Machine>& machines() const { return machines_.all(); }
-  /// The last changes, oldest first.
+  /// The most recent changes, oldest first.
   const std::vector<Change>& changes() const { return changes_; }
-  /// The votes on the present release that have not expired, by proxy.
+  /// The unexpired votes on the current release, by proxy.
   std::map<std::string, Vote> standing_votes(TimePoint now) const {
     return votes_.standing(build_, now);
   }
-  /// Whether the canary is on hold, by an operator or by votes.
+  /// Whether the canary is held by an operator or by votes.
   bool on_hold(TimePoint now) const;
   int newest_build() const { return newest_build_; }
   std::optional<int> queued_build() const { return queued_build_; }
-  /// The build that was released before the present one.
+  /// The build that was released before the current one.
   int baseline() const { return baseline_; }
-  /// The stage that takes traffic; -1 when none does yet.
+  /// The stage that receives traffic; -1 if none does yet.
   int active_stage() const;
-  /// Whether the present release is a canary, or released so recently that votes or an operator
-  /// may still roll it back.
+  /// Whether the current release is a canary, or is within its rollback window, so that votes or an
+  /// operator can still roll it back.
   bool can_roll_back(TimePoint now) const;
-  /// How long the stage that began last had waited for its gate.
+  /// How long the most recently begun stage waited for its gate.
   Duration gate_wait() const { return gate_wait_; }
   /// The final phases of earlier builds.
   const std::map<int, ReleasePhase>& past_outcomes() const { return past_outcomes_; }
@@ -126,7 +131,7 @@
   void continue_rollback(TimePoint now);
   void drain_replaced_machines(TimePoint now);
   void start_queued_release(TimePoint now);
-  void enter(ReleasePhase phase, int stage, const std::string& why, TimePoint now);
+  void enter_phase(ReleasePhase phase, int stage, const std::string& why, TimePoint now);
   void add_hold_time(TimePoint now);
   int count_votes(Verdict verdict, TimePoint now) const;
   int stage_machines(int stage) const;
@@ -147,10 +152,10 @@
   ReleasePhase phase_ = ReleasePhase::released;
   TimePoint phase_since_{};
   int stage_ = 0;
-  bool stage_started_ = false;  // its machines were commanded to start
+  bool stage_started_ = false;  // start commands for its machines were issued
   TimePoint stage_started_at_{};
   std::optional<TimePoint> stage_clock_start_{};
-  Duration hold_time_{};  // since the stage's clock started
+  Duration hold_time_{};  // total time on hold since the stage clock started
   bool held_by_operator_ = false;
   TimePoint decided_at_{};
 
--- a/src/rollout/rollout_state.h
+++ b/src/rollout/rollout_state.h
@@ -1,4 +1,4 @@
-/// The part of a rollout that outlives the controller's process, and its JSON form.
+/// The persistent part of a rollout and its JSON encoding.
 #pragma once
 #include <map>
 #include <optional>
@@ -10,8 +10,8 @@
 
 namespace robinhoist::rollout {
 
-/// A snapshot of a rollout. Stage clocks and votes are not in it: a stage that is resumed lasts its
-/// whole time again, and proxies renew their votes.
+/// A snapshot of a rollout. It does not include stage clocks and votes: a resumed stage lasts its
+/// full duration again, and proxies renew their votes.
 struct RolloutState {
   int build = -1;
   int stage = 0;
@@ -20,8 +20,8 @@
   int next_machine = 0;
   int version = 1;
   ReleasePhase phase = ReleasePhase::released;
-  /// How long the phase had lasted when the snapshot was taken.
-  Duration since{};
+  /// The time since the phase began, when the snapshot was taken.
+  Duration phase_age{};
   bool stage_started = false;
   bool held_by_operator = false;
   std::optional<int> queued_build{};
@@ -29,10 +29,10 @@
   std::map<int, ReleasePhase> past_outcomes{};
 };
 
-/// The snapshot as JSON, as the journal stores it.
+/// Encodes a snapshot as the JSON text stored in the journal.
 std::string encode(const RolloutState& state);
 
-/// What encode() gave. Throws json::DecodeError on anything else.
+/// Decodes the output of encode(). Throws json::DecodeError on any other text.
 RolloutState decode_state(const std::string& text);
 
 }  // namespace robinhoist::rollout
--- a/src/rollout/state_codec.cpp
+++ b/src/rollout/state_codec.cpp
@@ -5,11 +5,11 @@
 namespace robinhoist::rollout {
 namespace {
 
-// The version of the form below; one that is unknown is not read.
+// The version of the format below. Other versions are rejected.
 constexpr int format_version = 1;
-constexpr int last_phase = 3;  // of ReleasePhase and of MachinePhase
+constexpr int last_phase = 3;  // the largest value of both ReleasePhase and MachinePhase
 
-// The names of fields in the journal, which are older than the terms used here.
+// Field names in the journal. Some of them predate the terms used in the code.
 namespace field {
 constexpr const char* format_version = "form";
 constexpr const char* build = "build";
@@ -19,7 +19,7 @@
 constexpr const char* next_machine = "next_machine";
 constexpr const char* version = "version";
 constexpr const char* phase = "phase";
-constexpr const char* since = "since_ms";
+constexpr const char* phase_age = "since_ms";
 constexpr const char* stage_started = "begun";
 constexpr const char* held_by_operator = "operator_holds";
 constexpr const char* queued_build = "queued";
@@ -77,7 +77,7 @@
   out.put(field::next_machine, state.next_machine);
   out.put(field::version, state.version);
   out.put(field::phase, static_cast<int>(state.phase));
-  out.put_ms(field::since, state.since);
+  out.put_ms(field::phase_age, state.phase_age);
   out.put(field::stage_started, state.stage_started);
   out.put(field::held_by_operator, state.held_by_operator);
   if (state.queued_build)
@@ -91,7 +91,7 @@
 RolloutState decode_state(const std::string& text) {
   const auto document = json::parse_object(text);
   if (json::integer(document, field::format_version) != format_version)
-    throw json::DecodeError("kept in a form that is not known here");
+    throw json::DecodeError("unsupported rollout state format version");
   RolloutState state;
   state.build = json::integer(document, field::build);
   state.stage = json::integer(document, field::stage);
@@ -100,7 +100,7 @@
   state.next_machine = json::integer(document, field::next_machine);
   state.version = json::integer(document, field::version);
   state.phase = read_release_phase(document);
-  state.since = json::duration(document, field::since);
+  state.phase_age = json::duration(document, field::phase_age);
   state.stage_started = json::boolean(document, field::stage_started);
   state.held_by_operator = json::boolean(document, field::held_by_operator);
   if (json::has_value(document, field::queued_build))
--- a/src/rollout/vote_tally.cpp
+++ b/src/rollout/vote_tally.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double burst_seconds = 2;
-// A share times a count is taken as whole when it is only this far above it.
+// Absorbs floating-point error when a share of the proxies is rounded up to a whole number.
 constexpr double rounding_tolerance = 1e-9;
 
 }  // namespace
--- a/src/rollout/vote_tally.h
+++ b/src/rollout/vote_tally.h
@@ -1,5 +1,5 @@
-/// The proxies' votes on a release: which stand, how many are needed, and how many a second are
-/// accepted. Free of I/O and clocks.
+/// The proxies' votes on a release: which are in effect, how many are needed and the rate at which
+/// they are accepted. Performs no I/O and reads no clock.
 #pragma once
 #include <map>
 #include <string>
@@ -9,10 +9,10 @@
 
 namespace robinhoist::rollout {
 
-/// How many votes make up a share of the proxies; one at least.
+/// The number of votes that make up a share of the proxies; at least one.
 int votes_needed(double share, int proxies);
 
-/// One proxy's vote. It stands until `until`.
+/// One proxy's vote. It is in effect until `until`.
 struct Vote {
   int build;
   int stage;
@@ -20,22 +20,23 @@
   TimePoint until;
 };
 
-/// The last vote of each proxy.
+/// The latest vote of each proxy.
 class VoteTally {
  public:
-  /// Accepts `votes_per_s`, and twice as many in a burst. The bucket is full at `now`.
+  /// Limits votes to `votes_per_s`, with bursts of two seconds' worth. The token bucket is full at
+  /// `now`.
   VoteTally(double votes_per_s, TimePoint now);
 
-  /// Takes a token for one more vote; false when the rate is exceeded.
+  /// Consumes a token for one vote; returns false if the rate limit is exceeded.
   bool admit(TimePoint now);
-  /// Replaces the proxy's earlier vote.
+  /// Stores a vote, replacing the proxy's earlier one.
   void record(const std::string& proxy, const Vote& vote);
   void clear() { votes_.clear(); }
 
-  /// How many stand for a verdict. One to promote or hold counts for its stage alone, one to roll
-  /// back for the whole release.
+  /// The number of votes in effect for a verdict. A vote to promote or to hold counts only for its
+  /// stage, a vote to roll back counts for the whole release.
   int count(Verdict verdict, int build, int stage, TimePoint now) const;
-  /// The votes on a build that stand, by proxy.
+  /// The votes on a build that are in effect, by proxy.
   std::map<std::string, Vote> standing(int build, TimePoint now) const;
 
  private:
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,5 +1,5 @@
-/// Plays tests/rollout/*.txt against the rollout's state machine. The notation is described in
-/// tests/rollout/README.md.
+/// Runs the scripts in tests/rollout against the rollout state machine. tests/rollout/README.md
+/// describes the notation.
 #include "rollout/rollout.h"
 
 #include "rollout/names.h"
@@ -34,7 +34,7 @@
   for (Verdict verdict : {Verdict::none, Verdict::promote, Verdict::hold, Verdict::roll_back})
     if (name == api_name(verdict))
       return verdict;
-  throw std::runtime_error("no verdict: " + name);
+  throw std::runtime_error("unknown verdict: " + name);
 }
 
 PromotionMode promotion_mode_named(const std::string& name) {
@@ -43,7 +43,7 @@
   return name == "count" ? PromotionMode::count : PromotionMode::clock;
 }
 
-/// A rollout whose machines come up and stop as commanded, in simulated time.
+/// A rollout in simulated time whose machines start and stop as commanded.
 class RolloutScenario : public testing::TestWithParam<std::string> {
  protected:
   static constexpr Duration boot_time = std::chrono::milliseconds(100);
@@ -54,24 +54,25 @@
   void step(const Words& words) {
     const auto found = steps().find(words[0]);
     if (found == steps().end())
-      throw std::runtime_error("no such step");
+      throw std::runtime_error("unknown step: " + words[0]);
     (this->*found->second)(words);
   }
 
  private:
   using Step = void (RolloutScenario::*)(const Words&);
   static const std::map<std::string, Step>& steps() {
-    static const std::map<std::string, Step> all{{"set", &RolloutScenario::set},
-                                                 {"offer", &RolloutScenario::submit},
-                                                 {"vote", &RolloutScenario::vote},
-                                                 {"votes", &RolloutScenario::votes},
-                                                 {"operator", &RolloutScenario::operator_acts},
-                                                 {"gate", &RolloutScenario::gate},
-                                                 {"gone", &RolloutScenario::stopped},
-                                                 {"up", &RolloutScenario::started},
-                                                 {"run", &RolloutScenario::run},
-                                                 {"mark", &RolloutScenario::reset_command_counts},
-                                                 {"expect", &RolloutScenario::expect}};
+    static const std::map<std::string, Step> all{
+        {"set", &RolloutScenario::set},
+        {"offer", &RolloutScenario::submit},
+        {"vote", &RolloutScenario::vote},
+        {"votes", &RolloutScenario::votes},
+        {"operator", &RolloutScenario::apply_operator_action},
+        {"gate", &RolloutScenario::gate},
+        {"gone", &RolloutScenario::stopped},
+        {"up", &RolloutScenario::started},
+        {"run", &RolloutScenario::run},
+        {"mark", &RolloutScenario::reset_command_counts},
+        {"expect", &RolloutScenario::expect}};
     return all;
   }
 
@@ -116,7 +117,7 @@
     else if (words[1] == "no-boot")
       machines_boot_ = false;
     else
-      throw std::runtime_error("no such setting");
+      throw std::runtime_error("unknown setting: " + words[1]);
   }
 
   void submit(const Words& words) {
@@ -135,7 +136,7 @@
                      verdict_named(words[4]), now_);
   }
 
-  void operator_acts(const Words& words) {
+  void apply_operator_action(const Words& words) {
     const std::string reason = "asked";
     bool done = false;
     if (words[1] == "back")
@@ -194,7 +195,7 @@
       return static_cast<double>(rollout().gate_wait().count()) / 1000;
     if (what == "baseline")
       return rollout().baseline();
-    throw std::runtime_error("no such measure: " + what);
+    throw std::runtime_error("unknown measure: " + what);
   }
 
   struct Boot {
