--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -1,6 +1,6 @@
-// What the controller's API costs, on one machine over loopback: from a change written down to its
-// watchers, durable changes a second, memory for an idle watcher, and how long a hundred and thirty
-// proxies take to know a cap after the controller's restart. Out of CI.
+// Benchmark of the controller's API on one machine over loopback. Measures the delay from writing a
+// change to its delivery to watches, durable changes per second, the memory of an idle watch, and
+// how long 130 proxies take to receive a new cap after a restart of the controller. Not run in CI.
 #include <unistd.h>
 
 #include <algorithm>
@@ -27,7 +27,8 @@
   (rollout (waves 0.5 1) (caps 0.3 1) (gate clock) (bake 50ms) (step 600s) (settle 10ms) (drain 50ms) (vote-life 4s)
            (hold-share 0.5) (back-share 0.5) (votes-per-s 1000))))";
 
-struct Running {
+// An event loop on its own thread.
+struct LoopThread {
   net::Loop loop{net::steady_now()};
   std::thread thread{[this] { loop.run(); }};
   void stop() {
@@ -36,12 +37,12 @@
   }
 };
 
-struct Served : Running {
+struct ControllerThread : LoopThread {
   std::filesystem::path journal = std::filesystem::temp_directory_path() /
                                   ("robinhoist-api-bench-" + std::to_string(::getpid()));
   log::Logger log{"bench", "off"};
   std::unique_ptr<controller::Controller> controller{};
-  std::atomic<std::int64_t> written{0};
+  std::atomic<std::int64_t> written_at{0};
   int port = 0;
   void start() {
     loop.call([&] {
@@ -50,7 +51,7 @@
               ") (places 40) (build 1) (journal \"" + journal.string() + "\"))",
           "bench");
       controller::Settings settings = controller::read(form);
-      settings.on_persisted = [this] { written = net::steady_now().time_since_epoch().count(); };
+      settings.on_persisted = [this] { written_at = net::steady_now().time_since_epoch().count(); };
       controller = std::make_unique<controller::Controller>(loop, settings, log);
       port = controller->port();
     });
@@ -63,15 +64,15 @@
   }
 };
 
-// One request after another on one connection.
-struct Client : Running {
-  std::unique_ptr<http::ConnectionPool> caller{};
+// Sends one request after another on one connection.
+struct Client : LoopThread {
+  std::unique_ptr<http::ConnectionPool> pool{};
   explicit Client(const Poco::Net::SocketAddress& to) {
     loop.call([&] {
-      caller = std::make_unique<http::ConnectionPool>(loop, to, http::ConnectionPoolSettings{});
+      pool = std::make_unique<http::ConnectionPool>(loop, to, http::ConnectionPoolSettings{});
     });
   }
-  int ask(const std::string& method, const std::string& target, const std::string& body) {
+  int request(const std::string& method, const std::string& target, const std::string& body) {
     std::atomic<int> status{-1};
     loop.call([&] {
       http::Request request;
@@ -79,8 +80,8 @@
       request.target = target;
       request.headers.add("Content-Type", "application/json");
       request.body = body;
-      caller->call(request, 5s, [&](http::CallResult how, http::Response&& response) {
-        status = how == http::CallResult::answered ? response.status : 0;
+      pool->call(request, 5s, [&](http::CallResult result, http::Response&& response) {
+        status = result == http::CallResult::answered ? response.status : 0;
       });
     });
     while (status < 0)
@@ -88,7 +89,7 @@
     return status;
   }
   void end() {
-    loop.call([&] { caller.reset(); });
+    loop.call([&] { pool.reset(); });
     stop();
   }
 };
@@ -108,15 +109,15 @@
   return 0;
 }
 
-void delays(Served& served, int watchers) {
-  Running readers;
+void measure_delivery_delay(ControllerThread& server, int watchers) {
+  LoopThread readers;
   std::vector<std::unique_ptr<http::StreamClient>> streams;
-  std::vector<std::int64_t> took;
-  std::atomic<int> marks{0}, got{0};
-  const long before = resident_kb();
+  std::vector<std::int64_t> delays_us;
+  std::atomic<int> bookmarks{0}, received{0};
+  const long kb_before = resident_kb();
   for (int i = 0; i < watchers; ++i) {
     readers.loop.call([&] {
-      auto stream = std::make_unique<http::StreamClient>(readers.loop, served.address(),
+      auto stream = std::make_unique<http::StreamClient>(readers.loop, server.address(),
                                                          http::MessageLimits{});
       http::Request request;
       request.target = "/v1/releases?watch=1";
@@ -126,11 +127,11 @@
             for (std::size_t end; (end = body.find('\n')) != std::string::npos;
                  body.erase(0, end + 1)) {
               if (body.compare(0, 18, R"({"type":"BOOKMARK")") == 0)
-                ++marks;
+                ++bookmarks;
               if (body.compare(0, 18, R"({"type":"MODIFIED")") != 0)
                 continue;
-              took.push_back(net::steady_now().time_since_epoch().count() - served.written);
-              ++got;
+              delays_us.push_back(net::steady_now().time_since_epoch().count() - server.written_at);
+              ++received;
             }
             return true;
           },
@@ -138,91 +139,92 @@
       streams.push_back(std::move(stream));
     });
     if (i % 100 == 99)
-      while (marks < i)
+      while (bookmarks < i)
         std::this_thread::sleep_for(1ms);
   }
-  while (marks < watchers)
+  while (bookmarks < watchers)
     std::this_thread::sleep_for(1ms);
-  const long after = resident_kb();
-  Client client(served.address());
+  const long kb_after = resident_kb();
+  Client client(server.address());
   const int rounds = watchers >= 1000 ? 30 : 200;
   for (int n = 0; n < rounds; ++n) {
-    const int from = got;
-    client.ask("PATCH", "/v1/releases/build-1", patch(n));
-    while (got < from + watchers)
+    const int received_before = received;
+    client.request("PATCH", "/v1/releases/build-1", patch(n));
+    while (received < received_before + watchers)
       std::this_thread::sleep_for(100us);
   }
-  std::sort(took.begin(), took.end());
+  std::sort(delays_us.begin(), delays_us.end());
   std::printf(
-      "%5d watchers: %6.2f ms at p50, %6.2f ms at p99 from written to read; %.1f kB a watcher, "
+      "%5d watches: %6.2f ms at p50, %6.2f ms at p99 from write to delivery; %.1f kB per watch, "
       "both ends\n",
-      watchers, static_cast<double>(took[took.size() / 2]) / 1e3,
-      static_cast<double>(took[took.size() * 99 / 100]) / 1e3,
-      static_cast<double>(after - before) / watchers);
+      watchers, static_cast<double>(delays_us[delays_us.size() / 2]) / 1e3,
+      static_cast<double>(delays_us[delays_us.size() * 99 / 100]) / 1e3,
+      static_cast<double>(kb_after - kb_before) / watchers);
   readers.loop.call([&] { streams.clear(); });
   readers.stop();
   client.end();
 }
 
-void changes(Served& served) {
-  Client client(served.address());
-  const auto from = net::steady_now();
+void measure_change_rate(ControllerThread& server) {
+  Client client(server.address());
+  const auto start = net::steady_now();
   int done = 0;
-  while (net::steady_now() < from + 3s)
-    done += client.ask("PATCH", "/v1/releases/build-1", patch(done + 1000000)) == 200;
-  std::printf("durable changes: %.0f a second, one client\n", done / 3.0);
+  while (net::steady_now() < start + 3s)
+    done += client.request("PATCH", "/v1/releases/build-1", patch(done + 1000000)) == 200;
+  std::printf("durable changes: %.0f per second, one client\n", done / 3.0);
   client.end();
 }
 
-void storm(Served& served, int proxies) {
-  Running at;
+void measure_recovery(ControllerThread& server, int proxies) {
+  LoopThread thread;
   log::Logger log("bench", "off");
   std::vector<std::unique_ptr<proxy::WatchReleaseSource>> sources;
-  std::atomic<int> heard{0}, build{1};
-  at.loop.call([&] {
-    for (int u = 0; u < proxies; ++u) {
+  std::atomic<int> updated{0}, build{1};
+  thread.loop.call([&] {
+    for (int i = 0; i < proxies; ++i) {
       sources.push_back(std::make_unique<proxy::WatchReleaseSource>(
-          at.loop,
-          proxy::WatchReleaseSource::Settings{.address = served.address().toString(),
-                                              .proxy = "u" + std::to_string(u),
+          thread.loop,
+          proxy::WatchReleaseSource::Settings{.address = server.address().toString(),
+                                              .proxy = "u" + std::to_string(i),
                                               .vote_timeout = 1s,
-                                              .salt = static_cast<unsigned>(u + 1)},
+                                              .salt = static_cast<unsigned>(i + 1)},
           log));
-      sources.back()->start([&](const ReleaseUpdate& release) { heard += release.build == build; });
+      sources.back()->start(
+          [&](const ReleaseUpdate& release) { updated += release.build == build; });
     }
   });
-  while (heard < proxies)
+  while (updated < proxies)
     std::this_thread::sleep_for(1ms);
-  served.end();
+  server.end();
   std::this_thread::sleep_for(2s);
-  heard = 0;
+  updated = 0;
   build = 2;
-  const auto from = net::steady_now();
-  served.start();
-  served.loop.call([&] { served.controller->create_release(2, "bench"); });
-  while (heard < proxies)
+  const auto start = net::steady_now();
+  server.start();
+  server.loop.call([&] { server.controller->create_release(2, "bench"); });
+  while (updated < proxies)
     std::this_thread::sleep_for(1ms);
   std::printf(
-      "%d umpires, controller gone for 2 s: all know the new release's cap %.0f ms after its "
+      "%d proxies, controller down for 2 s: all received the new release's cap %.0f ms after its "
       "start\n",
-      proxies, static_cast<double>((net::steady_now() - from).count()) / 1e3);
-  at.loop.call([&] { sources.clear(); });
-  at.stop();
+      proxies, static_cast<double>((net::steady_now() - start).count()) / 1e3);
+  thread.loop.call([&] { sources.clear(); });
+  thread.stop();
 }
 
 }  // namespace
 
 int main() {
-  Served served;
+  ControllerThread server;
   for (const char* end : {"", "-wal", "-shm"})
-    std::filesystem::remove(served.journal.string() + end);
-  served.start();
+    std::filesystem::remove(server.journal.string() + end);
+  server.start();
   for (int watchers : {1, 100, 1000})
-    delays(served, watchers);
-  changes(served);
-  storm(served, 130);
-  served.end();
-  served.stop();
+    measure_delivery_delay(server, watchers);
+  measure_change_rate(server);
+  measure_recovery(server, 130);
+  server.end();
+  server.stop();
   for (const char* end : {"", "-wal", "-shm"})
-    std::filesystem::remove(served.journal.string() + end);
+    std::filesystem::remove(server.journal.string() + end);
 }
--- a/src/controller/api_error.cpp
+++ b/src/controller/api_error.cpp
@@ -6,8 +6,8 @@
 namespace robinhoist::controller {
 namespace {
 
-constexpr const char* malformed_request_title = "the request makes no sense";
-constexpr const char* bad_body_title = "the body makes no sense";
+constexpr const char* malformed_request_title = "malformed request";
+constexpr const char* invalid_body_title = "invalid request body";
 constexpr const char* superseded_title = "superseded";
 
 int status_of(releases::RequestError::Kind kind) {
@@ -31,8 +31,8 @@
   out.put("title", error.title);
   out.put("status", error.status);
   out.put("detail", error.what());
-  if (error.present_version > 0)
-    out.put("presentVersion", std::to_string(error.present_version));
+  if (error.current_version > 0)
+    out.put("presentVersion", std::to_string(error.current_version));
   if (!error.field_errors.empty()) {
     out.begin_array("errors");
     for (const releases::FieldError& field : error.field_errors)
@@ -50,7 +50,7 @@
 ApiError to_api_error(const releases::RequestError& error) {
   ApiError api_error{status_of(error.kind), error.title, error.what()};
   api_error.field_errors = error.field_errors;
-  api_error.present_version = error.present_version;
+  api_error.current_version = error.current_version;
   return api_error;
 }
 
@@ -59,38 +59,37 @@
 }
 
 ApiError malformed_body(const std::string& detail) {
-  return {400, bad_body_title, detail};
+  return {400, invalid_body_title, detail};
 }
 
 ApiError invalid_body(const std::string& detail) {
-  return {422, bad_body_title, detail};
+  return {422, invalid_body_title, detail};
 }
 
 ApiError invalid_selector(const std::string& detail) {
-  return {400, "the selector makes no sense", detail};
+  return {400, "invalid selector", detail};
 }
 
 ApiError unsupported_media_type(const std::string& type) {
-  return {415, "the body is of another type",
-          "Content-Type is '" + type + "', not application/json"};
+  return {415, "unsupported media type", "Content-Type is '" + type + "', not application/json"};
 }
 
 ApiError unauthenticated() {
-  ApiError error{401, "not known", "no token, or none that is known here"};
+  ApiError error{401, "authentication required", "the request has no valid bearer token"};
   error.headers.push_back({"WWW-Authenticate", "Bearer"});
   return error;
 }
 
 ApiError forbidden(const std::string& detail) {
-  return {403, "not allowed", detail};
+  return {403, "permission denied", detail};
 }
 
-ApiError unknown_path() {
-  return {404, "no such thing here", "GET /v1 lists what there is"};
+ApiError path_not_found() {
+  return {404, "path not found", "GET /v1 lists the available paths"};
 }
 
 ApiError method_not_allowed(const std::string& allowed) {
-  ApiError error{405, "no such method here", "allowed: " + allowed};
+  ApiError error{405, "method not allowed", "allowed methods: " + allowed};
   error.headers.push_back({"Allow", allowed});
   return error;
 }
@@ -107,28 +106,32 @@
 
 ApiError list_expired() {
   return {410, "the list has expired",
-          "what changed since its first page is no longer known: list anew"};
+          "changes since its first page are no longer available; list the releases again"};
 }
 
 ApiError version_expired() {
-  return {410, "the version has expired",
-          "what changed since then is no longer known: list anew and watch from there"};
+  return {
+      410, "the version has expired",
+      "changes since that version are no longer available; list the releases again and watch from "
+      "the new version"};
 }
 
 ApiError idempotency_key_reused(const std::string& key) {
-  return {422, "the key was used for another request",
-          "Idempotency-Key " + key + " came with another body"};
+  return {422, "the idempotency key was used for another request",
+          "Idempotency-Key " + key + " was used with a different body"};
 }
 
 ApiError created_release_gone() {
-  return {410, "the release is gone", "it was created by this key and deleted since"};
+  return {410, "the release was deleted",
+          "the release created with this idempotency key was deleted later"};
 }
 
 ApiError wrong_state(const releases::Release& release) {
   const std::string held = release.status.held ? ", held" : "";
-  ApiError error{409, "the release is not in a state for that",
-                 std::string("it is ") + releases::phase_name(release.status.phase) + held};
-  error.present_version = release.version;
+  ApiError error{
+      409, "the release is not in a state that allows the action",
+      std::string("the release is ") + releases::phase_name(release.status.phase) + held};
+  error.current_version = release.version;
   return error;
 }
 
@@ -137,11 +140,12 @@
 }
 
 ApiError obsolete_vote() {
-  return {409, "moot", "the release is not in that wave, or such a vote has no meaning"};
+  return {409, "moot",
+          "the release is not in that stage, or the vote does not apply in its current phase"};
 }
 
-ApiError no_such_proxy(const std::string& name) {
-  return {404, "no such umpire", "no umpire " + name + " of that session"};
+ApiError proxy_not_found(const std::string& name) {
+  return {404, "proxy not found", "no proxy " + name + " is registered with that session"};
 }
 
 }  // namespace robinhoist::controller
--- a/src/controller/api_error.h
+++ b/src/controller/api_error.h
@@ -1,5 +1,5 @@
-/// The errors of the REST API. Each is made by one function here, thrown by whoever finds it and
-/// answered as problem+json (RFC 9457) at the edge, in ApiServer. Clients may read the texts.
+/// The errors of the REST API. Each is created by a function below, thrown where it is detected and
+/// converted by ApiServer to a problem+json response (RFC 9457). The texts are shown to clients.
 #pragma once
 #include <cstdint>
 #include <stdexcept>
@@ -12,7 +12,7 @@
 
 namespace robinhoist::controller {
 
-/// A request that is rejected; what() is the detail for the client.
+/// A rejected request; what() is the detail for the client.
 class ApiError : public std::runtime_error {
  public:
   ApiError(int status, std::string title, const std::string& detail)
@@ -26,37 +26,37 @@
   int status;
   std::string title;
   std::vector<releases::FieldError> field_errors{};
-  /// With a conflict: the version that the object has; else 0.
-  std::int64_t present_version = 0;
+  /// For a conflict, the current version of the object; otherwise 0.
+  std::int64_t current_version = 0;
   std::vector<Header> headers{};
 };
 
 http::Response to_response(const ApiError& error);
 
-/// What the catalog rejects, with its status.
+/// Converts an error of the catalog, adding its HTTP status.
 ApiError to_api_error(const releases::RequestError& error);
 
 ApiError malformed_request(const std::string& detail);
 ApiError malformed_body(const std::string& detail);
-/// A body that is well-formed and has a field that is wrong.
+/// The body is well-formed JSON with an invalid field.
 ApiError invalid_body(const std::string& detail);
 ApiError invalid_selector(const std::string& detail);
 ApiError unsupported_media_type(const std::string& type);
 ApiError unauthenticated();
 ApiError forbidden(const std::string& detail);
-ApiError unknown_path();
+ApiError path_not_found();
 ApiError method_not_allowed(const std::string& allowed);
 ApiError too_many_requests(const std::string& detail, std::int64_t retry_after_s);
 ApiError journal_unavailable(const std::string& detail);
 ApiError list_expired();
 ApiError version_expired();
 ApiError idempotency_key_reused(const std::string& key);
-/// A creation that is repeated after the release it made was deleted.
+/// A creation request is repeated after the release that it created was deleted.
 ApiError created_release_gone();
-/// An action that the release's state does not allow.
+/// The state of the release does not allow the action.
 ApiError wrong_state(const releases::Release& release);
 ApiError superseded(const std::string& detail);
 ApiError obsolete_vote();
-ApiError no_such_proxy(const std::string& name);
+ApiError proxy_not_found(const std::string& name);
 
 }  // namespace robinhoist::controller
--- a/src/controller/api_request.h
+++ b/src/controller/api_request.h
@@ -1,4 +1,4 @@
-/// A request of the REST API, and the reading of what its routes have in common.
+/// A request of the REST API, and the parsing that its routes have in common.
 #pragma once
 #include <rapidjson/document.h>
 
@@ -13,7 +13,7 @@
 
 struct ApiRequest {
   http::ExchangePtr exchange;
-  /// Of the object in the path; empty when the path has none.
+  /// The name of the object in the path; empty if the path has none.
   std::string name{};
   Caller caller{};
 
@@ -21,22 +21,22 @@
   std::string query(const char* parameter) const { return exchange->request.query(parameter); }
 };
 
-/// A whole number from a query or header; `what` names it in the ApiError that is thrown.
+/// Parses a whole number from a query parameter or header. Throws an ApiError that calls it `what`.
 std::int64_t parse_number(const std::string& text, const char* what);
 
-/// The version in If-Match, "12" or W/"12"; nothing for none and for *. Throws ApiError.
+/// The version in If-Match, "12" or W/"12"; no value if the header is absent or *. Throws ApiError.
 releases::ExpectedVersion expected_version(const ApiRequest& request);
 
-/// Whether nothing shall be changed. Throws ApiError.
+/// Whether the request is a dry run, which changes nothing. Throws ApiError.
 bool is_dry_run(const ApiRequest& request);
 
-/// The body, which must be a JSON object. Throws ApiError.
+/// Parses the body, which must be a JSON object. Throws ApiError.
 rapidjson::Document read_body(const ApiRequest& request);
 
-/// An object with its version as the ETag.
+/// A response that contains an object, with its version as the ETag.
 http::Response object_response(const objects::Snapshot& object, int status);
 
-/// The answer when there is no object to show.
+/// The response for a successful request without an object to return.
 http::Response success_response(int status);
 
 }  // namespace robinhoist::controller
--- a/src/controller/api_server.cpp
+++ b/src/controller/api_server.cpp
@@ -14,7 +14,8 @@
 constexpr double burst_seconds = 2;
 constexpr std::string_view name_placeholder = "{name}";
 
-// The name in a path that fits a route's, empty when that has none; nothing when it does not fit.
+// Matches a path against a route's pattern. Returns the name in the path, which is empty if the
+// pattern has no placeholder; no value if the path does not match.
 std::optional<std::string> match_path(std::string_view pattern, std::string_view path) {
   const std::size_t open = pattern.find(name_placeholder);
   if (open == std::string_view::npos)
@@ -67,7 +68,8 @@
     throw unauthenticated();
   if (const auto wait = rate_limits_.try_acquire(caller->name, loop_.now())) {
     const auto whole_seconds = std::chrono::duration_cast<std::chrono::seconds>(*wait);
-    throw too_many_requests("of " + caller->name, whole_seconds.count() + 1);
+    throw too_many_requests("rate limit of client " + caller->name + " exceeded",
+                            whole_seconds.count() + 1);
   }
   std::string allowed;
   for (const Route& route : routes_) {
@@ -78,13 +80,13 @@
       allowed += (allowed.empty() ? "" : ", ") + route.method;
       continue;
     }
-    if (!may(caller->role, route.role))
-      throw forbidden(caller->name + " may not do that");
+    if (!includes(caller->role, route.role))
+      throw forbidden(caller->name + " does not have the role that this request requires");
     route.handle({exchange, std::move(*name), *caller});
     return;
   }
   if (allowed.empty())
-    throw unknown_path();
+    throw path_not_found();
   throw method_not_allowed(allowed);
 }
 
--- a/src/controller/api_server.h
+++ b/src/controller/api_server.h
@@ -1,5 +1,5 @@
-/// The edge of the REST API: authentication, rate limits, dispatch by method and path, and the one
-/// place where errors become answers. Runs on the loop's thread.
+/// The entry point of the REST API: authentication, rate limits, dispatch by method and path, and
+/// conversion of errors to responses. Runs on the loop's thread.
 #pragma once
 #include <functional>
 #include <string>
@@ -13,8 +13,8 @@
 
 namespace robinhoist::controller {
 
-/// What answers one method of one path. A path such as /v1/releases/{name} takes any one segment in
-/// place of {name}. A handler answers the exchange, now or later, or throws.
+/// The handler for one method of one path. In a path such as /v1/releases/{name}, {name} matches
+/// any single segment. A handler either throws or answers the exchange, at once or later.
 struct Route {
   std::string method;
   std::string path;
@@ -25,12 +25,12 @@
 /// Owns the HTTP server and its routes.
 class ApiServer {
  public:
-  /// Listens at once; requests are served as soon as the loop runs. `requests_per_s` is the limit
-  /// of one client, 0 for none.
+  /// Starts listening; requests are served as soon as the loop runs. `requests_per_s` is the rate
+  /// limit per client, 0 for no limit.
   ApiServer(net::Loop& loop, const http::ServerSettings& settings, std::vector<Token> tokens,
             double requests_per_s);
 
-  /// To be set before the loop runs; routes that share a path are tried in this order.
+  /// Must be called before the loop runs. Routes are matched in the given order.
   void set_routes(std::vector<Route> routes) { routes_ = std::move(routes); }
   const std::vector<Route>& routes() const { return routes_; }
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -57,7 +57,7 @@
   machine_routes_ = std::make_unique<MachineRoutes>(loop_, *rollout_, decide_now);
   api_->set_routes(routes());
 
-  // The objects are there before the first request.
+  // The objects exist before the first request is served.
   monitor_->check();
   decide();
 }
@@ -98,7 +98,7 @@
   };
 }
 
-// Releases that were written to the journal, but not submitted before the process ended.
+// Submits releases that were written to the journal but not submitted before the process ended.
 void Controller::submit_pending_releases() {
   std::vector<int> builds;
   for (const auto& [name, release] : objects_->catalog().all())
@@ -122,11 +122,11 @@
       {"DELETE", "/v1/releases/{name}", Role::operate,
        [this](Request r) { release_routes_->remove(r); }},
       {"POST", "/v1/releases/{name}/hold", Role::operate,
-       [this](Request r) { release_routes_->act(r, Action::hold); }},
+       [this](Request r) { release_routes_->apply_action(r, Action::hold); }},
       {"POST", "/v1/releases/{name}/resume", Role::operate,
-       [this](Request r) { release_routes_->act(r, Action::resume); }},
+       [this](Request r) { release_routes_->apply_action(r, Action::resume); }},
       {"POST", "/v1/releases/{name}/back", Role::operate,
-       [this](Request r) { release_routes_->act(r, Action::roll_back); }},
+       [this](Request r) { release_routes_->apply_action(r, Action::roll_back); }},
       {"POST", "/v1/releases/{name}/votes", Role::proxy,
        [this](Request r) { proxy_routes_->vote(r); }},
       {"GET", "/v1/umpires", Role::read, [this](Request r) { proxy_routes_->list(r); }},
@@ -135,7 +135,7 @@
       {"DELETE", "/v1/umpires/{name}", Role::proxy, [this](Request r) { proxy_routes_->leave(r); }},
       {"POST", "/v1/patients", Role::proxy,
        [this](Request r) { proxy_routes_->client_outcomes(r); }},
-      {"POST", "/v1/plans", Role::operate, [this](Request r) { step_routes_->take_plan(r); }},
+      {"POST", "/v1/plans", Role::operate, [this](Request r) { step_routes_->submit_plan(r); }},
       {"GET", "/v1/steps", Role::read, [this](Request r) { step_routes_->status(r); }},
       {"POST", "/v1/steps/verify", Role::read, [this](Request r) { step_routes_->verify(r); }},
       {"POST", "/v1/steps/pause", Role::operate, [this](Request r) { step_routes_->pause(r); }},
@@ -175,7 +175,7 @@
 
 std::vector<rollout::Command> Controller::decide_commands(TimePoint now) {
   std::vector<rollout::Command> commands;
-  // A release that begins here must find its gates as its steps stand.
+  // Gates are updated first, so that a release that begins here sees the state of its steps.
   do {
     sync_steps();
     while (const auto command = rollout_->next_command(now))
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,8 +1,8 @@
-/// The release controller: the host of the rollout's state machine. Releases are API objects
-/// (docs/releases.md, docs/api.md) that clients create, read, patch and watch over HTTP; proxies
-/// follow them by a watch, send heartbeats and vote; commands go to whoever runs the machines.
-/// Nothing is published or commanded before it has been written to the journal. GET /v1 lists the
-/// routes.
+/// The release controller, which hosts the state machine of the rollout. Releases are API objects
+/// (docs/releases.md, docs/api.md) that clients create, read, patch and watch over HTTP. Proxies
+/// watch the releases, send heartbeats and vote. Commands go to the orchestrator that starts and
+/// stops machines. A change is written to the journal before it is published and before the
+/// commands that follow from it are issued. GET /v1 lists the routes.
 #pragma once
 #include <functional>
 #include <memory>
@@ -31,19 +31,19 @@
 
 namespace robinhoist::controller {
 
-/// What the process around the controller wants to know; each may be empty.
+/// Callbacks to the process that runs the controller; each may be empty.
 struct ControllerCallbacks {
-  /// Executes a command. Without it commands wait until they are fetched over HTTP.
+  /// Executes a command. If empty, commands are queued until they are fetched over HTTP.
   std::function<void(const rollout::Command&)> execute{};
   Watches::NotifiedCallback notified{};
   VoteCallback voted{};
 };
 
-/// Takes part in a process's event loop and must be destroyed on the loop's thread.
+/// Runs on an event loop and must be destroyed on the loop's thread.
 class Controller {
  public:
-  /// Listens, and resumes from the journal. Throws journal::JournalError, and what http::Server
-  /// throws.
+  /// Starts listening and resumes from the journal. Throws journal::JournalError and the exceptions
+  /// of http::Server.
   Controller(net::Loop& loop, const Settings& settings, const log::Logger& log,
              ControllerCallbacks callbacks = {});
   ~Controller();
@@ -51,19 +51,20 @@
   Controller& operator=(const Controller&) = delete;
 
   rollout::Rollout& rollout() { return *rollout_; }
-  /// Null when releases have no migration steps.
+  /// Null if releases have no migration steps.
   migration::Runner* steps() { return runner_.get(); }
   int port() const { return api_->port(); }
 
-  /// Creates the release of a build and submits it; false when it is rejected.
+  /// Creates and submits the release of a build; returns false if it is rejected.
   bool create_release(int build, const std::string& author);
-  /// Decides what follows from what is known, writes it down and executes it. To be called after
-  /// each input to rollout() from outside.
+  /// Makes the decisions that are due, writes them to the journal, and then publishes and executes
+  /// them. Must be called after each input that a caller gives to rollout().
   void decide();
 
-  /// Delays what proxies are notified of from here on.
+  /// Delays the publication of all later changes to watches and lists.
   void set_publish_delay(Duration delay) { objects_->set_publish_delay(delay); }
-  /// Makes it fail towards its proxies; meanwhile the rollout stands still.
+  /// Simulates a failure of the controller as seen by the proxies. The rollout is suspended until
+  /// the fault is removed.
   void inject_fault(Fault fault, double counted_votes);
   void break_connections() { api_->break_connections(); }
 
@@ -104,7 +105,7 @@
   std::unique_ptr<StepRoutes> step_routes_{};
   std::unique_ptr<MachineRoutes> machine_routes_{};
 
-  std::vector<rollout::Command> unwritten_commands_{};  // decided, but not yet in the journal
+  std::vector<rollout::Command> unwritten_commands_{};  // decided, not yet written to the journal
   std::size_t logged_changes_ = 0;
   ActiveStage logged_stage_{};
   net::Loop::Timer check_timer_ = net::Loop::no_timer;
--- a/src/controller/fault_injection.cpp
+++ b/src/controller/fault_injection.cpp
@@ -21,7 +21,7 @@
     exchange->answer(http::text_response(503, "out of order\n"));
     return true;
   }
-  // The exchange owns itself until the proxy disconnects; dropped earlier it would answer 500.
+  // The exchange owns itself until the proxy disconnects; released earlier, it would answer 500.
   exchange->on_disconnect = [self = exchange]() mutable { self.reset(); };
   return true;
 }
--- a/src/controller/fault_injection.h
+++ b/src/controller/fault_injection.h
@@ -1,4 +1,4 @@
-/// Failures of the controller towards its proxies, for scenarios and tests.
+/// Simulated failures of the controller as seen by its proxies, for scenarios and tests.
 #pragma once
 #include <random>
 
@@ -6,19 +6,19 @@
 
 namespace robinhoist::controller {
 
-/// `unresponsive`: requests of proxies are never answered. `errors`: they get 503.
+/// `unresponsive`: requests of proxies are never answered. `errors`: they are answered with 503.
 enum class Fault { none, unresponsive, errors };
 
-/// The fault that is in force.
+/// Holds the active fault.
 class FaultInjector {
  public:
-  /// Replaces the fault in force. `counted_votes`: the share of votes that still count, without an
-  /// answer, while unresponsive.
+  /// Replaces the active fault. `counted_votes` is the share of votes that are counted, although
+  /// not answered, while the controller is unresponsive.
   void set(Fault fault, double counted_votes);
   bool active() const { return fault_ != Fault::none; }
-  /// Whether a vote that comes now counts.
+  /// Whether a vote received now is counted.
   bool counts_vote();
-  /// Handles a proxy's request as the fault has it; false when there is none.
+  /// Handles a proxy's request according to the active fault; returns false if there is none.
   bool intercept(const http::ExchangePtr& exchange) const;
 
  private:
--- a/src/controller/idempotent_creation.h
+++ b/src/controller/idempotent_creation.h
@@ -1,6 +1,6 @@
-/// Creations with an Idempotency-Key: a request that is repeated gets the release that the first
-/// one made. Keys are of one caller; the journal remembers them, and without a journal nothing
-/// does.
+/// Creation requests with an Idempotency-Key: a repeated request returns the release that the first
+/// one created. Keys are scoped to a caller and stored in the journal; without a journal they have
+/// no effect.
 #pragma once
 #include <optional>
 
@@ -10,12 +10,12 @@
 
 namespace robinhoist::controller {
 
-/// The key of a creation, with a digest of what it asks for; nothing when the request has none.
+/// The key of a creation request, with a digest of the body; no value if the request has no key.
 /// Throws ApiError.
 std::optional<journal::RequestKey> idempotency_key(const ApiRequest& request);
 
-/// The answer to a request whose key was used before; nothing when it was not. Throws ApiError when
-/// the key came with another body. The journal may be null.
+/// The response to a request whose key was used before; no value if it was not. Throws ApiError if
+/// the key was used with a different body. The journal may be null.
 std::optional<http::Response> replay(const ApiRequest& request, const journal::RequestKey& key,
                                      const journal::Journal* journal,
                                      const objects::Store& objects);
--- a/src/controller/machine_routes.cpp
+++ b/src/controller/machine_routes.cpp
@@ -6,7 +6,7 @@
 namespace robinhoist::controller {
 namespace {
 
-// The names of fields that differ from the terms used in the code.
+// Field names of the API that differ from the terms used in the code.
 namespace field {
 constexpr const char* commands = "orders";
 constexpr const char* kind = "is";
--- a/src/controller/machine_routes.h
+++ b/src/controller/machine_routes.h
@@ -1,5 +1,5 @@
-/// The routes of whoever runs the machines: it fetches commands and reports what has become of
-/// them.
+/// The routes for the orchestrator that starts and stops machines: it fetches commands and reports
+/// the state of the machines.
 #pragma once
 #include <functional>
 #include <vector>
@@ -13,16 +13,17 @@
 /// The handlers of /v1/orders and /v1/machines.
 class MachineRoutes {
  public:
-  /// The rollout must outlive it; `decide` lets it act on what was reported.
+  /// The rollout must outlive this object. `decide` is called after each report so that the rollout
+  /// acts on it.
   MachineRoutes(net::Loop& loop, rollout::Rollout& rollout, std::function<void()> decide)
       : loop_(loop), rollout_(rollout), decide_(std::move(decide)) {}
 
-  /// Keeps a command until it is fetched.
+  /// Queues a command until it is fetched.
   void enqueue(const rollout::Command& command) { commands_.push_back(command); }
 
-  /// Answers with the commands that have not been fetched yet.
+  /// Returns the commands that have not been fetched yet.
   void fetch_commands(const ApiRequest& request);
-  /// Takes a report that a machine is up or has ended.
+  /// Handles a report that a machine is up or has stopped.
   void report(const ApiRequest& request);
 
  private:
--- a/src/controller/membership_monitor.h
+++ b/src/controller/membership_monitor.h
@@ -1,5 +1,4 @@
-/// Watches over the proxies' leases: ends them in time and keeps the rollout's electorate up to
-/// date.
+/// Expires the proxies' leases when they are due and keeps the rollout's electorate up to date.
 #pragma once
 #include <functional>
 
@@ -10,17 +9,17 @@
 
 namespace robinhoist::controller {
 
-/// Owns the timer for the next lease that ends.
+/// Owns the timer for the next lease expiry.
 class MembershipMonitor {
  public:
-  /// `decide` is called after a check that was due by time.
+  /// `decide` is called after each check that was started by the timer.
   MembershipMonitor(net::Loop& loop, const log::Logger& log, membership::Membership& membership,
                     rollout::Rollout& rollout, std::function<void()> decide);
   ~MembershipMonitor();
   MembershipMonitor(const MembershipMonitor&) = delete;
   MembershipMonitor& operator=(const MembershipMonitor&) = delete;
 
-  /// To be called after each change of the membership.
+  /// Must be called after each change of the membership.
   void check();
 
  private:
--- a/src/controller/process.cpp
+++ b/src/controller/process.cpp
@@ -20,7 +20,8 @@
   token.sha256 = form.text("sha256");
   if (token.sha256.size() != 64 ||
       token.sha256.find_first_not_of("0123456789abcdef") != std::string::npos)
-    form.add_problem("sha256", "is not 64 digits of lower-case hex (printf %s TOKEN | sha256sum)");
+    form.add_problem("sha256",
+                     "is not 64 lower-case hexadecimal digits (printf %s TOKEN | sha256sum)");
   form.finish();
   return token;
 }
@@ -31,7 +32,8 @@
   settings.throttle_backfills = steps.boolean("throttle", true);
   steps.finish();
   if (settings.journal.empty())
-    controller.add_problem("steps", "need a (journal FILE): what ran must outlive the process");
+    controller.add_problem(
+        "steps", "need a (journal FILE): the record of executed steps must outlive the process");
 }
 
 bool is_loopback(const std::string& address) {
@@ -39,12 +41,12 @@
   return host == "localhost" || host == "[::1]" || host.rfind("127.", 0) == 0;
 }
 
-// A series of versions lives as long as the process does.
+// Each process starts a new series of versions, identified by its start time.
 std::string new_series() {
   return std::to_string(net::wall_now().time_since_epoch().count());
 }
 
-// Runs the service that `make` creates on a loop until a signal ends it.
+// Runs the service created by `make` on a loop until SIGTERM or SIGINT.
 template <class Make>
 int serve(const char* name, Make make) {
   log::Logger log(name);
@@ -72,9 +74,9 @@
     read_steps(*steps, form, settings);
   for (settings::SexpReader& token : form.children("token"))
     settings.tokens.push_back(read_token(token));
-  // What anybody may do must not be within anybody's reach.
+  // Without tokens every client has full access, so the API must not be reachable from other hosts.
   if (settings.tokens.empty() && !is_loopback(settings.server.listen))
-    form.add_problem("listen", "is not on loopback, and there is no (token ...)");
+    form.add_problem("listen", "is not a loopback address, but no (token ...) is configured");
   settings.requests_per_s = form.number("requests-per-s", 0, 1e6, 0.0);
   settings.max_events = static_cast<std::size_t>(form.integer("history", 10, 1000000, 1000));
   settings.watches.max_watches = static_cast<std::size_t>(form.integer("watches", 1, 100000, 5000));
--- a/src/controller/process.h
+++ b/src/controller/process.h
@@ -1,4 +1,4 @@
-/// The controller and the endpoint registry as processes of their own.
+/// Entry points of the controller and endpoint registry processes.
 #pragma once
 #include "controller/settings.h"
 #include "http/server.h"
@@ -6,19 +6,19 @@
 
 namespace robinhoist::controller {
 
-/// Reads the `deployment` and `controller` sections. What is wrong with them is noted in the form,
-/// which throws settings::ValidationError when it is finished.
+/// Reads the `deployment` and `controller` sections. Problems are collected in the reader, which
+/// throws settings::ValidationError when it is finished.
 Settings read(settings::SexpReader root);
-/// Serves until SIGTERM or SIGINT. Returns the process's exit status.
+/// Runs the controller until SIGTERM or SIGINT. Returns the exit status of the process.
 int run(const Settings& settings);
 
 /// The settings of the endpoint registry.
 struct ListSettings {
   http::ServerSettings server{};
 };
-/// Reads the `list` section, as read() does.
+/// Reads the `list` section. Reports problems like read().
 ListSettings read_list(settings::SexpReader root);
-/// Serves the endpoint registry until SIGTERM or SIGINT. Returns the process's exit status.
+/// Runs the endpoint registry until SIGTERM or SIGINT. Returns the exit status of the process.
 int run_list(const ListSettings& settings);
 
 }  // namespace robinhoist::controller
--- a/src/controller/proxy_routes.cpp
+++ b/src/controller/proxy_routes.cpp
@@ -15,7 +15,7 @@
 constexpr int max_stage = 1000;
 constexpr std::int64_t retry_vote_after_s = 1;
 
-// The names of fields that differ from the terms used in the code.
+// Field names of the API that differ from the terms used in the code.
 namespace field {
 constexpr const char* proxy = "umpire";
 constexpr const char* incarnation = "session";
@@ -64,7 +64,7 @@
 
 http::Response vote_response(Outcome outcome, bool is_superseded) {
   if (is_superseded)
-    return to_response(superseded("another process votes by that name"));
+    return to_response(superseded("another process votes under this name"));
   if (outcome == Outcome::rejected)
     return to_response(too_many_requests("too many votes", retry_vote_after_s));
   if (outcome == Outcome::obsolete)
@@ -107,7 +107,7 @@
   if (result != membership::HeartbeatResult::renewed)
     deps_.log.info("proxy", {{"name", request.name}, {"state", membership::to_string(result)}});
   if (result == membership::HeartbeatResult::superseded)
-    throw superseded("another process has taken the name " + request.name);
+    throw superseded("another process has taken over the name " + request.name);
   if (json::has_value(body, "acknowledged"))
     membership.acknowledge(request.name, incarnation,
                            read_acknowledgement(json::nested_object(body, "acknowledged"), now));
@@ -126,7 +126,7 @@
 
 void ProxyRoutes::leave(const ApiRequest& request) {
   if (!deps_.membership.leave(request.name, request.query(field::incarnation)))
-    throw no_such_proxy(request.name);
+    throw proxy_not_found(request.name);
   deps_.log.info("proxy", {{"name", request.name}, {"state", "left"}});
   deps_.monitor.check();
   deps_.decide();
@@ -140,7 +140,7 @@
   Outcome outcome = Outcome::error;
   bool is_superseded = false;
   if (deps_.faults.counts_vote()) {
-    // A vote is a sign of life like a heartbeat.
+    // A vote renews the lease like a heartbeat.
     is_superseded = deps_.membership.heartbeat(vote.proxy, vote.incarnation, now) ==
                     membership::HeartbeatResult::superseded;
     deps_.monitor.check();
--- a/src/controller/proxy_routes.h
+++ b/src/controller/proxy_routes.h
@@ -17,14 +17,14 @@
 
 namespace robinhoist::controller {
 
-/// Told of each vote and what came of it.
+/// Called for each vote, with its outcome.
 using VoteCallback =
     std::function<void(const std::string& proxy, int build, int stage, Verdict, Outcome)>;
 
 /// The handlers of /v1/umpires, /v1/patients and the votes on a release.
 class ProxyRoutes {
  public:
-  /// All must outlive it. `steps` may be null, and callbacks but `decide` empty.
+  /// The references must outlive the routes. `steps` may be null and `voted` empty.
   struct Dependencies {
     net::Loop& loop;
     const log::Logger& log;
@@ -41,15 +41,15 @@
   };
   explicit ProxyRoutes(Dependencies dependencies) : deps_(std::move(dependencies)) {}
 
-  /// The proxies, and the electorate.
+  /// Lists the proxies and the electorate.
   void list(const ApiRequest& request);
-  /// A sign of life, with what the proxy acknowledges to go by.
+  /// Renews the lease of a proxy and records the release state that it acknowledges.
   void heartbeat(const ApiRequest& request);
-  /// A proxy shuts down.
+  /// Removes a proxy that shuts down.
   void leave(const ApiRequest& request);
-  /// A vote on a release; a sign of life as well.
+  /// Records a vote on a release; it also renews the lease of the proxy.
   void vote(const ApiRequest& request);
-  /// How the proxy's clients fared, for the throttling of backfills.
+  /// Receives the outcomes of the proxy's clients, which throttle backfills.
   void client_outcomes(const ApiRequest& request);
 
  private:
--- a/src/controller/release_list.h
+++ b/src/controller/release_list.h
@@ -1,4 +1,4 @@
-/// Lists of releases, in pages.
+/// Paginated lists of releases.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -9,20 +9,20 @@
 
 namespace robinhoist::controller {
 
-/// Which part of a list a request asks for.
+/// The part of a list that a request asks for.
 struct ListPage {
   std::size_t max_items;
   /// The version at which the first page was read.
   std::int64_t version;
-  /// The name of the last item of the page before; empty for the first page.
+  /// The name of the last item on the previous page; empty for the first page.
   std::string after{};
 };
 
-/// Reads `limit` and `continue`. Throws ApiError, also when a watch from the first page's version
-/// could not tell any more what the pages have missed.
+/// Reads `limit` and `continue`. Throws ApiError if they are malformed, or if the changes since the
+/// first page are no longer available, so that a watch could not resume from its version.
 ListPage read_page(const ApiRequest& request, const objects::Store& store);
 
-/// A page of the objects that a selector matches, as JSON.
+/// Encodes one page of the objects that match a selector as JSON.
 std::string encode_list(const objects::Store& store, const objects::Selector& selector,
                         const ListPage& page, const std::string& series);
 
--- a/src/controller/release_routes.cpp
+++ b/src/controller/release_routes.cpp
@@ -50,7 +50,7 @@
   options.brief = request.query("view") == "brief";
   options.proxy = request.query("umpire");
   if (!options.proxy.empty() && !may(request.caller.role, Role::proxy))
-    throw forbidden("this token may not watch as an umpire");
+    throw forbidden("this token does not have the role to watch as a proxy");
   const std::string version = request.query("resourceVersion");
   const std::string timeout = request.query("timeoutSeconds");
   const std::string series = request.query("series");
@@ -83,7 +83,7 @@
   request.exchange->answer(release ? object_response(*release, status) : success_response(status));
 }
 
-// False when it was a dry run, which is answered here.
+// Commits a change and returns true, or answers a dry run and returns false.
 bool ReleaseRoutes::commit_unless_dry_run(const ApiRequest& request,
                                           const releases::ChangeResult& result,
                                           std::optional<journal::RequestKey> key) {
@@ -133,7 +133,7 @@
   }
 }
 
-// Hands a release that has been committed to the rollout.
+// Submits a committed release to the rollout.
 void ReleaseRoutes::submit(const releases::Draft& draft, const std::string& author) {
   const int build = draft.release.build;
   deps_.log.info("release created",
@@ -157,7 +157,7 @@
   const int build = catalog.get(request.name).build;
   if (!commit_unless_dry_run(request, result))
     return;
-  // A canary is rolled back first; its object goes when none of its machines is left.
+  // A canary is rolled back first; its object is deleted once all its machines are gone.
   const TimePoint now = deps_.loop.now();
   if (build == deps_.rollout.release_update(now).build)
     deps_.rollout.roll_back("deleted by " + request.caller.name, now);
@@ -166,7 +166,7 @@
   respond(request, result);
 }
 
-void ReleaseRoutes::act(const ApiRequest& request, Action action) {
+void ReleaseRoutes::apply_action(const ApiRequest& request, Action action) {
   const auto body = read_body(request);
   const std::string reason = json::text(body, "reason");
   const std::string author = json::text_or(body, "author", request.caller.name);
--- a/src/controller/release_routes.h
+++ b/src/controller/release_routes.h
@@ -1,6 +1,6 @@
-/// The routes of releases: list, watch, read, create, patch, delete, and the operators' actions.
-/// What a request may change is decided by releases::Catalog; here requests are read, changes
-/// committed and answers given. Errors are thrown, and answered by ApiServer.
+/// The routes of releases: list, watch, read, create, patch, delete, and operator actions.
+/// releases::Catalog decides which changes a request may make; the routes parse requests, commit
+/// changes and respond. Errors are thrown and converted to responses by ApiServer.
 #pragma once
 #include <functional>
 #include <optional>
@@ -12,11 +12,11 @@
 
 namespace robinhoist::controller {
 
-/// The handlers of /v1/releases and below, except for votes.
+/// The handlers of /v1/releases and the paths below it, except for votes.
 class ReleaseRoutes {
  public:
-  /// All must outlive it; the journal may be null. `decide` lets the rollout act on what has
-  /// changed.
+  /// The references must outlive the routes; the journal may be null. `decide` is called after each
+  /// change so that the rollout acts on it.
   struct Dependencies {
     net::Loop& loop;
     const log::Logger& log;
@@ -28,22 +28,23 @@
   };
   explicit ReleaseRoutes(Dependencies dependencies) : deps_(std::move(dependencies)) {}
 
-  /// A page of the releases, or a watch.
+  /// Returns a page of the releases, or starts a watch.
   void list(const ApiRequest& request);
-  /// One release, with its version as the ETag.
+  /// Returns one release, with its version as the ETag.
   void get(const ApiRequest& request);
-  /// Creates a release and submits its build; repeatable with an Idempotency-Key.
+  /// Creates a release and submits its build. Idempotent if the request has an Idempotency-Key.
   void create(const ApiRequest& request);
-  /// Changes labels and description.
+  /// Changes the labels and the description.
   void patch(const ApiRequest& request);
-  /// Deletes a release, after rolling back its build where that is a canary.
+  /// Deletes a release, after rolling back its build if it is a canary.
   void remove(const ApiRequest& request);
 
-  /// An operator's action on the present release, with a reason.
+  /// The actions that an operator can take on the current release. Each requires a reason.
   enum class Action { hold, resume, roll_back };
-  void act(const ApiRequest& request, Action action);
+  void apply_action(const ApiRequest& request, Action action);
 
-  /// Creates the release of a build and submits it, as `author`; false when it is rejected.
+  /// Creates and submits the release of a build on behalf of `author`; returns false if it is
+  /// rejected.
   bool create_release(int build, const std::string& author);
 
  private:
--- a/src/controller/release_status.cpp
+++ b/src/controller/release_status.cpp
@@ -9,10 +9,10 @@
 using releases::Status;
 using releases::WallMillis;
 
-// Clients read it in the status of a release that never began.
+// The reason in the status of a release that never began. Part of the API.
 constexpr const char* skipped = "a newer release took its place before it began";
 
-// Types and reasons of conditions, as the API has them.
+// The types of conditions in the API.
 namespace condition {
 constexpr const char* progressing = "Progressing";
 constexpr const char* available = "Available";
@@ -62,7 +62,7 @@
 
 Status ReleaseStatusBuilder::build(const releases::Release& release, TimePoint now,
                                    WallMillis wall_now) const {
-  const bool present = is_present(release, now);
+  const bool current = is_current(release, now);
   Status status = progress(release, now, wall_now);
   for (const auto& [id, machine] : rollout_.machines()) {
     if (machine.build != release.build)
@@ -74,20 +74,20 @@
   if (steps_)
     for (const auto& step : steps_->step_summaries(release.build))
       status.steps.push_back({step.id, step.phase, step.state});
-  const auto reason = blocking_reason(release, status, present);
-  status.stages = stages(status, present, reason.has_value());
-  status.proxies = present ? proxies(release, now, wall_now) : release.status.proxies;
+  const auto reason = blocking_reason(release, status, current);
+  status.stages = stages(status, current, reason.has_value());
+  status.proxies = current ? proxies(release, now, wall_now) : release.status.proxies;
   status.set_condition(progressing(status, reason.value_or("")), wall_now);
   status.set_condition(available(status), wall_now);
   status.set_condition(rolled_back(status), wall_now);
   return status;
 }
 
-bool ReleaseStatusBuilder::is_present(const releases::Release& release, TimePoint now) const {
+bool ReleaseStatusBuilder::is_current(const releases::Release& release, TimePoint now) const {
   return release.build == rollout_.release_update(now).build;
 }
 
-// Phase, stage, cap and the reason of the last change.
+// Fills in the phase, stage, cap and the reason for the last change.
 Status ReleaseStatusBuilder::progress(const releases::Release& release, TimePoint now,
                                       WallMillis wall_now) const {
   const ReleaseUpdate update = rollout_.release_update(now);
@@ -122,24 +122,24 @@
   return last == changes.rend() ? fallback : last->why;
 }
 
-int ReleaseStatusBuilder::active_stage(const Status& status, bool present) const {
-  return present ? rollout_.active_stage() : status.stage;
+int ReleaseStatusBuilder::active_stage(const Status& status, bool current) const {
+  return current ? rollout_.active_stage() : status.stage;
 }
 
 std::optional<std::string> ReleaseStatusBuilder::blocking_reason(const releases::Release& release,
                                                                  const Status& status,
-                                                                 bool present) const {
-  const int next = active_stage(status, present) + 1;
+                                                                 bool current) const {
+  const int next = active_stage(status, current) + 1;
   const bool exists = next < static_cast<int>(settings_.stages.size());
-  if (!steps_ || !present || !exists || status.phase != ReleasePhase::canary)
+  if (!steps_ || !current || !exists || status.phase != ReleasePhase::canary)
     return {};
   return steps_->blocking_reason(release.build, next);
 }
 
-std::vector<releases::StageStatus> ReleaseStatusBuilder::stages(const Status& status, bool present,
+std::vector<releases::StageStatus> ReleaseStatusBuilder::stages(const Status& status, bool current,
                                                                 bool next_is_blocked) const {
-  const bool runs = present && status.phase == ReleasePhase::canary;
-  const int active = active_stage(status, present);
+  const bool runs = current && status.phase == ReleasePhase::canary;
+  const int active = active_stage(status, current);
   const auto state_of = [&](int stage) {
     if (status.phase == ReleasePhase::released || stage < active)
       return StageState::done;
@@ -169,7 +169,8 @@
       proxy.cap = member.acknowledged->cap;
       proxy.stage = member.acknowledged->stage;
       proxy.acknowledged_at = wall_now - to_milliseconds(now - member.acknowledged->at);
-      // Reckoned anew from two clocks it could differ by a millisecond, which would be a change.
+      // Keeps the previous time: recomputed from two clocks, it could differ by a millisecond,
+      // which would count as a change.
       for (const releases::ProxyStatus& before : release.status.proxies)
         if (before.proxy == name && before.cap == proxy.cap && before.stage == proxy.stage)
           proxy.acknowledged_at = before.acknowledged_at;
--- a/src/controller/settings.h
+++ b/src/controller/settings.h
@@ -15,32 +15,32 @@
 namespace robinhoist::controller {
 
 struct Settings {
-  /// Identifies this controller to other holders of the steps' lease.
+  /// Identifies this controller as holder of the migration steps' lease.
   std::string name{"controller"};
   http::ServerSettings server{};
   rollout::Settings rollout{};
-  /// The machines that the fleet has when no release is under way.
+  /// The number of machines in the fleet when no release is in progress.
   int slots = 1;
   int initial_build = 1;
-  /// How many proxies there are at least.
+  /// The minimum number of proxies to expect.
   int proxies = 1;
   membership::Settings membership{.lease = std::chrono::seconds(3),
                                   .retention = std::chrono::minutes(10)};
   WatchSettings watches{};
-  /// Changes kept for watches that resume.
+  /// The number of changes kept for watches that resume.
   std::size_t max_events = 1000;
   std::vector<Token> tokens{};
-  /// Of one client; 0: any number.
+  /// The rate limit per client; 0: no limit.
   double requests_per_s = 0;
   Duration idempotency_key_lifetime = std::chrono::hours(24);
-  /// A file; empty: nothing outlives the process.
+  /// The journal file; empty: no state is persisted.
   std::string journal{};
-  /// The address of the migration target; empty: releases have no steps.
+  /// The address of the migration target; empty: releases have no migration steps.
   std::string steps_target{};
   Duration steps_lease{};
-  /// Whether backfills slow down while the proxies' clients get bad outcomes.
+  /// Whether backfills slow down while the proxies' clients receive unsuccessful outcomes.
   bool throttle_backfills = true;
-  /// For tests: called between a change's being written to disk and its being published.
+  /// For tests: called after a change is written to disk and before it is published.
   std::function<void()> on_persisted{};
 };
 
--- a/src/controller/step_gates.cpp
+++ b/src/controller/step_gates.cpp
@@ -8,10 +8,10 @@
   bool changed = false;
   for (int stage = 0; stage < stages_; ++stage) {
     const auto gate = runner_.allows(build, stage) ? rollout::Gate::open : rollout::Gate::closed;
-    const auto [present, is_new] = gates_.try_emplace({build, stage}, gate);
-    if (!is_new && present->second == gate)
+    const auto [known, is_new] = gates_.try_emplace({build, stage}, gate);
+    if (!is_new && known->second == gate)
       continue;
-    present->second = gate;
+    known->second = gate;
     changed = true;
     rollout_.set_gate(build, stage, gate);
   }
@@ -28,11 +28,11 @@
     runner_.set_release(build, past);
   }
   const ReleaseUpdate update = rollout_.release_update(now);
-  migration::ReleaseState present{.stage = rollout_.active_stage(), .offered = true};
-  present.rolling_back = update.phase == ReleasePhase::rolling_back;
-  present.rolled_back = update.phase == ReleasePhase::rolled_back;
-  present.finalized = update.phase == ReleasePhase::released && !rollout_.can_roll_back(now);
-  runner_.set_release(update.build, present);
+  migration::ReleaseState current{.stage = rollout_.active_stage(), .offered = true};
+  current.rolling_back = update.phase == ReleasePhase::rolling_back;
+  current.rolled_back = update.phase == ReleasePhase::rolled_back;
+  current.finalized = update.phase == ReleasePhase::released && !rollout_.can_roll_back(now);
+  runner_.set_release(update.build, current);
 }
 
 }  // namespace robinhoist::controller
--- a/src/controller/step_gates.h
+++ b/src/controller/step_gates.h
@@ -1,5 +1,5 @@
-/// The exchange between the rollout and the runner of migration steps: the runner learns where each
-/// release stands, the rollout which stages its steps allow.
+/// Synchronizes the rollout and the runner of migration steps: the runner receives the state of
+/// each release, and the rollout receives the gates of the stages.
 #pragma once
 #include <map>
 
@@ -9,14 +9,15 @@
 
 namespace robinhoist::controller {
 
-/// Remembers the gates as last set, so that only changes go to the rollout.
+/// Stores the gates as last set so that only changes are passed to the rollout.
 class StepGates {
  public:
-  /// `stages` is the number of stages of a release. Both must outlive it.
+  /// `stages` is the number of stages of a release. The rollout and the runner must outlive this
+  /// object.
   StepGates(rollout::Rollout& rollout, migration::Runner& runner, int stages)
       : rollout_(rollout), runner_(runner), stages_(stages) {}
 
-  /// Brings both up to date; true when a gate has opened or closed.
+  /// Updates both sides; returns true if a gate was set for the first time or has changed.
   bool sync(TimePoint now);
 
  private:
--- a/src/controller/step_routes.cpp
+++ b/src/controller/step_routes.cpp
@@ -6,12 +6,12 @@
 
 namespace robinhoist::controller {
 
-void StepRoutes::answer_errors(const ApiRequest& request, const std::function<void()>& handle) {
+void StepRoutes::handle_errors(const ApiRequest& request, const std::function<void()>& handle) {
   const auto answer = [&](int status, const std::string& text) {
     request.exchange->answer(http::text_response(status, text + "\n"));
   };
   if (!steps_) {
-    answer(404, "this controller runs no steps");
+    answer(404, "this controller does not run migration steps");
     return;
   }
   try {
@@ -25,12 +25,12 @@
   }
 }
 
-void StepRoutes::take_plan(const ApiRequest& request) {
-  answer_errors(request, [&] {
+void StepRoutes::submit_plan(const ApiRequest& request) {
+  handle_errors(request, [&] {
     const std::string author(request.http().headers.get("X-Who"));
     const int build = steps_->accept_plan(request.http().body, "plan",
                                           author.empty() ? request.caller.name : author);
-    plan_taken_();
+    plan_accepted_();
     decide_();
     json::Writer out;
     out.begin_object().put("build", build).end_object();
@@ -39,12 +39,12 @@
 }
 
 void StepRoutes::status(const ApiRequest& request) {
-  answer_errors(request,
+  handle_errors(request,
                 [&] { request.exchange->answer(http::json_response(200, steps_->status_json())); });
 }
 
 void StepRoutes::verify(const ApiRequest& request) {
-  answer_errors(request, [&] {
+  handle_errors(request, [&] {
     steps_->verify([exchange = request.exchange](const std::string& body) {
       exchange->answer(http::json_response(200, body));
     });
@@ -56,7 +56,7 @@
 }
 
 void StepRoutes::set_paused(const ApiRequest& request, bool paused) {
-  answer_errors(request, [&] {
+  handle_errors(request, [&] {
     const auto body = json::parse_object(request.http().body);
     const Author author = read_author(request, body);
     steps_->set_paused(paused, author.who, author.why);
@@ -64,8 +64,8 @@
   });
 }
 
-void StepRoutes::act_on_step(const ApiRequest& request, StepAction action) {
-  answer_errors(request, [&] {
+void StepRoutes::apply_step_action(const ApiRequest& request, StepAction action) {
+  handle_errors(request, [&] {
     const auto body = json::parse_object(request.http().body);
     const Author author = read_author(request, body);
     const int build = json::integer(body, "build");
@@ -83,11 +83,11 @@
 }
 
 void StepRoutes::retry(const ApiRequest& request) {
-  act_on_step(request, &migration::Runner::retry);
+  apply_step_action(request, &migration::Runner::retry);
 }
 
 void StepRoutes::skip(const ApiRequest& request) {
-  act_on_step(request, &migration::Runner::skip);
+  apply_step_action(request, &migration::Runner::skip);
 }
 
 void StepRoutes::respond(const ApiRequest& request, const std::string& rejection) {
--- a/src/controller/step_routes.h
+++ b/src/controller/step_routes.h
@@ -1,5 +1,5 @@
-/// The routes of migration plans and their steps. Their errors are plain text, unlike those of the
-/// other routes.
+/// The routes of migration plans and their steps. Unlike the other routes, they return errors as
+/// plain text.
 #pragma once
 #include <functional>
 
@@ -12,42 +12,43 @@
 /// The handlers of /v1/plans and /v1/steps.
 class StepRoutes {
  public:
-  /// `steps` may be null: every route then answers 404. `plan_taken` is called after a new plan,
-  /// `decide` lets the rollout act on what has changed.
-  StepRoutes(migration::Runner* steps, std::function<void()> plan_taken,
+  /// `steps` may be null: every route then answers 404. `plan_accepted` is called after a plan is
+  /// accepted, `decide` after each change so that the rollout acts on it.
+  StepRoutes(migration::Runner* steps, std::function<void()> plan_accepted,
              std::function<void()> decide)
-      : steps_(steps), plan_taken_(std::move(plan_taken)), decide_(std::move(decide)) {}
+      : steps_(steps), plan_accepted_(std::move(plan_accepted)), decide_(std::move(decide)) {}
 
-  /// Takes a new or edited plan, an S-expression; X-Who names its author.
-  void take_plan(const ApiRequest& request);
+  /// Submits a new or edited plan, an S-expression. The X-Who header names its author.
+  void submit_plan(const ApiRequest& request);
   void status(const ApiRequest& request);
-  /// Asks the target whether the applied steps still are; answers when all were asked.
+  /// Checks with the target whether the applied steps are still in effect; answers once all were
+  /// checked.
   void verify(const ApiRequest& request);
-  /// The operators' commands; 409 with the reason when one is rejected.
+  /// Commands of operators; a rejected one is answered with 409 and the reason.
   void pause(const ApiRequest& request);
   void resume(const ApiRequest& request);
   void retry(const ApiRequest& request);
   void skip(const ApiRequest& request);
 
  private:
-  // Who asks for a change, and why, as the body has it.
+  // The author of a change and the reason for it, from the request body.
   struct Author {
     std::string who;
     std::string why;
   };
   static Author read_author(const ApiRequest& request, const json::Value& body);
-  // What has to be done with a step; gives an empty text, or why it was not done.
+  // An action on a step. Returns an empty text, or the reason why the action was rejected.
   using StepAction = std::string (migration::Runner::*)(int build, const std::string& step,
                                                         const std::string& who,
                                                         const std::string& why);
 
-  void answer_errors(const ApiRequest& request, const std::function<void()>& handle);
+  void handle_errors(const ApiRequest& request, const std::function<void()>& handle);
   void set_paused(const ApiRequest& request, bool paused);
-  void act_on_step(const ApiRequest& request, StepAction action);
+  void apply_step_action(const ApiRequest& request, StepAction action);
   void respond(const ApiRequest& request, const std::string& rejection);
 
   migration::Runner* steps_;
-  std::function<void()> plan_taken_;
+  std::function<void()> plan_accepted_;
   std::function<void()> decide_;
 };
 
--- a/src/controller/tokens.cpp
+++ b/src/controller/tokens.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-bool may(Role role, Role required) {
+bool includes(Role role, Role required) {
   return static_cast<int>(role) >= static_cast<int>(required);
 }
 
@@ -35,7 +35,7 @@
     return {};
   const std::string digest = sha256(authorization.substr(scheme.size()));
   std::optional<Caller> caller;
-  // Every token is compared, each in constant time, so that the duration tells nothing of them.
+  // Every token is compared, each in constant time, so that timing reveals nothing about them.
   for (const Token& token : tokens_)
     if (token.sha256.size() == digest.size() &&
         CRYPTO_memcmp(token.sha256.data(), digest.data(), digest.size()) == 0)
--- a/src/controller/tokens.h
+++ b/src/controller/tokens.h
@@ -1,5 +1,6 @@
-/// Who may do what: API tokens, of which only SHA-256 sums are held. Without any token everybody
-/// may do everything, which is why the settings then allow no other address than loopback.
+/// Authentication and authorization by API tokens, of which only the SHA-256 digests are stored. If
+/// no tokens are configured, every client has full access; the settings then accept only a loopback
+/// listen address.
 #pragma once
 #include <optional>
 #include <string>
@@ -8,40 +9,40 @@
 
 namespace robinhoist::controller {
 
-/// Each may do what the one before may. `read`: get, list, watch. `proxy`: heartbeats and votes.
-/// `operate`: everything.
+/// Each role includes the ones before it. `read`: get, list and watch. `proxy`: heartbeats and
+/// votes. `operate`: everything.
 enum class Role { read, proxy, operate };
 
-/// Whether one role includes another.
-bool may(Role role, Role required);
+/// Whether a role includes the permissions of `required`.
+bool includes(Role role, Role required);
 
-/// What is held of a token.
+/// A configured token.
 struct Token {
-  /// Of the caller.
+  /// The name of the client that uses the token.
   std::string name{};
-  /// Of the token's text, in lower-case hexadecimal.
+  /// The digest of the token's text, in lower-case hexadecimal.
   std::string sha256{};
   Role role = Role::read;
 };
 
-/// Whom a token stands for.
+/// The client that a request was authenticated as.
 struct Caller {
   std::string name{};
   Role role = Role::operate;
 };
 
-/// The tokens of the settings.
+/// The configured tokens.
 class Tokens {
  public:
   explicit Tokens(std::vector<Token> tokens) : tokens_(std::move(tokens)) {}
-  /// The caller that an Authorization header names; nothing when it holds no known token.
+  /// The caller identified by an Authorization header; no value if it has no valid token.
   std::optional<Caller> caller(std::string_view authorization) const;
 
  private:
   std::vector<Token> tokens_;
 };
 
-/// In lower-case hexadecimal.
+/// The SHA-256 digest of a text, in lower-case hexadecimal.
 std::string sha256(std::string_view text);
 
 }  // namespace robinhoist::controller
--- a/src/controller/watches.cpp
+++ b/src/controller/watches.cpp
@@ -22,7 +22,7 @@
   return out.text() + "\n";
 }
 
-// How long ago the state that an object shows began.
+// The age of the state that an object shows.
 double age_ms(const objects::Snapshot& object) {
   const double now_ms = static_cast<double>(net::wall_now().time_since_epoch().count()) / 1e3;
   const double age = now_ms - static_cast<double>(object.since.time_since_epoch().count());
@@ -59,15 +59,14 @@
   head.headers.add("Content-Type", "application/json;stream=watch");
   head.headers.add("Cache-Control", "no-store");
   exchange->begin_stream(head);
-  set_end(watch);
-  // The first bookmark tells that all objects have been listed, and of which series the versions
-  // are.
+  set_end_handlers(watch);
+  // The first bookmark marks the end of the initial list and gives the series of the versions.
   if (!(send_initial(*watch) && send_bookmark(*watch) && send_changes(*watch)))
     remove(watch);
   return true;
 }
 
-void Watches::set_end(Position watch) {
+void Watches::set_end_handlers(Position watch) {
   watch->exchange->on_disconnect = [this, watch] {
     watch->disconnected = true;
     remove(watch);
@@ -128,7 +127,8 @@
   }
   while (const objects::Event* event = store_.first_event_after(watch.version)) {
     watch.version = event->now->version;
-    const auto change = objects::change_for(*event, watch.options.selector, watch.options.brief);
+    const auto change =
+        objects::change_for_watch(*event, watch.options.selector, watch.options.brief);
     if (!change)
       continue;
     if (!send_object(watch, objects::to_string(*change), *event->now)) {
@@ -143,7 +143,7 @@
 void Watches::notify() {
   serve_proxies();
   if (pass_running_) {
-    pass_wanted_ = true;
+    pass_pending_ = true;
     return;
   }
   start_pass();
@@ -161,7 +161,7 @@
 
 void Watches::start_pass() {
   pass_running_ = true;
-  pass_wanted_ = false;
+  pass_pending_ = false;
   next_ = watches_.begin();
 }
 
@@ -177,7 +177,7 @@
   }
   if (next_ == watches_.end()) {
     pass_running_ = false;
-    if (!pass_wanted_)
+    if (!pass_pending_)
       return;
     start_pass();
   }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -51,10 +51,10 @@
   Member* member = find(name, incarnation);
   if (!member)
     return false;
-  const auto& present = member->acknowledged;
-  const bool late_or_repeated = present && (present->version > acknowledgement.version ||
-                                            same_state(*present, acknowledgement));
-  if (!late_or_repeated)
+  const auto& current = member->acknowledged;
+  const bool stale_or_duplicate = current && (current->version > acknowledgement.version ||
+                                              same_state(*current, acknowledgement));
+  if (!stale_or_duplicate)
     member->acknowledged = acknowledgement;
   return true;
 }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,17 +1,20 @@
-/// Which proxies there are, and of how many of them the shares of votes are taken. Free of I/O and
-/// clocks; not thread safe.
+/// Tracks the proxies and computes the numbers that vote thresholds are based on. Performs no I/O,
+/// reads no clock and is not thread safe.
 ///
-/// A proxy sends a heartbeat every third of its lease. Known are all whose last heartbeat is not
-/// older than the retention time, and at least as many as the settings expect; live are those whose
-/// lease runs. Votes to promote are counted against all known proxies: one that can't reach the
-/// controller goes on routing by the cap it was last notified of, and its silence must not make the
-/// others' votes weigh more. Votes to hold or to roll back are counted against the live ones, but
-/// never fewer than half of the known: a partition that hides half must not keep the rest from
-/// rolling back, and after a restart of all, the first proxy that is up must not do so alone.
+/// A proxy sends a heartbeat every third of its lease. A proxy is known if its last heartbeat is
+/// not older than the retention time; the number of known proxies is at least the expected number
+/// from the settings. A proxy is live while its lease has not expired.
 ///
-/// A name counts once. A process that uses the name with another incarnation id replaces the one
-/// before, which is told so by `superseded`: a restart needs no waiting, and two processes under
-/// one name gain nothing.
+/// Votes to promote are counted against all known proxies: a proxy that can't reach the controller
+/// continues to route by the last cap it received, and its absence must not give more weight to the
+/// votes of the others. Votes to hold or to roll back are counted against the live proxies, but
+/// against no fewer than half of the known ones: a partition that cuts off half of the proxies must
+/// not prevent the rest from rolling back, and after all proxies restart, the first one to come up
+/// must not be able to roll back alone.
+///
+/// Each name counts once. A process that uses a name with a new incarnation id replaces the
+/// previous process, which then receives `superseded`. A restarted proxy therefore does not have to
+/// wait for its old lease to expire, and two processes with the same name have only one vote.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -22,17 +25,17 @@
 
 namespace robinhoist::membership {
 
-/// How long a silent proxy counts.
+/// The expected number of proxies, and how long a proxy counts without heartbeats.
 struct Settings {
-  /// How many proxies there are at least.
+  /// The minimum number of proxies to assume.
   int expected = 1;
   /// A proxy without a heartbeat for this long is not live.
   Duration lease{};
-  /// A proxy without a heartbeat for this long is forgotten; none is while a canary runs.
+  /// A proxy without a heartbeat for this long is removed, but not while a canary runs.
   Duration retention{};
 };
 
-/// The state of a release that a proxy has acknowledged to go by.
+/// The state of a release that a proxy has acknowledged and routes by.
 struct Acknowledgement {
   int build = -1;
   int stage = 0;
@@ -41,11 +44,11 @@
   TimePoint at{};
 };
 
-/// What is known of one proxy.
+/// The state of one proxy.
 struct Member {
-  /// The id that the present process has given itself.
+  /// The incarnation id that the current process has chosen.
   std::string incarnation{};
-  /// When that process was first heard from.
+  /// The time of the first heartbeat of that process.
   TimePoint since{};
   TimePoint last_heartbeat{};
   bool live = true;
@@ -53,7 +56,7 @@
   std::optional<Acknowledgement> acknowledged{};
 };
 
-/// `joined`: the name was not known. `superseded`: another process has replaced the sender.
+/// `joined`: the name was unknown. `superseded`: another process has replaced the sender.
 enum class HeartbeatResult { joined, renewed, restarted, superseded };
 
 const char* to_string(HeartbeatResult result);
@@ -63,28 +66,31 @@
  public:
   explicit Membership(const Settings& settings) : settings_(settings) {}
 
-  /// Notes a sign of life. One of a superseded incarnation changes nothing.
+  /// Records a heartbeat and renews the lease. A heartbeat of a superseded incarnation has no
+  /// effect.
   HeartbeatResult heartbeat(const std::string& name, const std::string& incarnation, TimePoint now);
-  /// Notes what a proxy has acknowledged; one that is late or repeated changes nothing. False
-  /// unless the incarnation is the one that holds the name.
+  /// Records the release state that a proxy acknowledges; a stale or duplicate acknowledgement has
+  /// no effect. Returns false unless the incarnation currently holds the name.
   bool acknowledge(const std::string& name, const std::string& incarnation,
                    const Acknowledgement& acknowledgement);
-  /// Forgets a proxy that shuts down. False unless the incarnation is the one that holds the name.
+  /// Removes a proxy that shuts down. Returns false unless the incarnation currently holds the
+  /// name.
   bool leave(const std::string& name, const std::string& incarnation);
   void set_canary_running(bool running) { canary_running_ = running; }
 
-  /// Ends leases and forgets proxies that are due; true when the count of either has changed.
+  /// Expires leases and removes proxies that are due; returns true if the number of live or known
+  /// proxies has changed.
   bool expire(TimePoint now);
-  /// When expire() is due next; nothing when no lease runs.
+  /// When to call expire() next; no value if no proxy can expire.
   std::optional<TimePoint> next_check_at() const;
 
   int known() const;
   int live() const;
-  /// Of how many proxies the share of votes to promote is taken.
+  /// The number of proxies against which votes to promote are counted.
   int promotion_electorate() const { return known(); }
-  /// The same for votes to hold and to roll back.
+  /// The number of proxies against which votes to hold and to roll back are counted.
   int rollback_electorate() const;
-  /// Whether a vote by that name and incarnation counts.
+  /// Whether a vote with this name and incarnation counts.
   bool may_vote(const std::string& name, const std::string& incarnation) const;
 
   /// The proxies by name.
@@ -95,7 +101,7 @@
 
   Settings settings_;
   std::map<std::string, Member> members_{};
-  std::map<std::string, std::string> superseded_{};  // by name: the last incarnation replaced
+  std::map<std::string, std::string> superseded_{};  // by name: the last replaced incarnation
   bool canary_running_ = false;
 };
 
--- a/src/objects/selector.h
+++ b/src/objects/selector.h
@@ -1,6 +1,6 @@
-/// Selectors of objects: requirements on labels and fields in the syntax of Kubernetes, such as
-/// `team=front,tier!=test,zone in (a,b),zone notin (c),canary,!old`, and for fields
-/// `status.phase=released`.
+/// Selectors of objects. They consist of requirements on labels and fields in Kubernetes syntax,
+/// such as `team=front,tier!=test,zone in (a,b),zone notin (c),canary,!old`, or
+/// `status.phase=released` for fields.
 #pragma once
 #include <map>
 #include <stdexcept>
@@ -10,20 +10,20 @@
 
 namespace robinhoist::objects {
 
-/// Labels or fields of an object, by name.
+/// The labels or fields of an object, by name.
 using Fields = std::map<std::string, std::string>;
 
-/// A selector that can't be read; what() tells which requirement and why.
+/// A malformed selector; what() names the requirement and the reason.
 struct SelectorError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Requirements that an object must all meet.
+/// A set of requirements, all of which an object must meet.
 class Selector {
  public:
   /// Matches every object.
   Selector() = default;
-  /// Throws SelectorError.
+  /// Parses requirements on labels and fields. Throws SelectorError.
   Selector(std::string_view labels, std::string_view fields);
   bool matches(const Fields& labels, const Fields& fields) const;
 
@@ -44,12 +44,12 @@
   std::vector<Requirement> fields_{};
 };
 
-/// Whether a text can name a label: at most 63 of [A-Za-z0-9._-], perhaps behind a prefix and a
+/// Whether a text is a valid label name: 1 to 63 of [A-Za-z0-9._-], optionally after a prefix and a
 /// slash.
 bool is_label_name(std::string_view text);
-/// Whether a text can be a label's value: at most 63 of [A-Za-z0-9._-].
+/// Whether a text is a valid label value: at most 63 of [A-Za-z0-9._-].
 bool is_label_value(std::string_view text);
-/// Whether a text can name an object: at most 63 of [a-z0-9-], no dash at either end.
+/// Whether a text is a valid object name: 1 to 63 of [a-z0-9-], without a dash at either end.
 bool is_object_name(std::string_view text);
 
 }  // namespace robinhoist::objects
--- a/src/objects/store.cpp
+++ b/src/objects/store.cpp
@@ -48,7 +48,7 @@
   return found == events_.end() ? nullptr : &*found;
 }
 
-std::optional<Change> change_for(const Event& event, const Selector& selector, bool brief) {
+std::optional<Change> change_for_watch(const Event& event, const Selector& selector, bool brief) {
   const bool matched = event.before && selector.matches(event.before->labels, event.before->fields);
   const bool matches =
       event.change != Change::deleted && selector.matches(event.now->labels, event.now->fields);
--- a/src/releases/catalog.cpp
+++ b/src/releases/catalog.cpp
@@ -7,7 +7,7 @@
 namespace robinhoist::releases {
 namespace {
 
-// Clients read it in the first release's spec.
+// The description in the spec of the first release. Part of the API and of stored data.
 constexpr const char* initial_description = "ran already when the controller first started";
 
 std::string default_name(int build) {
@@ -19,7 +19,7 @@
     throw version_conflict(release, *expected);
 }
 
-// The fields of a release that the controller sets when it is created.
+// Sets the fields that the controller assigns to a new release.
 void initialize(Release& release, const std::string& uid, std::int64_t version, WallMillis now) {
   release.uid = uid;
   release.created = now;
@@ -53,7 +53,7 @@
 const Release& Catalog::get(const std::string& name, ExpectedVersion expected) const {
   const Release* release = find(name);
   if (!release)
-    throw no_such_release(name);
+    throw release_not_found(name);
   check_version(*release, expected);
   return *release;
 }
@@ -61,8 +61,8 @@
 ChangeResult Catalog::create(const json::Value& body, const std::string& uid, int newest_build,
                              WallMillis now) const {
   Release release = parse_creation(body);
-  if (const Release* present = find(release.name))
-    throw name_taken(*present);
+  if (const Release* existing = find(release.name))
+    throw name_taken(*existing);
   if (release.build <= newest_build)
     throw build_not_newer(newest_build);
   initialize(release, uid, next_version(), now);
@@ -72,7 +72,7 @@
 Draft Catalog::initial_release(int build, const std::string& uid, WallMillis now) const {
   Release release;
   release.name = default_name(build);
-  // Somebody may have taken that name for another build.
+  // The name may be in use for another build.
   for (int suffix = 2; find(release.name); ++suffix)
     release.name = default_name(build) + "-" + std::to_string(suffix);
   release.build = build;
@@ -115,23 +115,23 @@
 
 std::optional<Draft> Catalog::update_status(const std::string& name, Status status,
                                             WallMillis now) const {
-  const Release* present = find(name);
-  if (!present)
+  const Release* current = find(name);
+  if (!current)
     return {};
-  // Conditions and phases that have not changed keep their times.
+  // Unchanged conditions and phases keep their times.
   const std::vector<Condition> conditions = std::move(status.conditions);
-  status.conditions = present->status.conditions;
+  status.conditions = current->status.conditions;
   for (const Condition& condition : conditions)
     status.set_condition(condition, now);
-  status.observed_generation = present->generation;
-  if (status.phase == present->status.phase && status.stage == present->status.stage &&
-      present->status.since > WallMillis{})
-    status.since = present->status.since;
+  status.observed_generation = current->generation;
+  if (status.phase == current->status.phase && status.stage == current->status.stage &&
+      current->status.since > WallMillis{})
+    status.since = current->status.since;
 
-  const bool gone = present->is_deleting() && status.machines == 0 && status.is_final();
-  if (status == present->status && !gone)
+  const bool gone = current->is_deleting() && status.machines == 0 && status.is_final();
+  if (status == current->status && !gone)
     return {};
-  Release release = *present;
+  Release release = *current;
   release.status = std::move(status);
   release.version = next_version();
   if (gone)
@@ -140,9 +140,9 @@
 }
 
 bool Catalog::is_urgent(const Draft& draft) const {
-  const auto present = store_.find(draft.release.name);
-  return draft.change != objects::Change::modified || !present ||
-         present->brief != encode_brief(draft.release);
+  const auto current = store_.find(draft.release.name);
+  return draft.change != objects::Change::modified || !current ||
+         current->brief != encode_brief(draft.release);
 }
 
 objects::Event Catalog::commit(const Draft& draft, objects::SnapshotPtr snapshot) {
--- a/src/releases/catalog.h
+++ b/src/releases/catalog.h
@@ -1,8 +1,10 @@
-/// The releases of a controller as API objects: what a request may change and how the rollout shows
-/// in them. Free of I/O and clocks; not thread safe.
+/// The releases of a controller as API objects. Decides which changes requests may make and
+/// reflects the state of the rollout in the objects. Performs no I/O, reads no clock and is not
+/// thread safe.
 ///
-/// Nothing changes by itself: each change comes out as a draft, which the host writes to disk and
-/// then hands to commit(). Drafts of one transaction are made and committed in order.
+/// Only restore() and commit() modify the catalog. The other operations return a draft of the
+/// change, which the host writes to disk and then passes to commit(). Drafts of one transaction are
+/// created and committed in order.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -16,55 +18,57 @@
 
 namespace robinhoist::releases {
 
-/// A change that has not been committed.
+/// An uncommitted change of a release.
 struct Draft {
   objects::Change change;
   Release release;
 };
 
-/// `accepted`: it is begun, and completes later.
+/// `accepted`: the change has begun and completes later.
 enum class Completion { done, created, accepted };
 
-/// What a request that was not rejected comes to. There is no draft when it changes nothing.
+/// The result of a request that was not rejected. It has no draft if the request changes nothing.
 struct ChangeResult {
   std::string name;
   Completion completion = Completion::done;
   std::optional<Draft> draft{};
 };
 
-/// The version that the client believes an object to have, from If-Match or the body.
+/// The version that a client expects an object to have, from If-Match or the body.
 using ExpectedVersion = std::optional<std::int64_t>;
 
 /// Owns the releases and their store of snapshots.
 class Catalog {
  public:
-  /// Keeps the last `max_events` changes for watches.
+  /// Keeps the most recent `max_events` changes for watches.
   explicit Catalog(std::size_t max_events) : store_(max_events) {}
-  /// Takes over what was persisted: releases by name, and the last changes.
+  /// Restores the persisted state: releases by name and the most recent changes.
   void restore(std::map<std::string, Release> releases, std::int64_t version, std::int64_t oldest,
                std::deque<objects::Event> events);
 
-  /// These throw RequestError. `newest_build` is the newest that was ever submitted.
+  /// create(), patch(), remove() and get() throw RequestError. `newest_build` is the newest build
+  /// that was ever submitted.
   ChangeResult create(const json::Value& body, const std::string& uid, int newest_build,
                       WallMillis now) const;
   ChangeResult patch(const std::string& name, const json::Value& body,
                      ExpectedVersion expected) const;
   ChangeResult remove(const std::string& name, ExpectedVersion expected, WallMillis now) const;
-  /// The release of that name and version.
+  /// The release with a name; throws if it is not at the expected version.
   const Release& get(const std::string& name, ExpectedVersion expected = {}) const;
 
-  /// The release of a build that ran before any was created.
+  /// A release object for a build that was running before any release was created.
   Draft initial_release(int build, const std::string& uid, WallMillis now) const;
-  /// Updates a release's status; nothing when it shows that already.
+  /// Updates the status of a release; returns no value if nothing changes.
   std::optional<Draft> update_status(const std::string& name, Status status, WallMillis now) const;
-  /// Whether a draft changes what proxies go by; others may be written later, together.
+  /// Whether a draft changes the state that proxies route by. Other drafts may be batched and
+  /// written later.
   bool is_urgent(const Draft& draft) const;
 
-  /// Applies a draft that has been written to disk, with the snapshot made from it.
+  /// Applies a draft that was written to disk, with the snapshot that was created from it.
   objects::Event commit(const Draft& draft, objects::SnapshotPtr snapshot);
 
   const std::map<std::string, Release>& all() const { return releases_; }
-  /// Null when there is none.
+  /// Null if there is no such release.
   const Release* find(const std::string& name) const;
   const Release* find_build(int build) const;
   const objects::Store& store() const { return store_; }
--- a/src/releases/follower.cpp
+++ b/src/releases/follower.cpp
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-void Follower::begin(bool anew) {
-  listing_ = anew;
+void Follower::begin(bool lists_all) {
+  listing_ = lists_all;
   incoming_.clear();
 }
 
@@ -48,8 +48,8 @@
     return Line::accepted;
   }
   const std::int64_t version = version_of(event);
-  const bool late_or_repeated = !listing_ && version <= version_;
-  if (!late_or_repeated)
+  const bool stale_or_duplicate = !listing_ && version <= version_;
+  if (!stale_or_duplicate)
     read_event(event, now);
   return Line::accepted;
 }
@@ -107,7 +107,7 @@
     return {};
   const auto& [name, known] = *newest;
   if (current_) {
-    // Builds only grow: that the newest has been deleted does not bring back the one before it.
+    // Builds only increase: deleting the newest release does not reactivate the one before it.
     if (known.release.build < current_->release.build)
       return {};
     if (current_name_ == name && same_state(current_->release, known.release))
--- a/src/releases/follower.h
+++ b/src/releases/follower.h
@@ -1,6 +1,7 @@
-/// How a proxy follows the controller's releases by a watch: it keeps the state of each release and
-/// says which one to go by. Free of I/O and clocks. Lines may come in pieces, twice or late; a
-/// watch that broke resumes from version(), and one that can't begins anew with all releases.
+/// The proxy's side of a watch on the controller's releases: it tracks the state of each release
+/// and selects the one to route by. Performs no I/O and reads no clock. Lines may arrive in pieces,
+/// late or more than once. An interrupted watch is resumed from version(); if that is not possible,
+/// a new watch starts with a list of all releases.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -13,28 +14,29 @@
 
 namespace robinhoist::releases {
 
-/// Reads the lines of a watch, one answer after the other.
+/// Processes the lines of a sequence of watch responses.
 class Follower {
  public:
-  /// `expired`: the controller can't resume this watch, so begin anew. `malformed`: not understood.
+  /// The result of consume_line(). `none`: no complete line is available. `expired`: the controller
+  /// can't resume the watch, so a new one must be started. `malformed`: the line can't be decoded.
   enum class Line { none, accepted, expired, malformed };
 
-  /// Starts to read a new answer; what was half read is dropped. `anew`: the answer lists all
-  /// releases first, up to a bookmark.
-  void begin(bool anew);
-  /// Removes one line from the front of a body and reads it; `none` when no whole line is there.
+  /// Starts to process a new response; a partial list from the previous one is discarded.
+  /// `lists_all`: the response begins with all releases, followed by a bookmark.
+  void begin(bool lists_all);
+  /// Removes the first line from a response body and processes it.
   Line consume_line(std::string& body, TimePoint now);
 
-  /// The release to go by.
+  /// The release to route by.
   struct Update {
     ReleaseUpdate release;
     std::int64_t version;
     std::string name;
   };
-  /// The newest release that has begun, when it differs from the one returned last.
+  /// The newest release that has begun, if its state differs from the one returned last.
   std::optional<Update> next_update(TimePoint now);
 
-  /// Whether all releases have been listed once.
+  /// Whether a complete list of the releases was received.
   bool synced() const { return synced_; }
   std::int64_t version() const { return version_; }
   /// Identifies the sequence that the versions belong to.
@@ -44,7 +46,7 @@
   struct KnownRelease {
     ReleaseUpdate release{};
     bool begun = false;
-    TimePoint since{};  // when its state began, by this process's clock
+    TimePoint since{};  // when its state began, on this process's clock
     std::int64_t version = 0;
   };
   Line read_line(const std::string& line, TimePoint now);
@@ -53,11 +55,11 @@
   static KnownRelease read_release(const json::Value& event, TimePoint now);
 
   std::map<std::string, KnownRelease> known_{};     // by name
-  std::map<std::string, KnownRelease> incoming_{};  // what an answer that begins anew has listed
+  std::map<std::string, KnownRelease> incoming_{};  // the initial list, while it is received
   std::int64_t version_ = 0;
   std::string series_{};
   bool synced_ = false;
-  bool listing_ = true;  // the answer has not come to its first bookmark
+  bool listing_ = true;  // the bookmark after the initial list was not received yet
   std::optional<KnownRelease> current_{};
   std::string current_name_{};
 };
--- a/src/releases/release.h
+++ b/src/releases/release.h
@@ -1,8 +1,8 @@
-/// The release object of the API. Plain data, free of I/O and clocks; shares are 0 to 1.
+/// The release object of the API. Plain data; shares range from 0 to 1.
 ///
-/// Like a Kubernetes object it has metadata (name, uid, generation, version, labels, finalizers), a
-/// spec that its author writes and a status that only the controller writes. The generation grows
-/// with the spec, the version with every change.
+/// Like a Kubernetes object, it has metadata (name, uid, generation, version, labels, finalizers),
+/// a spec written by its author and a status written only by the controller. The generation
+/// increases with each change of the spec, the version with every change.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -16,10 +16,10 @@
 
 using objects::WallMillis;
 
-/// Present until the last machine of a release is gone; a deleted release stays until then.
+/// The finalizer that keeps a deleted release until its last machine is gone.
 inline constexpr const char* machines_finalizer = "robinhoist/machines-run";
 
-/// One aspect of a release's state, in the sense of Kubernetes' conditions.
+/// One aspect of a release's state, like a Kubernetes condition.
 struct Condition {
   std::string type{};
   std::string reason{};
@@ -29,20 +29,20 @@
   bool operator==(const Condition&) const = default;
 };
 
-/// How far a release has come in a stage.
+/// The progress of a release in one stage.
 enum class StageState { done, running, next, waiting_for_steps, not_reached, rolled_back };
 
-/// A stage of the rollout as a release has passed it, or will.
+/// One stage of a release's rollout.
 struct StageStatus {
-  /// Of the slots that run the release.
+  /// The share of the slots that run the release.
   double share = 0;
-  /// Of a proxy's requests that may go to it.
+  /// The share of a proxy's requests that may go to the release.
   double cap = 0;
   StageState state = StageState::not_reached;
   bool operator==(const StageStatus&) const = default;
 };
 
-/// A proxy's vote, and the stage and cap that it has acknowledged to go by.
+/// A proxy's vote, and the stage and cap that it has acknowledged.
 struct ProxyStatus {
   std::string proxy{};
   Verdict vote = Verdict::none;
@@ -60,32 +60,32 @@
   bool operator==(const StepStatus&) const = default;
 };
 
-/// How the rollout of a release stands.
+/// The state of the rollout of a release.
 struct Status {
-  /// Nothing while the release is pending.
+  /// No value while the release is pending.
   std::optional<ReleasePhase> phase{};
   int stage = 0;
   double cap = 0;
   /// When the phase and stage began.
   WallMillis since{};
   bool held = false;
-  /// The reason of the last change.
+  /// The reason for the last change.
   std::string why{};
-  /// The generation of the spec that this status is of.
+  /// The generation of the spec that this status reflects.
   std::int64_t observed_generation = 0;
   int machines = 0;
   int machines_up = 0;
   std::vector<StageStatus> stages{};
   std::vector<ProxyStatus> proxies{};
-  /// In the order in which they run.
+  /// In execution order.
   std::vector<StepStatus> steps{};
   std::vector<Condition> conditions{};
 
-  /// Whether the rollout of the release has come to its end, one way or the other.
+  /// Whether the rollout of the release has ended, whatever its outcome.
   bool is_final() const {
     return phase == ReleasePhase::released || phase == ReleasePhase::rolled_back;
   }
-  /// Sets a condition; the time of its last transition changes only with its status.
+  /// Sets a condition. The time of its last transition changes only if its status changes.
   void set_condition(const Condition& condition, WallMillis now);
   bool operator==(const Status&) const = default;
 };
@@ -97,7 +97,7 @@
   std::int64_t generation = 1;
   std::int64_t version = 0;
   WallMillis created{};
-  /// When its deletion was asked for; the epoch: not at all.
+  /// When deletion was requested; the epoch if it was not.
   WallMillis deletion_requested{};
   objects::Fields labels{};
   std::vector<std::string> finalizers{};
--- a/src/releases/release_codec.cpp
+++ b/src/releases/release_codec.cpp
@@ -8,8 +8,8 @@
 namespace robinhoist::releases {
 namespace {
 
-// The names of fields that differ from the terms used in the code. The others are written as they
-// are where they are read and written.
+// Field names that differ from the terms used in the code. All other names appear as literals where
+// they are read and written.
 namespace field {
 constexpr const char* stages = "waves";
 constexpr const char* proxies = "umpires";
@@ -57,7 +57,7 @@
   out.end_object();
 }
 
-// The part of the status that proxies go by.
+// Writes the part of the status that proxies route by.
 void write_state(json::Writer& out, const Status& status) {
   out.put("phase", phase_name(status.phase));
   out.put("stage", status.stage);
@@ -136,7 +136,7 @@
   out.end_object();
 }
 
-// For decode(): times as numbers, which the RFC 3339 texts repeat.
+// Writes times as numbers for decode(), in addition to the RFC 3339 texts.
 void write_times(json::Writer& out, const Release& release) {
   out.begin_object(field::milliseconds);
   out.put("created", milliseconds(release.created));
@@ -166,7 +166,7 @@
   for (const auto& item : json::array(status, "conditions").GetArray()) {
     const auto index = static_cast<rapidjson::SizeType>(conditions.size());
     if (index >= transitions.Size())
-      throw json::DecodeError("field ms.conditions is too short");
+      throw json::DecodeError("field ms.conditions has fewer entries than status.conditions");
     Condition condition;
     condition.type = json::text(item, "type");
     condition.reason = json::text(item, "reason");
@@ -227,7 +227,8 @@
   out.begin_object();
   out.put("kind", "Release");
   out.put("apiVersion", "v1");
-  // Without versions: they grow with each change, also with one that this part does not show.
+  // Versions are left out because they increase with every change, including changes that are not
+  // part of this view.
   out.begin_object("metadata").put("name", release.name).put("uid", release.uid).end_object();
   out.begin_object("spec").put("build", release.build).end_object();
   out.begin_object("status");
--- a/src/releases/release_codec.h
+++ b/src/releases/release_codec.h
@@ -1,4 +1,4 @@
-/// Release objects as JSON, for clients, watches and the journal.
+/// Encodes release objects as JSON for clients, watches and the journal, and decodes them.
 #pragma once
 #include <string>
 
@@ -7,27 +7,27 @@
 
 namespace robinhoist::releases {
 
-/// The whole object.
+/// Encodes the complete object.
 std::string encode(const Release& release);
 
-/// Without what changes with each proxy's report: votes, acknowledgements, conditions.
+/// Encodes the object without the parts that change with each report of a proxy: votes,
+/// acknowledgements and conditions.
 std::string encode_brief(const Release& release);
 
-/// Reads what encode() gave, as far as the controller needs it after a restart: stages, proxies and
-/// steps of the status are left out. Throws json::DecodeError.
+/// Decodes the output of encode() to the extent that the controller needs after a restart: the
+/// stages, proxies and steps of the status are not restored. Throws json::DecodeError.
 Release decode(const std::string& text);
 
-/// The name of a phase in the API; nothing is a release that is pending.
+/// The API name of a phase; no value stands for a pending release.
 const char* phase_name(const std::optional<ReleasePhase>& phase);
 
-/// Reads the field `phase` of a status; nothing for a release that is pending. Throws
-/// json::DecodeError.
+/// Decodes the field `phase` of a status; no value for a pending release. Throws json::DecodeError.
 std::optional<ReleasePhase> decode_phase(const json::Value& status);
 
-/// The object as the store and watches have it.
+/// Creates the snapshot of an object for the store and watches.
 objects::SnapshotPtr make_snapshot(const Release& release);
 
-/// A time as in RFC 3339, in UTC with milliseconds; empty for the epoch.
+/// Formats a time according to RFC 3339, in UTC with milliseconds; empty for the epoch.
 std::string rfc3339(WallMillis time);
 
 }  // namespace robinhoist::releases
--- a/src/releases/release_input.cpp
+++ b/src/releases/release_input.cpp
@@ -23,7 +23,7 @@
 constexpr const char* build_pointer = "/spec/build";
 constexpr const char* description_pointer = "/spec/description";
 
-// A name as a part of a JSON pointer.
+// Escapes a name for use in a JSON pointer.
 std::string escaped(std::string_view name) {
   std::string text;
   for (const char c : name) {
@@ -37,7 +37,7 @@
   return text;
 }
 
-// How deep a value is nested; counts no further than `limit`.
+// The nesting depth of a value, counted up to `limit`.
 int depth_of(const json::Value& value, int limit) {
   if (limit == 0)
     return 1;
@@ -55,7 +55,7 @@
   return {value.GetString(), value.GetStringLength()};
 }
 
-// Null when the object has no such member.
+// Returns null if the object has no such member.
 const json::Value* find(const json::Value& object, const char* name) {
   const auto found = object.FindMember(name);
   return found == object.MemberEnd() ? nullptr : &found->value;
@@ -63,7 +63,7 @@
 
 enum class LabelNulls { reject, remove };
 
-// Reads fields of a body and collects what is wrong with them.
+// Reads fields of a request body and collects validation errors.
 class Validator {
  public:
   const std::vector<FieldError>& errors() const { return errors_; }
@@ -72,7 +72,7 @@
     errors_.push_back({std::move(pointer), std::move(detail)});
   }
 
-  // The member that holds an object; null when it is absent or, which is an error, no object.
+  // Returns a member that is an object; null if it is absent or not an object, which is an error.
   const json::Value* object(const json::Value& parent, const char* name) {
     const json::Value* value = find(parent, name);
     if (value && !value->IsObject()) {
@@ -82,16 +82,16 @@
     return value;
   }
 
-  // Checks that an object has no other members, and none twice.
+  // Checks that an object has only the allowed members and no duplicates.
   void allow_only(const json::Value& object, const std::string& pointer,
                   std::initializer_list<const char*> allowed) {
     std::vector<std::string> seen;
     for (const auto& member : object.GetObject()) {
       const std::string name = text_of(member.name);
       if (std::find(allowed.begin(), allowed.end(), name) == allowed.end())
-        add_error(pointer + "/" + escaped(name), "is no field here");
+        add_error(pointer + "/" + escaped(name), "is not a known field");
       if (std::find(seen.begin(), seen.end(), name) != seen.end())
-        add_error(pointer + "/" + escaped(name), "is there twice");
+        add_error(pointer + "/" + escaped(name), "occurs twice");
       seen.push_back(name);
     }
   }
@@ -109,7 +109,7 @@
     return text_of(value);
   }
 
-  // The labels of a body added to `labels`. In a patch, null removes one.
+  // Adds the labels in a body to `labels`. With LabelNulls::remove, null removes a label.
   objects::Fields add_labels(const json::Value& value, objects::Fields labels, LabelNulls nulls) {
     if (!value.IsObject()) {
       add_error(labels_pointer, "is not an object");
@@ -128,15 +128,15 @@
     return labels;
   }
 
-  // Checks that a field that can't be changed is absent or as it is.
+  // Checks that a read-only field is absent or unchanged.
   void require_unchanged(const json::Value& object, const char* name,
-                         const std::string& parent_pointer, const std::string& present) {
+                         const std::string& parent_pointer, const std::string& current) {
     const json::Value* value = find(object, name);
     if (!value)
       return;
     const bool same = value->IsString()
-                          ? present == value->GetString()
-                          : value->IsInt64() && present == std::to_string(value->GetInt64());
+                          ? current == value->GetString()
+                          : value->IsInt64() && current == std::to_string(value->GetInt64());
     if (!same)
       add_error(parent_pointer + "/" + name, "can't be changed");
   }
@@ -145,7 +145,7 @@
   bool check_label(const std::string& name, const json::Value& value) {
     const std::string pointer = std::string(labels_pointer) + "/" + escaped(name);
     if (!objects::is_label_name(name)) {
-      add_error(pointer, "is no name that a label can have");
+      add_error(pointer, "is not a valid label name");
       return false;
     }
     if (!value.IsString()) {
@@ -153,7 +153,7 @@
       return false;
     }
     if (!objects::is_label_value(value.GetString())) {
-      add_error(pointer, "is no value that a label can have");
+      add_error(pointer, "is not a valid label value");
       return false;
     }
     return true;
@@ -169,7 +169,7 @@
     const bool is_text = value->IsString() && value->GetStringLength() <= max_name_size;
     if (is_text && !objects::is_object_name(release.name))
       validator.add_error(name_pointer,
-                          "is not made of a-z, 0-9 and dashes, with no dash at either end");
+                          "must consist of a-z, 0-9 and dashes, without a dash at either end");
   }
   if (const json::Value* value = find(metadata, "labels"))
     release.labels = validator.add_labels(*value, {}, LabelNulls::reject);
@@ -197,7 +197,7 @@
   char* end = nullptr;
   const std::int64_t version = std::strtoll(text->c_str(), &end, 10);
   if (text->empty() || *end != '\0')
-    validator.add_error(version_pointer, "is no version");
+    validator.add_error(version_pointer, "is not a version");
   return version;
 }
 
@@ -232,9 +232,9 @@
 
 rapidjson::Document parse_document(std::string_view text) {
   rapidjson::Document document = json::parse_object(text);
-  // Protects whoever walks a document by recursion.
+  // Limits the stack depth of code that traverses a document recursively.
   if (depth_of(document, max_depth + 1) > max_depth)
-    throw json::DecodeError("nested deeper than " + std::to_string(max_depth));
+    throw json::DecodeError("nested deeper than " + std::to_string(max_depth) + " levels");
   return document;
 }
 
--- a/src/releases/release_input.h
+++ b/src/releases/release_input.h
@@ -1,4 +1,4 @@
-/// What clients send to create or change a release, read and checked field by field.
+/// Parses and validates the request bodies that create or change a release.
 #pragma once
 #include <rapidjson/document.h>
 
@@ -12,23 +12,23 @@
 
 namespace robinhoist::releases {
 
-/// Reads a JSON object as strictly as the API needs. Throws json::DecodeError on bad syntax or
-/// encoding, on numbers out of range, and on nesting too deep to be meant.
+/// Parses a JSON object strictly. Throws json::DecodeError on invalid syntax or encoding, on
+/// numbers out of range, and on excessive nesting.
 rapidjson::Document parse_document(std::string_view text);
 
-/// The release that `{metadata: {name, labels}, spec: {build, description}}` asks for; its name is
-/// made from the build when it is left out. Throws RequestError with all that is wrong.
+/// Parses `{metadata: {name, labels}, spec: {build, description}}` as a new release. If the name is
+/// absent, it is derived from the build. Throws RequestError with all errors found.
 Release parse_creation(const json::Value& body);
 
 /// A release with a merge patch (RFC 7396) applied.
 struct PatchedRelease {
   Release release;
-  /// The metadata.resourceVersion that the patch names.
+  /// The metadata.resourceVersion in the patch.
   std::optional<std::int64_t> expected_version;
 };
 
-/// Applies a patch. What a client may not write must be left out of it or be as it is. Throws
-/// RequestError with all that is wrong.
+/// Applies a patch. Read-only fields must be absent from the patch or unchanged. Throws
+/// RequestError with all errors found.
 PatchedRelease apply_patch(const Release& release, const json::Value& patch);
 
 }  // namespace robinhoist::releases
--- a/src/releases/request_error.h
+++ b/src/releases/request_error.h
@@ -1,5 +1,5 @@
-/// Why a request on releases is rejected. Made by the functions below alone, thrown by the catalog
-/// and by what reads the requests' bodies, and answered as problem+json at the edge of the API.
+/// Errors of requests on releases. They are created only by the functions below, thrown by the
+/// catalog and the parsers of request bodies, and converted by ApiServer to problem+json responses.
 #pragma once
 #include <cstdint>
 #include <stdexcept>
@@ -10,13 +10,13 @@
 
 struct Release;
 
-/// What is wrong with one field of a body: a JSON pointer (RFC 6901) and the reason.
+/// An error in one field of a request body: a JSON pointer (RFC 6901) and the reason.
 struct FieldError {
   std::string pointer;
   std::string detail;
 };
 
-/// A request that is rejected; what() is the detail for the client.
+/// A rejected request; what() is the detail for the client.
 class RequestError : public std::runtime_error {
  public:
   enum class Kind { not_found, conflict, invalid };
@@ -27,11 +27,11 @@
   Kind kind;
   std::string title;
   std::vector<FieldError> field_errors{};
-  /// With a conflict: the version that the object has; else 0.
-  std::int64_t present_version = 0;
+  /// For a conflict, the current version of the object; otherwise 0.
+  std::int64_t current_version = 0;
 };
 
-RequestError no_such_release(const std::string& name);
+RequestError release_not_found(const std::string& name);
 RequestError version_conflict(const Release& release, std::int64_t expected);
 RequestError name_taken(const Release& release);
 RequestError invalid_release(std::vector<FieldError> errors);
--- a/tests/api_fixture.h
+++ b/tests/api_fixture.h
@@ -1,4 +1,5 @@
-/// A controller on loopback for tests of its API, with plain HTTP requests and watches against it.
+/// A controller on loopback for tests of its API, with functions that send requests and open
+/// watches.
 #pragma once
 #include <Poco/Net/StreamSocket.h>
 #include <gtest/gtest.h>
@@ -17,7 +18,7 @@
 
 namespace robinhoist::tests {
 
-/// The answer to a request; its status is 0 when none came.
+/// The response to a request; its status is 0 if there was none.
 struct Answer {
   int status = 0;
   std::string text{};
@@ -33,16 +34,16 @@
   }
 };
 
-/// What has come of a watch.
+/// What a watch has received.
 struct WatchRecord {
   std::unique_ptr<http::StreamClient> client{};
   std::string received{};
-  int status = -1;  // once it has ended
+  int status = -1;  // the HTTP status, set when the watch has ended
   std::string last_body{};
 };
 
-/// A controller of four slots whose machines come up and stop as commanded, on a loop of its own.
-/// It can be ended and started again on the same port and journal.
+/// A controller with four slots whose machines start and stop as commanded, on its own loop. It can
+/// be restarted on the same port and journal.
 class ApiServerFixture {
  public:
   ApiServerFixture() {
@@ -62,9 +63,9 @@
   ApiServerFixture& operator=(const ApiServerFixture&) = delete;
 
   net::Loop& loop() { return loop_; }
-  /// More settings of the controller, to be set before it starts.
+  /// Adds settings of the controller. Must be called before start().
   void set_extra_settings(const std::string& text) { extra_settings_ = text; }
-  /// Called on the loop's thread after each change was written to disk.
+  /// Sets a hook that is called on the loop's thread after each change is written to disk.
   void set_persisted_hook(std::function<void()> hook) { persisted_hook_ = std::move(hook); }
 
   void start() {
@@ -80,7 +81,7 @@
 
   Poco::Net::StreamSocket connect() const { return Poco::Net::StreamSocket(address()); }
 
-  /// Sends a request on a connection of its own. `headers` are whole lines.
+  /// Sends a request on a new connection. `headers` consists of complete header lines.
   Answer request(const std::string& method, const std::string& path, const std::string& body = "",
                  const std::string& headers = "") const {
     Answer answer;
@@ -108,7 +109,7 @@
     return answer;
   }
 
-  /// Opens a watch under a name of the test's.
+  /// Opens a watch that later calls refer to by `name`.
   void open_watch(const std::string& name, const std::string& path, const std::string& token = "") {
     loop_.call([&] {
       auto watch = std::make_unique<WatchRecord>();
@@ -136,7 +137,7 @@
   void close_watch(const std::string& name) {
     loop_.call([&] { watches_.erase(name); });
   }
-  /// A copy of what a watch has received.
+  /// A copy of the text that a watch has received.
   std::string received(const std::string& name) {
     std::string text;
     loop_.call([&] { text = watches_.at(name)->received; });
--- a/tests/api_history.h
+++ b/tests/api_history.h
@@ -1,8 +1,8 @@
-/// A history of concurrent clients and watches of the API, and the check whether one order explains
-/// all of it: the order of versions. Every watch must have seen exactly that order, every write
-/// that was confirmed must be in it with its content, operations that did not overlap must be in it
-/// as they followed each other, and a read must give a version that was the present one at some
-/// time between its begin and its end.
+/// A history of concurrent clients and watches of the API, and a check that the order of versions
+/// explains all of it. Every watch must have received exactly that order, every confirmed write
+/// must be in it with its content, and operations that did not overlap must be in it in the order
+/// in which they were executed. A read must return a version that was current at some time between
+/// its begin and its end.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -16,35 +16,35 @@
 
 enum class OperationKind { write, read, other };
 
-/// A request and what was answered. Times are of the test's loop.
+/// A request and its result. Times are those of the test's loop.
 struct Operation {
   OperationKind kind = OperationKind::other;
   std::string name{};
-  /// The label by which a write is told from all others.
-  std::string mark{};
+  /// The unique value of the label `mark` that identifies a write.
+  std::string write_id{};
   TimePoint begin{};
   TimePoint end{};
   std::int64_t version = 0;
   bool succeeded = false;
 };
 
-/// A change as a watch has seen it.
+/// A change as received by a watch.
 struct WatchedChange {
   std::int64_t version = 0;
   std::string type{};
   std::string name{};
-  std::string mark{};
+  std::string write_id{};
   bool operator==(const WatchedChange&) const = default;
 };
 
 struct ApiHistory {
   std::vector<Operation> operations{};
   std::vector<std::vector<WatchedChange>> watches{};
-  /// How often the controller ended and was started again.
+  /// How often the controller was restarted.
   int restarts = 0;
 };
 
-/// A chunked body as it was before; what follows a chunk that is not whole is left out.
+/// Decodes a chunked body. The rest of the body after an incomplete chunk is left out.
 inline std::string dechunked(const std::string& chunked) {
   std::string body;
   for (std::size_t at = 0; at < chunked.size();) {
@@ -60,7 +60,7 @@
   return body;
 }
 
-/// The changes in the chunked body of a watch; half a line at the end is none.
+/// Parses the changes in the chunked body of a watch. An incomplete last line is ignored.
 inline std::vector<WatchedChange> read_changes(const std::string& chunked) {
   const std::string body = dechunked(chunked);
   std::vector<WatchedChange> changes;
@@ -79,14 +79,15 @@
   return changes;
 }
 
-/// Looks for contradictions in a history. Each check returns what is wrong, or an empty text.
+/// Searches a history for contradictions. Each check returns a description of the first one, or an
+/// empty text.
 class HistoryChecker {
  public:
   explicit HistoryChecker(const ApiHistory& history) : history_(history) {}
 
   std::string check() {
     if (history_.watches.empty())
-      return "nobody watched";
+      return "the history has no watches";
     choose_order();
     for (const auto& problem : {check_versions(), check_watches()})
       if (!problem.empty())
@@ -98,10 +99,10 @@
   }
 
  private:
-  // A watch may miss so many of the last changes, for it was ended before them.
+  // A watch may miss up to this many of the last changes, which were made after it ended.
   static constexpr std::size_t max_missed_at_end = 50;
 
-  // The longest watch has the order that the others must have too.
+  // The order of the longest watch is the reference for the others.
   void choose_order() {
     order_ = &history_.watches[0];
     for (const auto& watch : history_.watches)
@@ -115,7 +116,7 @@
     for (std::size_t i = 0; i < order_->size(); ++i) {
       const std::int64_t version = (*order_)[i].version;
       if (version != static_cast<std::int64_t>(i) + 1)
-        return "version " + std::to_string(version) + " in place " + std::to_string(i + 1);
+        return "version " + std::to_string(version) + " at position " + std::to_string(i + 1);
     }
     return "";
   }
@@ -124,10 +125,10 @@
     for (const auto& watch : history_.watches)
       for (std::size_t i = 0; i < watch.size(); ++i)
         if (!(watch[i] == (*order_)[i]))
-          return "a watcher saw another order at " + std::to_string(i + 1);
+          return "a watch received a different order at position " + std::to_string(i + 1);
     for (const auto& watch : history_.watches)
       if (watch.size() + max_missed_at_end < order_->size())
-        return "a watcher missed the end";
+        return "a watch missed the end";
     return "";
   }
 
@@ -137,20 +138,20 @@
     const auto found = by_version_.find(operation.version);
     const std::string version = "version " + std::to_string(operation.version);
     if (found == by_version_.end())
-      return version + " was answered and never told";
+      return version + " was returned in a response, but no watch received it";
     if (found->second->name != operation.name)
-      return version + " is of another release";
+      return version + " belongs to another release";
     if (operation.kind == OperationKind::write && !is_written(operation))
-      return "a confirmed write of " + operation.name + " (" + operation.mark + ") stands nowhere";
+      return "a confirmed write of " + operation.name + " (" + operation.write_id + ") is missing";
     return "";
   }
 
-  // The answer may give a later version of the object, with a later change in it: the write is in
-  // the order at or before that version.
+  // The response may contain a later version of the object, which includes a later change. The
+  // write must therefore be at or before that version.
   bool is_written(const Operation& write) const {
     const auto end = by_version_.upper_bound(write.version);
     return std::any_of(by_version_.begin(), end, [&](const auto& each) {
-      return each.second->name == write.name && each.second->mark == write.mark;
+      return each.second->name == write.name && each.second->write_id == write.write_id;
     });
   }
 
@@ -159,7 +160,7 @@
       for (const Operation& after : history_.operations)
         if (contradict(before, after))
           return "a later " + std::string(after.kind == OperationKind::read ? "read" : "write") +
-                 " of " + after.name + " gave version " + std::to_string(after.version) +
+                 " of " + after.name + " returned version " + std::to_string(after.version) +
                  " after " + std::to_string(before.version);
     return "";
   }
@@ -174,7 +175,7 @@
   std::map<std::int64_t, const WatchedChange*> by_version_{};
 };
 
-/// What contradicts that one order explains the history; empty when nothing does.
+/// The first contradiction in a history; empty if one order explains all of it.
 inline std::string contradiction(const ApiHistory& history) {
   return HistoryChecker(history).check();
 }
--- a/tests/api_history_run.h
+++ b/tests/api_history_run.h
@@ -1,5 +1,6 @@
-/// Makes a history of the API: clients create, patch, delete and read releases, watches break off
-/// and resume, and the controller ends now and then right after it has written a change to disk.
+/// Records a history of the API: clients create, patch, delete and read releases, watches end and
+/// resume, and the controller is restarted periodically after it has written a change to disk but
+/// before it has published the change.
 #pragma once
 #include <Poco/ErrorHandler.h>
 
@@ -16,8 +17,8 @@
 
 namespace robinhoist::tests {
 
-/// How long a run lasts: `min_duration` at least, and from then on until the controller has
-/// restarted more than `min_restarts` times, but no longer than `max_duration`.
+/// The length of a run: at least `min_duration`, then until the controller has restarted more than
+/// `min_restarts` times, but at most `max_duration`.
 struct HistoryRunLimits {
   Duration min_duration;
   int min_restarts;
@@ -33,15 +34,15 @@
 
   ApiHistory run() {
     server_.set_extra_settings(" (history 100000)");
-    server_.set_persisted_hook([this] { end_controller_now_and_then(); });
+    server_.set_persisted_hook([this] { crash_controller_periodically(); });
     server_.start();
     std::vector<std::thread> threads;
     for (unsigned client = 0; client < clients; ++client)
       threads.emplace_back([this, client] { run_client(client); });
     for (int watch = 0; watch < watches; ++watch)
       threads.emplace_back([this] { run_watch(); });
-    wait_until_over();
-    over_ = true;
+    wait_until_finished();
+    finished_ = true;
     for (std::thread& thread : threads)
       thread.join();
     history_.restarts = restarts_;
@@ -53,8 +54,8 @@
   static constexpr int watches = 3;
   static constexpr int writes_per_restart = 37;
 
-  // What ends the controller between a change's being written and its being published.
-  struct ControllerEnded : std::exception {};
+  // Thrown to stop the controller between writing and publishing a change.
+  struct ControllerCrash : std::exception {};
   struct QuietErrorHandler : Poco::ErrorHandler {
     void exception(const Poco::Exception&) override {}
     void exception(const std::exception&) override {}
@@ -62,19 +63,19 @@
   };
 
   // Runs on the loop's thread.
-  void end_controller_now_and_then() {
-    if (ending_ || ++writes_ % writes_per_restart != 0)
+  void crash_controller_periodically() {
+    if (restart_pending_ || ++writes_ % writes_per_restart != 0)
       return;
-    ending_ = true;
+    restart_pending_ = true;
     ++restarts_;
     server_.loop().in(Duration(500), [this] {
-      ending_ = false;
+      restart_pending_ = false;
       server_.restart_on_loop();
     });
-    throw ControllerEnded();
+    throw ControllerCrash();
   }
 
-  void wait_until_over() const {
+  void wait_until_finished() const {
     const auto start = std::chrono::steady_clock::now();
     const auto lasted = [&] { return std::chrono::steady_clock::now() - start; };
     std::this_thread::sleep_for(limits_.min_duration);
@@ -84,19 +85,19 @@
 
   void run_client(unsigned client) {
     std::minstd_rand random(client + 5);
-    for (int n = 0; !over_; ++n) {
-      const std::string mark = std::to_string(client) + "." + std::to_string(n);
-      const Operation operation = random_operation(random, mark);
+    for (int n = 0; !finished_; ++n) {
+      const std::string write_id = std::to_string(client) + "." + std::to_string(n);
+      const Operation operation = random_operation(random, write_id);
       std::lock_guard lock(mutex_);
       history_.operations.push_back(operation);
     }
   }
 
-  Operation random_operation(std::minstd_rand& random, const std::string& mark) {
+  Operation random_operation(std::minstd_rand& random, const std::string& write_id) {
     Operation operation;
     const unsigned builds = static_cast<unsigned>(std::max(1, newest_build_.load()));
     operation.name = "build-" + std::to_string(1 + random() % builds);
-    operation.mark = mark;
+    operation.write_id = write_id;
     const unsigned kind = random() % 10;
     operation.begin = server_.loop().now();
     Answer answer;
@@ -121,13 +122,13 @@
     operation.name = "build-" + build;
     operation.kind = OperationKind::write;
     return server_.request("POST", "/v1/releases",
-                           R"({"metadata":{"labels":{"mark":")" + operation.mark +
+                           R"({"metadata":{"labels":{"mark":")" + operation.write_id +
                                R"("}},"spec":{"build":)" + build + "}}");
   }
   Answer patch(Operation& operation) {
     operation.kind = OperationKind::write;
     return server_.request("PATCH", "/v1/releases/" + operation.name,
-                           R"({"metadata":{"labels":{"mark":")" + operation.mark + R"("}}})");
+                           R"({"metadata":{"labels":{"mark":")" + operation.write_id + R"("}}})");
   }
   Answer remove(Operation& operation) {
     operation.kind = OperationKind::other;
@@ -138,12 +139,12 @@
     return server_.request("GET", "/v1/releases/" + operation.name);
   }
 
-  // Each response ends after a second; the next resumes from the last version seen.
+  // Each response ends after a second; the next request resumes from the last version received.
   void run_watch() {
     std::vector<WatchedChange> changes;
     std::int64_t version = 0;
     while (true) {
-      const bool last = over_;
+      const bool last = finished_;
       const Answer answer =
           server_.request("GET", "/v1/releases?watch=1&resourceVersion=" + std::to_string(version) +
                                      "&timeoutSeconds=1");
@@ -159,11 +160,11 @@
   }
 
   HistoryRunLimits limits_;
-  std::atomic<bool> over_ = false;
+  std::atomic<bool> finished_ = false;
   std::atomic<int> newest_build_ = 1;
   std::atomic<int> restarts_ = 0;
-  int writes_ = 0;       // on the loop's thread
-  bool ending_ = false;  // on the loop's thread
+  int writes_ = 0;                // on the loop's thread
+  bool restart_pending_ = false;  // on the loop's thread
   std::mutex mutex_{};
   ApiHistory history_{};
   ApiServerFixture server_{};
--- a/tests/api_test.cpp
+++ b/tests/api_test.cpp
@@ -1,5 +1,5 @@
-/// The API on loopback: the scenarios of tests/api, watches, and a history of concurrent clients
-/// that must have one order that explains it.
+/// Tests of the API over loopback: the scripts in tests/api, watches, and a consistency check of
+/// the history of concurrent clients.
 #include <fstream>
 #include <set>
 
@@ -24,7 +24,7 @@
   return text.find(part) != std::string::npos;
 }
 
-// Asks until it holds, for three seconds.
+// Polls a condition for up to three seconds.
 template <class Condition>
 bool eventually(Condition condition) {
   for (int i = 0; i < 300; ++i) {
@@ -42,7 +42,7 @@
   void step(const Words& words) {
     const auto found = steps().find(words[0]);
     if (found == steps().end())
-      throw std::runtime_error("no such line");
+      throw std::runtime_error("unknown step: " + words[0]);
     Words filled = words;
     for (std::string& word : filled)
       word = with_saved_values(word);
@@ -87,7 +87,7 @@
   void use_token(const Words& words) { token_ = words[1]; }
   void add_header(const Words& words) { headers_ += words[1] + ": " + words[2] + "\r\n"; }
 
-  // METHOD PATH STATUS [BODY]
+  // Arguments: METHOD PATH STATUS [BODY]
   void request(const Words& words) {
     const std::string body = words.size() > 4 ? words[4] : "";
     answer_ = server_.request(words[1], words[2], body, headers_ + authorization());
@@ -95,7 +95,7 @@
     EXPECT_EQ(answer_.status, std::stoi(words[3])) << answer_.text;
   }
 
-  // PATH TEXT
+  // Arguments: PATH TEXT
   void request_until(const Words& words) {
     const bool found = eventually([&] {
       answer_ = server_.request("GET", words[1], "", authorization());
@@ -111,7 +111,7 @@
     EXPECT_FALSE(contains(answer_.text, words[1])) << answer_.text;
   }
 
-  // Saves the version of the last answer under a name.
+  // Saves the version in the last response under a name.
   void save_version(const Words& words) {
     const std::string tag = answer_.header("ETag");
     saved_[words[1]] = tag.substr(1, tag.size() - 2);
@@ -129,7 +129,7 @@
     EXPECT_FALSE(contains(received, words[2])) << received;
   }
 
-  // NAME STATUS TEXT
+  // Arguments: NAME STATUS TEXT
   void expect_watch_end(const Words& words) {
     EXPECT_TRUE(eventually([&] { return server_.watch_status(words[1]) >= 0; }));
     EXPECT_EQ(server_.watch_status(words[1]), std::stoi(words[2]));
@@ -152,8 +152,8 @@
 INSTANTIATE_TEST_SUITE_P(All, ApiScenario, testing::ValuesIn(tests::files_in(TESTS "/api", ".txt")),
                          tests::script_name);
 
-// docs/openapi.json and the server name the same paths and methods.
-TEST(Api, ServesWhatItsDescriptionNames) {
+// docs/openapi.json must describe exactly the paths and methods that the server serves.
+TEST(Api, ServesTheRoutesInItsOpenApiDescription) {
   ApiServerFixture server;
   server.start();
   const auto body = json::parse_object(server.request("GET", "/v1").body);
@@ -183,12 +183,12 @@
   return R"({"spec":{"description":")" + std::to_string(number) + std::string(4000, 'x') + "\"}}";
 }
 
-// What a socket has to give, up to a text.
-std::string receive_until(Poco::Net::StreamSocket& socket, const std::string& last) {
+// Reads from a socket until a text is received or the socket times out.
+std::string receive_until(Poco::Net::StreamSocket& socket, const std::string& end_text) {
   std::string text;
   char buffer[65536];
   socket.setReceiveTimeout(Poco::Timespan(5, 0));
-  while (!contains(text, last)) {
+  while (!contains(text, end_text)) {
     const int count = socket.receiveBytes(buffer, sizeof buffer);
     if (count <= 0)
       break;
@@ -204,7 +204,7 @@
   return count;
 }
 
-TEST(Watches, DropASlowClientAndSpareTheOthers) {
+TEST(Watches, DisconnectOnlyTheSlowClient) {
   ApiServerFixture server;
   server.start();
   server.open_watch("fast", "/v1/releases?watch=1");
@@ -224,12 +224,12 @@
   EXPECT_TRUE(eventually([&] { return contains(server.received("fast"), last_change); }));
   EXPECT_GE(count_of("\"description\":\"", server.received("fast")),
             static_cast<std::size_t>(patches));
-  // What the slow client reads at last ends with whole events and the reason.
+  // The response to the slow client ends with the reason for the disconnection.
   const std::string reason = "\"reason\":\"TooSlow\"";
   EXPECT_TRUE(contains(receive_until(slow, reason), reason));
 }
 
-TEST(Watches, LeaveNothingBehindWhenClientsComeAndGo) {
+TEST(Watches, AreRemovedWhenClientsDisconnect) {
   ApiServerFixture server;
   server.start();
   for (int i = 0; i < 10000; ++i) {
@@ -250,7 +250,7 @@
  protected:
   static constexpr int min_restarts = 3;
 
-  // What the checker says of a history with a change made to it.
+  // Applies a change to a copy of a history and returns the contradiction that the checker finds.
   template <class Change>
   static std::string contradiction_after(const tests::ApiHistory& history, Change change) {
     tests::ApiHistory changed = history;
@@ -258,8 +258,8 @@
     return tests::contradiction(changed);
   }
 
-  // Makes a read give a version that an earlier write had long replaced.
-  static void plant_stale_read(tests::ApiHistory& history) {
+  // Makes a read return a version that an earlier write had already replaced.
+  static void inject_stale_read(tests::ApiHistory& history) {
     using tests::OperationKind;
     for (auto& read : history.operations)
       for (const auto& write : history.operations) {
@@ -272,11 +272,11 @@
       }
   }
 
-  // Makes a confirmed write one that no watch has seen.
-  static void plant_lost_write(tests::ApiHistory& history) {
+  // Makes a confirmed write one that no watch has received.
+  static void inject_lost_write(tests::ApiHistory& history) {
     for (auto& operation : history.operations)
       if (operation.kind == tests::OperationKind::write && operation.succeeded) {
-        operation.mark = "never";
+        operation.write_id = "never";
         return;
       }
   }
@@ -293,7 +293,7 @@
   }
 };
 
-TEST_F(HistoryTest, HasOneOrderThatAllWatchesSaw) {
+TEST_F(HistoryTest, HasOneOrderThatAllWatchesReceived) {
   tests::HistoryRun run({.min_duration = 3s, .min_restarts = min_restarts, .max_duration = 60s});
   const tests::ApiHistory history = run.run();
   EXPECT_EQ(tests::contradiction(history), "");
@@ -301,7 +301,7 @@
   EXPECT_GT(history.restarts, min_restarts);
   std::printf("operations: %zu, changes: %zu, restarts of the controller: %d\n",
               history.operations.size(), history.watches[0].size(), history.restarts);
-  // The checker finds what is planted.
+  // The checker detects injected errors.
   EXPECT_NE(
       contradiction_after(history, [](auto& h) { h.watches[1].erase(h.watches[1].begin() + 20); }),
       "")
@@ -313,9 +313,10 @@
   EXPECT_NE(
       contradiction_after(history, [](auto& h) { h.watches[0].push_back(h.watches[0].back()); }),
       "")
-      << "an event seen twice";
-  EXPECT_NE(contradiction_after(history, plant_stale_read), "") << "a stale read";
-  EXPECT_NE(contradiction_after(history, plant_lost_write), "") << "a write that nobody saw";
+      << "a duplicate event";
+  EXPECT_NE(contradiction_after(history, inject_stale_read), "") << "a stale read";
+  EXPECT_NE(contradiction_after(history, inject_lost_write), "")
+      << "a write that no watch received";
 }
 
 }  // namespace
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -1,5 +1,5 @@
-/// Who counts among the proxies (the scenarios of tests/members), what a proxy makes of a watch
-/// (tests/follower), and selectors.
+/// Tests of the membership of proxies (scripts in tests/members), of the proxy's side of a release
+/// watch (scripts in tests/follower), and of selectors.
 #include <memory>
 #include <string>
 
@@ -23,7 +23,7 @@
 class MembershipScenario : public testing::TestWithParam<std::string> {
  protected:
   void step(const Words& words) {
-    if (words[0] == "settings") {  // EXPECTED LEASE_MS MEMORY_MS
+    if (words[0] == "settings") {  // EXPECTED LEASE_MS RETENTION_MS
       membership_ = std::make_unique<membership::Membership>(membership::Settings{
           std::stoi(words[1]), milliseconds(words[2]), milliseconds(words[3])});
     } else if (words[0] == "heard") {
@@ -44,12 +44,12 @@
       const int count = measure(words[1]);
       EXPECT_TRUE(tests::compare(count, words[2], std::stod(words[3]))) << count;
     } else {
-      throw std::runtime_error("no such line");
+      throw std::runtime_error("unknown step: " + words[0]);
     }
   }
 
  private:
-  // NAME SESSION CAP VERSION, and the cap that it then has
+  // Arguments: NAME INCARNATION CAP VERSION EXPECTED_CAP
   void acknowledge(const Words& words) {
     membership_->acknowledge(words[1], words[2],
                              {2, 0, std::stod(words[3]), std::stol(words[4]), now_});
@@ -75,7 +75,7 @@
                          testing::ValuesIn(tests::files_in(TESTS "/members", ".txt")),
                          tests::script_name);
 
-// --- What a proxy makes of a watch
+// --- Follower
 
 class FollowerScenario : public testing::TestWithParam<std::string> {
  protected:
@@ -90,7 +90,7 @@
       const std::string line = watch_line(words);
       body_ += line.substr(0, line.size() / 2);
       consume_line("none");
-    } else if (words[0] == "bytes") {  // TEXT RESULT
+    } else if (words[0] == "bytes") {  // TEXT EXPECTED_RESULT
       body_ += words[1];
       consume_line(words[2]);
     } else if (words[0] == "run") {
@@ -100,12 +100,12 @@
     } else if (words[0] == "version") {
       EXPECT_EQ(follower_.version(), std::stol(words[1]));
     } else {
-      throw std::runtime_error("no such line");
+      throw std::runtime_error("unknown step: " + words[0]);
     }
   }
 
  private:
-  // A line as the controller writes it, from TYPE VERSION AGE_MS NAME BUILD STAGE PHASE CAP.
+  // A watch line as sent by the controller, from TYPE VERSION AGE_MS NAME BUILD STAGE PHASE CAP.
   static std::string watch_line(const Words& words) {
     const std::string& type = words[1];
     const std::string& version = words[2];
@@ -122,7 +122,7 @@
     EXPECT_EQ(names[static_cast<int>(follower_.consume_line(body_, now_))], expected);
   }
 
-  // none | BUILD STAGE PHASE CAP SINCE_MS
+  // Arguments: none, or BUILD STAGE PHASE CAP SINCE_MS
   void expect_update(const Words& words) {
     const auto update = follower_.next_update(now_);
     if (words[1] == "none") {
@@ -162,7 +162,7 @@
   const objects::Fields fields_{{"status.phase", "trial"}};
 };
 
-TEST_F(SelectorTest, MatchesWhatItRequires) {
+TEST_F(SelectorTest, MatchesObjectsThatMeetAllRequirements) {
   for (const char* text : {"", "team", "team=front", "team==front", "team in (back, front)", "!old",
                            "tier notin (b),team", "zone!=x", "zone notin (x)"})
     EXPECT_TRUE(matches(text)) << text;
