--- a/src/controller/api_server.h
+++ b/src/controller/api_server.h
@@ -35,7 +35,7 @@
   const std::vector<Route>& routes() const { return routes_; }
 
   int port() const { return server_.port(); }
-  void break_connections() { server_.reset_connections(); }
+  void reset_connections() { server_.reset_connections(); }
 
  private:
   void handle(const http::ExchangePtr& exchange);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -66,7 +66,7 @@
   /// Simulates a failure of the controller as seen by the proxies. The rollout is suspended until
   /// the fault is removed.
   void inject_fault(Fault fault, double counted_votes);
-  void break_connections() { api_->break_connections(); }
+  void reset_connections() { api_->reset_connections(); }
 
  private:
   struct ActiveStage {
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -302,7 +302,7 @@
            at += from_seconds(std::max(0.02, size)))
         loop_.in(at, [this] {
           if (controller_)
-            controller_->break_connections();
+            controller_->reset_connections();
         });
       break;
     case Kind::controller_down:
