--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -37,7 +37,7 @@
   else if (root.has("day"))
     kind = "day", rh::day::read(root);
   else if (root.has("list"))
-    kind = "list", rh::controller::read_list(root);
+    kind = "list", rh::controller::read_registry_settings(root);
   else {
     std::cerr << file
               << ":1: holds none of (umpire ...), (controller ...), (list ...), (standin ...), "
@@ -205,7 +205,7 @@
     if (*controller)
       return rh::controller::run(rh::controller::read(root));
     if (*list)
-      return rh::controller::run_list(rh::controller::read_list(root));
+      return rh::controller::run_registry(rh::controller::read_registry_settings(root));
     if (*standin)
       return rh::standin::run(rh::standin::read(root));
   } catch (const rh::json::DecodeError& bad) {
--- a/src/controller/process.cpp
+++ b/src/controller/process.cpp
@@ -97,8 +97,8 @@
   });
 }
 
-ListSettings read_list(settings::SexpReader root) {
-  ListSettings settings;
+RegistrySettings read_registry_settings(settings::SexpReader root) {
+  RegistrySettings settings;
   settings::SexpReader form = root.child("list");
   settings.server.listen = form.text("listen");
   form.finish();
@@ -106,7 +106,7 @@
   return settings;
 }
 
-int run_list(const ListSettings& settings) {
+int run_registry(const RegistrySettings& settings) {
   return serve("list", [&](net::Loop& loop, const log::Logger&) {
     return std::make_unique<registry::Service>(loop, settings.server, new_series());
   });
--- a/src/controller/process.h
+++ b/src/controller/process.h
@@ -13,12 +13,12 @@
 int run(const Settings& settings);
 
 /// The settings of the endpoint registry.
-struct ListSettings {
+struct RegistrySettings {
   http::ServerSettings server{};
 };
 /// Reads the `list` section. Reports problems like read().
-ListSettings read_list(settings::SexpReader root);
+RegistrySettings read_registry_settings(settings::SexpReader root);
 /// Runs the endpoint registry until SIGTERM or SIGINT. Returns the exit status of the process.
-int run_list(const ListSettings& settings);
+int run_registry(const RegistrySettings& settings);
 
 }  // namespace robinhoist::controller
