--- a/src/controller/api_error.cpp
+++ b/src/controller/api_error.cpp
@@ -121,7 +121,7 @@
           "Idempotency-Key " + key + " was used with a different body"};
 }
 
-ApiError created_release_gone() {
+ApiError created_release_deleted() {
   return {410, "the release was deleted",
           "the release created with this idempotency key was deleted later"};
 }
--- a/src/controller/api_error.h
+++ b/src/controller/api_error.h
@@ -52,7 +52,7 @@
 ApiError version_expired();
 ApiError idempotency_key_reused(const std::string& key);
 /// A creation request is repeated after the release that it created was deleted.
-ApiError created_release_gone();
+ApiError created_release_deleted();
 /// The state of the release does not allow the action.
 ApiError wrong_state(const releases::Release& release);
 ApiError superseded(const std::string& detail);
--- a/src/controller/idempotent_creation.cpp
+++ b/src/controller/idempotent_creation.cpp
@@ -30,7 +30,7 @@
     throw idempotency_key_reused(std::string(request.http().headers.get(key_header)));
   const auto release = objects.find(earlier->name);
   http::Response response =
-      release ? object_response(*release, 201) : to_response(created_release_gone());
+      release ? object_response(*release, 201) : to_response(created_release_deleted());
   response.headers.add(replayed_header, "true");
   return response;
 }
--- a/src/controller/release_objects.cpp
+++ b/src/controller/release_objects.cpp
@@ -88,7 +88,7 @@
   // A release that was rolled back and has no object was deleted.
   if (!catalog_.find_build(current.build) && current.phase != ReleasePhase::rolled_back) {
     pending.drafts.push_back(catalog_.initial_release(current.build, random_id(), wall_clock_ms()));
-    pending.urgent = true;
+    pending.affects_routing = true;
   }
   for (const auto& [name, release] : catalog_.all()) {
     const bool is_finished = release.status.is_final() && release.build != current.build &&
@@ -99,8 +99,8 @@
     auto draft = catalog_.update_status(name, status_.build(release, now, wall_now), wall_now);
     if (!draft)
       continue;
-    if (catalog_.is_urgent(*draft))
-      pending.urgent = true;
+    if (catalog_.affects_routing(*draft))
+      pending.affects_routing = true;
     pending.drafts.push_back(std::move(*draft));
   }
   return pending;
@@ -116,7 +116,7 @@
   comparable.phase_age = Duration{};
   const std::string text = rollout::encode(comparable);
   const bool state_changed = text != written_state_;
-  const bool write_objects = pending.urgent || scope == Scope::all;
+  const bool write_objects = pending.affects_routing || scope == Scope::all;
 
   if (!write_objects && !pending.drafts.empty()) {
     schedule_update();
@@ -133,8 +133,8 @@
   commit(std::move(pending.drafts), {});
   written_state_ = text;
   // An object created by this commit may need a status update as well.
-  if (pending.urgent && scope == Scope::urgent)
-    if (PendingChanges more = pending_changes(); more.urgent)
+  if (pending.affects_routing && scope == Scope::routing)
+    if (PendingChanges more = pending_changes(); more.affects_routing)
       commit(std::move(more.drafts), {});
 }
 
--- a/src/controller/release_objects.h
+++ b/src/controller/release_objects.h
@@ -48,7 +48,7 @@
   /// Writes changes to the rollout's state and to the objects that affect routing by proxies at
   /// once; other changes are written after a short delay. Throws journal::JournalError, in which
   /// case nothing has changed.
-  void update() { update(Scope::urgent); }
+  void update() { update(Scope::routing); }
   /// Schedules the writing of all changes after a short delay.
   void schedule_update();
   /// Writes a draft together with the idempotency key of its request, and publishes it. Throws
@@ -66,10 +66,10 @@
   Watches& watches() { return *watches_; }
 
  private:
-  enum class Scope { urgent, all };
+  enum class Scope { routing, all };
   struct PendingChanges {
     std::vector<releases::Draft> drafts{};
-    bool urgent = false;
+    bool affects_routing = false;
   };
 
   void restore();
--- a/src/releases/catalog.cpp
+++ b/src/releases/catalog.cpp
@@ -139,7 +139,7 @@
   return Draft{gone ? objects::Change::deleted : objects::Change::modified, release};
 }
 
-bool Catalog::is_urgent(const Draft& draft) const {
+bool Catalog::affects_routing(const Draft& draft) const {
   const auto current = store_.find(draft.release.name);
   return draft.change != objects::Change::modified || !current ||
          current->brief != encode_brief(draft.release);
--- a/src/releases/catalog.h
+++ b/src/releases/catalog.h
@@ -62,7 +62,7 @@
   std::optional<Draft> update_status(const std::string& name, Status status, WallMillis now) const;
   /// Whether a draft changes the state that proxies route by. Other drafts may be batched and
   /// written later.
-  bool is_urgent(const Draft& draft) const;
+  bool affects_routing(const Draft& draft) const;
 
   /// Applies a draft that was written to disk, with the snapshot that was created from it.
   objects::Event commit(const Draft& draft, objects::SnapshotPtr snapshot);
