--- a/src/controller/release_routes.cpp
+++ b/src/controller/release_routes.cpp
@@ -49,7 +49,7 @@
   options.selector = std::move(selector);
   options.brief = request.query("view") == "brief";
   options.proxy = request.query("umpire");
-  if (!options.proxy.empty() && !may(request.caller.role, Role::proxy))
+  if (!options.proxy.empty() && !includes(request.caller.role, Role::proxy))
     throw forbidden("this token does not have the role to watch as a proxy");
   const std::string version = request.query("resourceVersion");
   const std::string timeout = request.query("timeoutSeconds");
