--- a/src/controller/api_error.cpp
+++ b/src/controller/api_error.cpp
@@ -130,7 +130,7 @@
   const std::string held = release.status.held ? ", held" : "";
   ApiError error{
       409, "the release is not in a state that allows the action",
-      std::string("the release is ") + releases::phase_name(release.status.phase) + held};
+      std::string("its phase is ") + releases::phase_name(release.status.phase) + held};
   error.current_version = release.version;
   return error;
 }
