--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -60,11 +60,11 @@
       break;
     }
     case Kind::bad_requests:
-      load_.poison(trouble.tenant.empty() ? -1 : d.tenant(trouble.tenant), trouble.size);
+      load_.poison(trouble.tenant.empty() ? -1 : d.tenant_index(trouble.tenant), trouble.size);
       at_end([this] { load_.poison(-1, 0); });
       break;
     case Kind::retry_abuse:
-      load_.abuse(d.tenant(trouble.tenant), static_cast<int>(trouble.size), trouble.extra);
+      load_.abuse(d.tenant_index(trouble.tenant), static_cast<int>(trouble.size), trouble.extra);
       at_end([this] { load_.abuse(-1, 0, 1); });
       break;
     default:
--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -94,7 +94,7 @@
   }
   if (is({Kind::slow_link, Kind::zone_cut})) {
     trouble.zone = form.text("zone");
-    if (day.deployment.zone(trouble.zone) < 0)
+    if (day.deployment.zone_index(trouble.zone) < 0)
       form.add_problem("zone", "is none of the deployment's");
   }
   if (is({Kind::bad_requests}))
@@ -104,7 +104,7 @@
     trouble.size = form.integer("tries", 1, 100);
     trouble.extra = form.number("patience", 0.01, 1);
   }
-  if (!trouble.tenant.empty() && day.deployment.tenant(trouble.tenant) < 0)
+  if (!trouble.tenant.empty() && day.deployment.tenant_index(trouble.tenant) < 0)
     form.add_problem("tenant", "is none of the deployment's");
   if (is({Kind::watch_breaks}))
     trouble.size = form.duration("every", 20ms, 1h).count() / 1e6;
@@ -140,7 +140,7 @@
   std::vector<bool> given(to.request_classes.size(), false);
   double sum = 0;
   for (SexpReader& one : form.children("product", 1)) {
-    const int p = day.deployment.request_class(one.positional(0, "a product"));
+    const int p = day.deployment.request_class_index(one.positional(0, "a product"));
     if (p < 0 || given[p]) {
       one.add_problem(p < 0 ? "is none of the deployment's products" : "given twice");
       continue;
--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -47,16 +47,16 @@
   });
 }
 
-int Deployment::request_class(std::string_view name) const {
+int Deployment::request_class_index(std::string_view name) const {
   return position_of(request_classes,
                      [&](const NamedRequestClass& named) { return named.name == name; });
 }
 
-int Deployment::tenant(std::string_view name) const {
+int Deployment::tenant_index(std::string_view name) const {
   return position_of(tenants, [&](const NamedTenant& named) { return named.name == name; });
 }
 
-int Deployment::zone(std::string_view name) const {
+int Deployment::zone_index(std::string_view name) const {
   return position_of(zones, [&](const std::string& zone) { return zone == name; });
 }
 
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -72,12 +72,12 @@
 
   rollout::Settings rollout{};
 
-  /// Position of the first request class that takes such a request; -1: none does.
+  /// Index of the first request class that accepts such a request, or -1 if none does.
   int match_request_class(std::string_view method, std::string_view path) const;
-  /// Position of the one with this name; -1: there is none.
-  int request_class(std::string_view name) const;
-  int tenant(std::string_view name) const;
-  int zone(std::string_view name) const;
+  /// Index of the entry with this name, or -1 if there is none.
+  int request_class_index(std::string_view name) const;
+  int tenant_index(std::string_view name) const;
+  int zone_index(std::string_view name) const;
 };
 
 /// Reads the keys of a (deployment ...) form. Problems are left with the form, whose finish()
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -100,11 +100,11 @@
       concentrate_load(fault);
       return true;
     case Kind::bad_requests:
-      load.poison(fault.tenant.empty() ? -1 : deployment.tenant(fault.tenant), fault.size);
+      load.poison(fault.tenant.empty() ? -1 : deployment.tenant_index(fault.tenant), fault.size);
       at_end(fault, [&load] { load.poison(-1, 0); });
       return true;
     case Kind::retry_abuse:
-      load.abuse(deployment.tenant(fault.tenant), static_cast<int>(fault.size), fault.extra);
+      load.abuse(deployment.tenant_index(fault.tenant), static_cast<int>(fault.size), fault.extra);
       at_end(fault, [&load] { load.abuse(-1, 0, 1); });
       return true;
     default:
--- a/src/emulator/simulated_proxy_updates.cpp
+++ b/src/emulator/simulated_proxy_updates.cpp
@@ -38,7 +38,7 @@
 }
 
 EndpointInfo SimulatedProxy::describe(const registry::Endpoint& endpoint, int index) const {
-  return registry::endpoint_info(endpoint, index, deployment_.zone(endpoint.zone),
+  return registry::endpoint_info(endpoint, index, deployment_.zone_index(endpoint.zone),
                                  digest(endpoint.name),
                                  wall_clock_zero + started_at_.time_since_epoch());
 }
--- a/src/machine/forms.cpp
+++ b/src/machine/forms.cpp
@@ -48,7 +48,7 @@
     if (to.flaw == Flaw::late)
       to.after = bad->duration("after", 0ms, 1h);
     if (to.flaw == Flaw::request_class) {
-      to.request_class = deployment.request_class(bad->text("product"));
+      to.request_class = deployment.request_class_index(bad->text("product"));
       if (to.request_class < 0)
         bad->add_problem("product", "is none of the deployment's");
     }
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -110,7 +110,7 @@
   if (info.request_class < 0)
     return Rejection{404, "no product takes " + request.method + " " + std::string(request.path())};
   if (!deployment.tenants.empty()) {
-    info.tenant = deployment.tenant(request.headers.get(names.tenant));
+    info.tenant = deployment.tenant_index(request.headers.get(names.tenant));
     if (info.tenant < 0)
       return Rejection{400, "header " + names.tenant + " names no known tenant"};
   }
--- a/src/proxy/settings.cpp
+++ b/src/proxy/settings.cpp
@@ -109,7 +109,7 @@
 
 void check_against_deployment(settings::SexpReader& form, const Settings& settings) {
   const deployment::Deployment& deployment = settings.deployment;
-  if (!settings.zone.empty() && deployment.zone(settings.zone) < 0)
+  if (!settings.zone.empty() && deployment.zone_index(settings.zone) < 0)
     form.add_problem("zone", settings.zone + " is none of the deployment's zones");
   if (settings.number >= deployment.proxies)
     form.add_problem("number", "must be below the deployment's number of umpires, " +
@@ -158,7 +158,7 @@
 
 module_settings::ModuleSettings module_settings_of(const Settings& settings) {
   const deployment::Deployment& deployment = settings.deployment;
-  const int zone = std::max(0, deployment.zone(settings.zone));
+  const int zone = std::max(0, deployment.zone_index(settings.zone));
   module_settings::ModuleSettings result;
   result.endpoints = deployment::endpoint_settings(deployment, zone, settings.number);
   result.canary_quota = deployment::canary_quota_settings(deployment);
