--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -84,7 +84,7 @@
 
 void Clients::send(const load::Try& one) {
   const auto& request_class = day_.deployment.request_classes[one.request_class];
-  const deployment::Match& match = request_class.matches.front();
+  const deployment::RequestMatcher& match = request_class.matchers.front();
   http::Request request;
   request.method = match.method;
   request.target = match.prefix ? match.path + "?n=" + std::to_string(one.id) : match.path;
--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-bool Match::accepts(std::string_view request_method, std::string_view request_path) const {
+bool RequestMatcher::accepts(std::string_view request_method, std::string_view request_path) const {
   if (method != request_method)
     return false;
   return prefix ? request_path.substr(0, path.size()) == path : request_path == path;
@@ -42,8 +42,8 @@
 
 int Deployment::match_request_class(std::string_view method, std::string_view path) const {
   return position_of(request_classes, [&](const NamedRequestClass& named) {
-    return std::any_of(named.matches.begin(), named.matches.end(),
-                       [&](const Match& match) { return match.accepts(method, path); });
+    return std::any_of(named.matchers.begin(), named.matchers.end(),
+                       [&](const RequestMatcher& match) { return match.accepts(method, path); });
   });
 }
 
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -18,7 +18,7 @@
 namespace robinhoist::deployment {
 
 /// Which HTTP requests belong to a request class.
-struct Match {
+struct RequestMatcher {
   std::string method;
   std::string path;  ///< the whole path, or its start if `prefix`
   bool prefix;
@@ -31,7 +31,7 @@
 struct NamedRequestClass {
   std::string name{};
   RequestClass request_class{};
-  std::vector<Match> matches{};
+  std::vector<RequestMatcher> matchers{};
 };
 
 /// A tenant with its name.
--- a/src/deployment/reader.cpp
+++ b/src/deployment/reader.cpp
@@ -16,8 +16,8 @@
 constexpr Duration max_rollback_window = 8760h;  // a year
 
 // (match METHOD PATH), where a star at the end of the path stands for any rest.
-Match read_match(SexpReader& form) {
-  Match match{form.positional(0, "a method"), form.positional(1, "a path"), false};
+RequestMatcher read_match(SexpReader& form) {
+  RequestMatcher match{form.positional(0, "a method"), form.positional(1, "a path"), false};
   if (!match.path.empty() && match.path.back() == '*') {
     match.prefix = true;
     match.path.pop_back();
@@ -62,7 +62,7 @@
   request_class.stream = false;
   check_request_class(form, request_class);
   for (SexpReader& match : form.children(key::match, 1))
-    named.matches.push_back(read_match(match));
+    named.matchers.push_back(read_match(match));
   form.finish();
   return named;
 }
