--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -186,7 +186,7 @@
           proxy::WatchReleaseSource::Settings{.address = served.address().toString(),
                                               .proxy = "u" + std::to_string(u),
                                               .vote_timeout = 1s,
-                                              .salt = static_cast<unsigned>(u + 1)},
+                                              .seed = static_cast<unsigned>(u + 1)},
           log));
       sources.back()->start([&](const ReleaseUpdate& release) { heard += release.build == build; });
     }
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -41,7 +41,7 @@
   return text;
 }
 
-unsigned decode_salt(const Value& object) {
+unsigned decode_seed(const Value& object) {
   const std::string digits = json::text(object, "seed");
   const char* digits_end = digits.data() + digits.size();
   std::uint64_t seed = 0;
@@ -129,7 +129,7 @@
   config.name = json::text(object, "name");
   config.listen = address(object, "listen");
   config.discovery = address(object, "discovery");
-  config.salt = decode_salt(object);
+  config.seed = decode_seed(object);
   config.limits = decode_inner(object, "limits", decode_limits);
   decode_inner(object, "release_api", [&config](const Value& api) {
     config.release_api = address(api, "address");
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -26,7 +26,7 @@
   std::string listen{};
   std::string discovery{};
   std::string release_api{};
-  unsigned salt = 1;  ///< seed of the random generators
+  unsigned seed = 1;  ///< seed of the random generators
   Limits limits{};
   module_settings::ModuleSettings module_settings{};
   registry::Update known_endpoints{};
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -22,11 +22,11 @@
 
 }  // namespace
 
-Watch::Settings Discovery::watch_settings(unsigned salt) {
+Watch::Settings Discovery::watch_settings(unsigned seed) {
   return {.what = "endpoints",
           .silence = {.first = first_response_timeout, .next = max_silence},
           .max_retry_delay = max_retry_delay,
-          .salt = salt};
+          .seed = seed};
 }
 
 Discovery::Discovery(net::Loop& loop, const std::string& address, std::int64_t version,
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -12,7 +12,7 @@
 
 class Discovery : public proxy::EndpointSource {
  public:
-  static Watch::Settings watch_settings(unsigned salt);
+  static Watch::Settings watch_settings(unsigned seed);
   /// `version` is that of a list that is known already, or 0.
   Discovery(net::Loop& loop, const std::string& address, std::int64_t version,
             const Watch::Settings& watch, const log::Logger& log);
--- a/src/platform/process.cpp
+++ b/src/platform/process.cpp
@@ -74,9 +74,9 @@
       log_(config_.name, "info"),
       loop_(net::steady_now()),
       endpoints_(loop_, config_.discovery, config_.known_endpoints.version,
-                 Discovery::watch_settings(config_.salt + 1), log_),
+                 Discovery::watch_settings(config_.seed + 1), log_),
       releases_(loop_, config_.release_api, config_.known_release,
-                config_.module_settings.analysis.call_timeout, config_.salt + 2, log_),
+                config_.module_settings.analysis.call_timeout, config_.seed + 2, log_),
       protocol_(config_.module_settings),
       router_(loop_, router_settings(config_), config_.module_settings, protocol_, log_, endpoints_,
               releases_),
@@ -162,7 +162,7 @@
 
   proxy::RouterSettings settings;
   settings.name = config.name;
-  settings.salt = config.salt;
+  settings.seed = config.seed;
   http::ServerSettings& server = settings.server;
   server.listen = config.listen;
   server.limits = {.max_header_bytes = max_header, .max_body_bytes = max_request_body};
--- a/src/platform/release_api.cpp
+++ b/src/platform/release_api.cpp
@@ -64,22 +64,22 @@
 
 }  // namespace
 
-Watch::Settings ReleaseApi::watch_settings(unsigned salt) {
+Watch::Settings ReleaseApi::watch_settings(unsigned seed) {
   return {.what = "releases",
           .silence = {.first = max_silence, .next = max_silence},
           .max_retry_delay = max_retry_delay,
-          .salt = salt};
+          .seed = seed};
 }
 
 ReleaseApi::ReleaseApi(net::Loop& loop, const std::string& address, const ReleaseUpdate& known,
-                       Duration vote_timeout, unsigned salt, const log::Logger& log)
+                       Duration vote_timeout, unsigned seed, const log::Logger& log)
     : loop_(loop),
       vote_timeout_(vote_timeout),
       known_(known),
       known_since_(loop.now() - known.since),
       connections_(std::make_unique<http::ConnectionPool>(loop, Poco::Net::SocketAddress(address),
                                                           vote_connections())),
-      watch_(loop, address, watch_settings(salt), log) {}
+      watch_(loop, address, watch_settings(seed), log) {}
 
 void ReleaseApi::start(OnUpdate on_update) {
   on_update_ = std::move(on_update);
--- a/src/platform/release_api.h
+++ b/src/platform/release_api.h
@@ -17,10 +17,10 @@
   /// A client has reported a wrong response of that endpoint, so long ago.
   using OnWrongAnswer = std::function<void(const std::string& endpoint, Duration ago)>;
 
-  static Watch::Settings watch_settings(unsigned salt);
+  static Watch::Settings watch_settings(unsigned seed);
   /// `known` is the release as of the configuration file.
   ReleaseApi(net::Loop& loop, const std::string& address, const ReleaseUpdate& known,
-             Duration vote_timeout, unsigned salt, const log::Logger& log);
+             Duration vote_timeout, unsigned seed, const log::Logger& log);
   void start(OnUpdate on_update) override;
   void vote(const proxy::Vote& vote, OnVoteResult on_result) override;
   /// This platform takes no such reports.
--- a/src/platform/watch.cpp
+++ b/src/platform/watch.cpp
@@ -26,7 +26,7 @@
       address_(address),
       settings_(settings),
       log_(log),
-      backoff_(min_retry_delay, settings.max_retry_delay, settings.salt),
+      backoff_(min_retry_delay, settings.max_retry_delay, settings.seed),
       framer_(max_object_bytes) {}
 
 Watch::~Watch() {
--- a/src/platform/watch.h
+++ b/src/platform/watch.h
@@ -26,7 +26,7 @@
     std::string what{};  ///< what is watched, for the log
     http::StreamClient::SilenceLimits silence{};
     Duration max_retry_delay{};
-    unsigned salt = 1;
+    unsigned seed = 1;
   };
   /// Returns the target of the next request.
   using Target = std::function<std::string()>;
--- a/src/proxy/http_endpoint_source.cpp
+++ b/src/proxy/http_endpoint_source.cpp
@@ -17,12 +17,12 @@
 }  // namespace
 
 HttpEndpointSource::HttpEndpointSource(net::Loop& loop, const std::string& address,
-                                       std::string proxy, unsigned salt, const log::Logger& log)
+                                       std::string proxy, unsigned seed, const log::Logger& log)
     : loop_(loop),
       proxy_(std::move(proxy)),
       log_(log),
       connections_(loop, Poco::Net::SocketAddress(address), api_client_settings()),
-      backoff_(min_retry_delay, max_retry_delay, salt) {}
+      backoff_(min_retry_delay, max_retry_delay, seed) {}
 
 HttpEndpointSource::~HttpEndpointSource() {
   loop_.cancel(timer_);
--- a/src/proxy/http_endpoint_source.h
+++ b/src/proxy/http_endpoint_source.h
@@ -14,7 +14,7 @@
 class HttpEndpointSource : public EndpointSource {
  public:
   /// `address` is the registry's, `proxy` this proxy's name in its log.
-  HttpEndpointSource(net::Loop& loop, const std::string& address, std::string proxy, unsigned salt,
+  HttpEndpointSource(net::Loop& loop, const std::string& address, std::string proxy, unsigned seed,
                      const log::Logger& log);
   ~HttpEndpointSource() override;
   HttpEndpointSource(const HttpEndpointSource&) = delete;
--- a/src/proxy/process.cpp
+++ b/src/proxy/process.cpp
@@ -18,7 +18,7 @@
           .proxy = settings.name,
           .token = settings.controller_token,
           .vote_timeout = settings.deployment.vote_timeout,
-          .salt = settings.salt + 1};
+          .seed = settings.seed + 1};
 }
 
 void log_final_counters(const log::Logger& log, const Router& router) {
@@ -37,7 +37,7 @@
   log::Logger log(settings.name, settings.log_level);
   net::Loop loop(net::steady_now());
   std::signal(SIGPIPE, SIG_IGN);
-  HttpEndpointSource endpoints(loop, settings.registry_address, settings.name, settings.salt, log);
+  HttpEndpointSource endpoints(loop, settings.registry_address, settings.name, settings.seed, log);
   WatchReleaseSource releases(loop, release_source_settings(settings), log);
   const HttpProtocol protocol(settings);
   Router router(loop, router_settings(settings), module_settings_of(settings), protocol, log,
--- a/src/proxy/request_tracer.cpp
+++ b/src/proxy/request_tracer.cpp
@@ -47,12 +47,12 @@
 }  // namespace
 
 RequestTracer::RequestTracer(std::string proxy_name, const tracing::Settings& settings,
-                             unsigned salt, WallTime wall_start,
+                             unsigned seed, WallTime wall_start,
                              const module_settings::ModuleSettings& module_settings)
     : proxy_name_(std::move(proxy_name)),
       wall_start_(wall_start),
       module_settings_(module_settings),
-      traces_(settings, salt) {}
+      traces_(settings, seed) {}
 
 void RequestTracer::accepted(InFlightRequest& request, const RequestInfo& info,
                              std::string_view idempotency_key, const ArrivalContext& context) {
--- a/src/proxy/request_tracer.h
+++ b/src/proxy/request_tracer.h
@@ -33,7 +33,7 @@
  public:
   /// `wall_start` is the wall-clock time of the loop's zero, so that traces of several proxies can
   /// be put in order.
-  RequestTracer(std::string proxy_name, const tracing::Settings& settings, unsigned salt,
+  RequestTracer(std::string proxy_name, const tracing::Settings& settings, unsigned seed,
                 WallTime wall_start, const module_settings::ModuleSettings& module_settings);
 
   void release_updated(const ReleaseUpdate& release) { release_ = release; }
--- a/src/proxy/router.h
+++ b/src/proxy/router.h
@@ -35,7 +35,7 @@
 struct RouterSettings {
   std::string name{};
   std::string endpoint_cache_file{};  ///< empty: endpoints are not cached
-  unsigned salt = 1;                  ///< seed of the random generators
+  unsigned seed = 1;                  ///< seed of the random generators
   http::ServerSettings server{};
   http::ConnectionPoolSettings upstream{};
   tracing::Settings trace{};
--- a/src/proxy/settings.cpp
+++ b/src/proxy/settings.cpp
@@ -57,7 +57,7 @@
 void read_identity(settings::SexpReader& form, Settings& settings) {
   settings.name = form.text("name");
   settings.number = form.integer("number", 0, 1000000, 0);
-  settings.salt = static_cast<unsigned>(form.integer("salt", 1, 2147483646, 1 + settings.number));
+  settings.seed = static_cast<unsigned>(form.integer("salt", 1, 2147483646, 1 + settings.number));
 }
 
 void read_addresses(settings::SexpReader& form, Settings& settings) {
@@ -150,7 +150,7 @@
 RouterSettings router_settings(const Settings& settings) {
   return {.name = settings.name,
           .endpoint_cache_file = settings.endpoint_cache_file,
-          .salt = settings.salt,
+          .seed = settings.seed,
           .server = settings.server,
           .upstream = settings.upstream,
           .trace = settings.trace};
--- a/src/proxy/settings.h
+++ b/src/proxy/settings.h
@@ -35,7 +35,7 @@
   std::string endpoint_cache_file{};  ///< empty: endpoints are not cached
   std::string log_level{"info"};
   int number = 0;               ///< among the deployment's proxies, from 0
-  unsigned salt = 1;            ///< seed of the random generators
+  unsigned seed = 1;            ///< seed of the random generators
   Duration response_reserve{};  ///< part of a request's time kept for the response's way
   http::ServerSettings server{};
   http::ConnectionPoolSettings upstream{};
--- a/src/proxy/watch_release_source.cpp
+++ b/src/proxy/watch_release_source.cpp
@@ -58,7 +58,7 @@
       log_(log),
       connections_(loop, Poco::Net::SocketAddress(settings.address), api_client_settings()),
       stream_(loop, Poco::Net::SocketAddress(settings.address), api_client_settings().limits),
-      backoff_(min_retry_delay, max_retry_delay, settings.salt),
+      backoff_(min_retry_delay, max_retry_delay, settings.seed),
       incarnation_(incarnation_of_this_process()),
       heartbeat_interval_(first_heartbeat_interval) {}
 
--- a/src/proxy/watch_release_source.h
+++ b/src/proxy/watch_release_source.h
@@ -21,7 +21,7 @@
     std::string proxy{};    ///< this proxy's name
     std::string token{};    ///< bearer token; empty: none
     Duration vote_timeout{};
-    unsigned salt = 1;
+    unsigned seed = 1;
   };
   WatchReleaseSource(net::Loop& loop, const Settings& settings, const log::Logger& log);
   ~WatchReleaseSource() override;
--- a/src/tracing/trace_store.h
+++ b/src/tracing/trace_store.h
@@ -76,7 +76,7 @@
 
 class TraceStore {
  public:
-  TraceStore(const Settings& settings, unsigned salt) : settings_(settings), random_(salt) {}
+  TraceStore(const Settings& settings, unsigned seed) : settings_(settings), random_(seed) {}
 
   bool enabled() const { return settings_.capacity > 0; }
   /// Begins a trace, or returns null if the request is not sampled.
--- a/tests/platform_services_test.cpp
+++ b/tests/platform_services_test.cpp
@@ -125,7 +125,7 @@
 // answered: the third has the object.
 TEST_F(Watch, takes_bytes_without_a_complete_object_for_silence) {
   const platform::Watch::Settings settings{
-      .what = "x", .silence = {.first = 100ms, .next = 100ms}, .max_retry_delay = 50ms, .salt = 1};
+      .what = "x", .silence = {.first = 100ms, .next = 100ms}, .max_retry_delay = 50ms, .seed = 1};
   int connections = 0;
   std::function<void(const http::ExchangePtr&)> trickle = [&](const http::ExchangePtr& exchange) {
     if (exchange->write("{"))
