--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -5,14 +5,14 @@
 namespace robinhoist::deployment {
 namespace {
 
-// Position of the first that fits; -1: none does.
+// Index of the first element that satisfies the predicate, or -1.
 template <class T, class Predicate>
-int position_of(const std::vector<T>& among, const Predicate& fits) {
-  const auto found = std::find_if(among.begin(), among.end(), fits);
-  return found == among.end() ? -1 : static_cast<int>(found - among.begin());
+int index_where(const std::vector<T>& elements, const Predicate& predicate) {
+  const auto found = std::find_if(elements.begin(), elements.end(), predicate);
+  return found == elements.end() ? -1 : static_cast<int>(found - elements.begin());
 }
 
-// How many votes it takes to promote; a clock needs none.
+// The number of votes needed to promote. Promotion by clock needs none.
 int votes_to_promote(const Deployment& deployment) {
   switch (deployment.rollout.promotion_mode) {
     case PromotionMode::clock:
@@ -25,7 +25,7 @@
   return 0;
 }
 
-// How many votes it takes to hold; only a clock is held.
+// The number of votes needed to hold a stage. Only promotion by clock can be held.
 int votes_to_hold(const Deployment& deployment) {
   if (deployment.rollout.promotion_mode != PromotionMode::clock)
     return 0;
@@ -41,36 +41,36 @@
 }
 
 int Deployment::match_request_class(std::string_view method, std::string_view path) const {
-  return position_of(request_classes, [&](const NamedRequestClass& named) {
+  return index_where(request_classes, [&](const NamedRequestClass& named) {
     return std::any_of(named.matchers.begin(), named.matchers.end(),
                        [&](const RequestMatcher& match) { return match.accepts(method, path); });
   });
 }
 
 int Deployment::request_class_index(std::string_view name) const {
-  return position_of(request_classes,
+  return index_where(request_classes,
                      [&](const NamedRequestClass& named) { return named.name == name; });
 }
 
 int Deployment::tenant_index(std::string_view name) const {
-  return position_of(tenants, [&](const NamedTenant& named) { return named.name == name; });
+  return index_where(tenants, [&](const NamedTenant& named) { return named.name == name; });
 }
 
 int Deployment::zone_index(std::string_view name) const {
-  return position_of(zones, [&](const std::string& zone) { return zone == name; });
+  return index_where(zones, [&](const std::string& zone) { return zone == name; });
 }
 
-EndpointSettings endpoint_settings(const Deployment& deployment, int zone, int number) {
+EndpointSettings endpoint_settings(const Deployment& deployment, int zone, int proxy_index) {
   EndpointSettings settings{};
   settings.zone = zone;
   settings.warm_up_time = deployment.warm_up_time;
   settings.collapse_window = deployment.collapse_window;
   settings.initial_warm_up_factor = deployment.initial_warm_up_factor;
   settings.collapse_multiple = deployment.collapse_multiple;
-  settings.polls_list = false;  // the list's source watches by itself
+  settings.polls_list = false;  // the endpoint source watches the list itself
   settings.uses_sizes = deployment.uses_sizes;
   settings.reports = deployment.load_reports;
-  settings.proxy_index = number;
+  settings.proxy_index = proxy_index;
   settings.proxy_count = deployment.proxies;
   return settings;
 }
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -1,8 +1,8 @@
-/// What proxies, controller and scenarios of one deployment have in common: request classes,
-/// tenants, zones, the figures of the operators' rules, and how releases come.
+/// The settings that proxies, controller and scenarios of a deployment share: request classes,
+/// tenants, zones, parameters of the operators' rules, and the rollout of releases.
 ///
-/// read() takes it from settings files; the functions at the end turn it into the settings of the
-/// decision module for one proxy.
+/// read() reads them from settings files; the functions at the end derive the settings of the
+/// decision module for a proxy.
 #pragma once
 #include <string>
 #include <string_view>
@@ -17,17 +17,17 @@
 
 namespace robinhoist::deployment {
 
-/// Which HTTP requests belong to a request class.
+/// Selects the HTTP requests of a request class by method and path.
 struct RequestMatcher {
   std::string method;
-  std::string path;  ///< the whole path, or its start if `prefix`
+  std::string path;  ///< the whole path, or a prefix of it if `prefix` is set
   bool prefix;
 
-  /// Whether a request with this method and path belongs to it.
+  /// Whether a request has the method and the path.
   bool accepts(std::string_view request_method, std::string_view request_path) const;
 };
 
-/// A request class with its name and the requests that belong to it.
+/// A request class with its name and the matchers of its requests.
 struct NamedRequestClass {
   std::string name{};
   RequestClass request_class{};
@@ -40,34 +40,35 @@
   Tenant tenant{};
 };
 
-/// One deployment. Request classes, tenants and zones are known to the decision module by their
-/// position here.
+/// Settings of a deployment. The decision module identifies request classes, tenants and zones by
+/// their index in these lists.
 struct Deployment {
   std::vector<NamedRequestClass> request_classes{};
   std::vector<NamedTenant> tenants{};
   std::vector<std::string> zones{};
   int proxies = 1;
 
-  // Figures of the operators' rules.
-  Duration drain_grace{};             ///< time that a draining endpoint finishes its work in
+  // Parameters of the operators' rules.
+  Duration drain_grace{};             ///< time for a draining endpoint to finish its requests
   Duration warm_up_time{};            ///< from an endpoint's start until it is warm
-  double initial_warm_up_factor = 0;  ///< of the warm capacity, at an endpoint's start
-  Duration collapse_window{};         ///< over which the load of a cold endpoint is counted
-  double collapse_multiple = 0;       ///< of its capacity, beyond which a cold endpoint collapses
-  Duration quota_window{};            ///< over which the canary's requests are counted
-  double free_requests = 0;           ///< in that window, beside the cap
-  bool by_request_class = false;      ///< the cap holds for each request class by itself
-  bool one_way = false;      ///< a key once answered by the canary never goes back to older builds
-  int safe_only_stages = 0;  ///< first stages that get idempotent requests only
+  double initial_warm_up_factor = 0;  ///< share of the warm capacity at an endpoint's start
+  Duration collapse_window{};         ///< window in which the load of a cold endpoint is counted
+  double collapse_multiple = 0;   ///< a cold endpoint collapses above this multiple of its capacity
+  Duration quota_window{};        ///< window in which the canary's requests are counted
+  double free_requests = 0;       ///< requests per window that are allowed in addition to the cap
+  bool by_request_class = false;  ///< whether the cap applies to each request class separately
+  /// Whether a key that was once answered by the canary is never sent to older builds again.
+  bool one_way = false;
+  int safe_only_stages = 0;  ///< number of first stages with idempotent requests only
 
-  // What proxies may do.
-  int max_attempts = 0;                  ///< of one request
-  bool hedging = false;                  ///< hedged requests are allowed
-  bool uses_sizes = false;               ///< the endpoint list tells the endpoints' sizes
-  bool retry_after = false;              ///< rejections carry Retry-After
+  // Behaviour of proxies.
+  int max_attempts = 0;                  ///< per request
+  bool hedging = false;                  ///< whether hedged requests are allowed
+  bool uses_sizes = false;               ///< whether the endpoint list states endpoints' sizes
+  bool retry_after = false;              ///< whether rejections have a Retry-After header
   Duration retry_delay{};                ///< longest Retry-After
-  Duration vote_timeout{};               ///< longest wait for the answer to a vote
-  double wrong_answer_report_share = 0;  ///< part of wrong answers that clients report
+  Duration vote_timeout{};               ///< timeout of the call that casts a vote
+  double wrong_answer_report_share = 0;  ///< share of wrong responses that clients report
   LoadReportSource load_reports = LoadReportSource::none;
 
   rollout::Settings rollout{};
@@ -80,12 +81,13 @@
   int zone_index(std::string_view name) const;
 };
 
-/// Reads the keys of a (deployment ...) form. Problems are left with the form, whose finish()
+/// Reads the keys of a (deployment ...) form. Problems are collected in the form, whose finish()
 /// throws them together.
 Deployment read(settings::SexpReader form);
 
-/// The decision module's settings for the proxy with this number, which stands in this zone.
-EndpointSettings endpoint_settings(const Deployment& deployment, int zone, int number);
+/// Settings of the decision module for a proxy, given the indices of its zone and of the proxy
+/// itself.
+EndpointSettings endpoint_settings(const Deployment& deployment, int zone, int proxy_index);
 CanaryQuotaSettings canary_quota_settings(const Deployment& deployment);
 AnalysisSettings analysis_settings(const Deployment& deployment);
 /// `tick` is the resolution of the host's timers.
--- a/src/deployment/reader.cpp
+++ b/src/deployment/reader.cpp
@@ -1,4 +1,4 @@
-/// Reads a deployment from its form in a settings file, key by key, and reports what is at odds.
+/// Reads a deployment from its form in a settings file and reports contradictory settings.
 #include <algorithm>
 #include <set>
 
@@ -15,7 +15,7 @@
 constexpr Duration max_release_time = 24h;
 constexpr Duration max_rollback_window = 8760h;  // a year
 
-// (match METHOD PATH), where a star at the end of the path stands for any rest.
+// Reads (match METHOD PATH). A path that ends with * matches any path with that prefix.
 RequestMatcher read_match(SexpReader& form) {
   RequestMatcher match{form.positional(0, "a method"), form.positional(1, "a path"), false};
   if (!match.path.empty() && match.path.back() == '*') {
@@ -25,7 +25,7 @@
   if (match.path.empty() || match.path[0] != '/')
     form.add_problem("the path must begin with /");
   if (form.positional_count() != 2)
-    form.add_problem("holds more than a method and a path");
+    form.add_problem("has more values than a method and a path");
   form.finish();
   return match;
 }
@@ -36,9 +36,10 @@
   const bool with_key = request_class.idempotency == Idempotency::idempotent_with_key;
   if (with_key && request_class.dedup_window == Duration{})
     form.add_problem(
-        "memory is missing: a referenced product needs the time for which nodes drop its repeats");
+        "memory is missing: a referenced product needs the time for which nodes deduplicate "
+        "retries");
   if (!with_key && form.has(key::dedup_window))
-    form.add_problem(key::dedup_window, "has a meaning for a referenced product only");
+    form.add_problem(key::dedup_window, "is allowed for a referenced product only");
 }
 
 NamedRequestClass read_request_class(SexpReader form) {
@@ -99,7 +100,7 @@
 void check_stages(const SexpReader& form, const rollout::Settings& rollout) {
   if (!rollout.stages.empty()) {
     if (!std::is_sorted(rollout.stages.begin(), rollout.stages.end()))
-      form.add_problem(key::stages, "must not fall from one wave to the next");
+      form.add_problem(key::stages, "must not decrease from one wave to the next");
     if (rollout.stages.back() < 1)
       form.add_problem(key::stages, "the last must be 1, the whole fleet");
   }
@@ -120,7 +121,7 @@
   rollout.bake = form.duration(key::bake, 0ms, max_release_time);
   rollout.stage_duration = form.duration(key::step, 0ms, max_release_time, 0ms);
   if (rollout.promotion_mode == PromotionMode::clock && rollout.stage_duration == Duration{})
-    form.add_problem("step is missing: the clock needs it");
+    form.add_problem("step is missing: gate clock needs it");
   rollout.settle = form.duration(key::settle, 0ms, 1h, 1s);
   rollout.max_launch_time = form.duration(key::launch_within, 1ms, max_release_time, 8s);
   rollout.drain = form.duration(key::drain, 0ms, max_release_time);
@@ -145,7 +146,7 @@
   for (SexpReader& request_class : form.children(key::request_class, 1)) {
     deployment.request_classes.push_back(read_request_class(request_class));
     if (!names.insert(deployment.request_classes.back().name).second)
-      request_class.add_problem("a second product of that name");
+      request_class.add_problem("duplicate product name");
   }
 }
 
@@ -154,7 +155,7 @@
   for (SexpReader& tenant : form.children(key::tenant)) {
     deployment.tenants.push_back(read_tenant(tenant));
     if (!names.insert(deployment.tenants.back().name).second)
-      tenant.add_problem("a second tenant of that name");
+      tenant.add_problem("duplicate tenant name");
   }
 }
 
@@ -163,7 +164,7 @@
   for (std::size_t i = 0; i < zones.positional_count(); ++i)
     deployment.zones.push_back(zones.positional(i, "a zone"));
   if (deployment.zones.empty()) {
-    form.add_problem(key::zones, "names none");
+    form.add_problem(key::zones, "needs at least one zone");
     deployment.zones.emplace_back();
   }
 }
@@ -177,7 +178,7 @@
   read_zones(form, deployment);
   deployment.proxies = form.integer(key::proxies, 1, 100000);
   deployment.uses_sizes = form.boolean(key::uses_sizes, false);
-  form.number(key::over_quota_weight, 0, 1, 1.0);  // checked, not used
+  form.number(key::over_quota_weight, 0, 1, 1.0);  // validated, but not used
   deployment.load_reports =
       form.enumerator<LoadReportSource>(key::load_reports,
                                         {{word::reports_none, LoadReportSource::none},
--- a/src/deployment/setting_keys.h
+++ b/src/deployment/setting_keys.h
@@ -1,5 +1,5 @@
-/// Keys and words of a (deployment ...) form in settings files and scenario files. They are part of
-/// the file format and stand nowhere else in the code.
+/// Keys and values of a (deployment ...) form in settings files and scenario files. They are part
+/// of the file format. All of these literals are defined here and nowhere else in the code.
 #pragma once
 
 namespace robinhoist::deployment {
@@ -63,7 +63,7 @@
 inline constexpr char wrong_answer_report_share[] = "reports-share";
 }  // namespace key
 
-/// Words that stand for the values of an enumeration.
+/// Values of enumerations.
 namespace word {
 inline constexpr char idempotent[] = "inquiry";
 inline constexpr char idempotent_with_key[] = "referenced";
--- a/src/endpoint_cache/endpoint_cache.cpp
+++ b/src/endpoint_cache/endpoint_cache.cpp
@@ -27,7 +27,7 @@
   return XXH64(content.data(), content.size(), 0);
 }
 
-// An open file descriptor, closed at the end of its scope.
+// An open file descriptor, closed by the destructor.
 class Descriptor {
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
@@ -62,15 +62,15 @@
   const Descriptor output(
       ::open(file.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, file_mode));
   if (!output.valid())
-    throw system_error("can't open", file);
+    throw system_error("cannot open", file);
   if (output.write_all(bytes) && output.sync())
     return;
-  const CacheError error = system_error("can't write", file);
+  const CacheError error = system_error("cannot write", file);
   ::unlink(file.c_str());
   throw error;
 }
 
-// Makes a rename durable, as far as the file system can.
+// Makes a rename durable, if the file system supports that.
 void sync_folder_of(const std::string& file) {
   const std::size_t slash = file.rfind('/');
   const std::string folder = slash == std::string::npos ? "." : file.substr(0, slash + 1);
@@ -87,7 +87,7 @@
   const std::string new_file = file + ".new";
   write_synced(new_file, header + content);
   if (::rename(new_file.c_str(), file.c_str()) != 0)
-    throw system_error("can't rename", new_file);
+    throw system_error("cannot rename", new_file);
   sync_folder_of(file);
 }
 
@@ -101,13 +101,13 @@
   const std::size_t header_end = all.find('\n');
   unsigned long long stated_checksum = 0;
   std::size_t stated_length = 0;
-  // covers it
+  // An overflow in the header is detected by the checks of length and checksum below.
   const int fields = std::sscanf(all.c_str(), header_scan_format, &stated_checksum, &stated_length);
   if (header_end == std::string::npos || fields != 2)
-    throw CacheError(file + ": not a saved file of a version known here");
+    throw CacheError(file + ": not an endpoint cache file of a supported version");
   std::string content = all.substr(header_end + 1);
   if (content.size() != stated_length || checksum(content) != stated_checksum)
-    throw CacheError(file + ": cut short or altered");
+    throw CacheError(file + ": truncated or corrupted");
   return content;
 }
 
--- a/src/endpoint_cache/endpoint_cache.h
+++ b/src/endpoint_cache/endpoint_cache.h
@@ -1,8 +1,8 @@
-/// A file that survives a crash either complete or not at all: the last list of endpoints, from
-/// which a restarted proxy begins.
+/// A file with the last known endpoint list, from which a restarted proxy starts. After a crash, it
+/// has either the old or the new content, never a mix.
 ///
-/// The file has a header with length and checksum (XXH64). It is written beside the old one,
-/// synced, and renamed over it.
+/// The file has a header with length and checksum (XXH64). Each version is written to a temporary
+/// file, synced, and renamed over the old one.
 #pragma once
 #include <atomic>
 #include <condition_variable>
@@ -14,28 +14,30 @@
 
 namespace robinhoist::endpoint_cache {
 
-/// The file can't be written, or its content is damaged or of an unknown version. Names the file.
+/// The file cannot be written, or its content is damaged or of an unsupported version. The message
+/// has the name of the file.
 struct CacheError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 /// Replaces the file's content and returns once it is durable. Throws CacheError.
 void write(const std::string& file, const std::string& content);
-/// The content last written; nothing if there is no file. Throws CacheError if it is damaged.
+/// Returns the last written content, or nothing if there is no file. Throws CacheError if the file
+/// is damaged.
 std::optional<std::string> read(const std::string& file);
 
-/// Writes a file on a thread of its own, so that nobody waits for the disk. Of several contents
-/// only the latest is written.
+/// Writes a file on a separate thread, so that the caller does not wait for the disk. If several
+/// contents are pending, only the latest is written.
 class CacheWriter {
  public:
   explicit CacheWriter(std::string file);
-  /// Writes what is left to write.
+  /// Writes the pending content, if any.
   ~CacheWriter();
   CacheWriter(const CacheWriter&) = delete;
   CacheWriter& operator=(const CacheWriter&) = delete;
 
   void write_later(std::string content);
-  /// Writes that failed so far.
+  /// Number of failed writes so far.
   long failures() const { return failures_; }
 
  private:
--- a/src/registry/codec.cpp
+++ b/src/registry/codec.cpp
@@ -5,7 +5,7 @@
 namespace robinhoist::registry {
 namespace {
 
-// Names on the wire that differ from the terms used here.
+// Names in the JSON format that differ from the terms used in the code.
 constexpr const char* complete_field = "whole";
 constexpr const char* endpoints_field = "nodes";
 constexpr const char* ready_name = "in";
--- a/src/registry/endpoint_info.cpp
+++ b/src/registry/endpoint_info.cpp
@@ -5,7 +5,8 @@
 namespace robinhoist::registry {
 namespace {
 
-// Zero means "long ago" to the decision module; a start at the run's very beginning must not.
+// The decision module interprets a start time of zero as "long ago", so a start exactly at time
+// zero is moved by one tick.
 TimePoint start_of(const Endpoint& endpoint, WallTime clock_zero) {
   if (endpoint.started == WallTime{})
     return {};
--- a/src/registry/endpoint_info.h
+++ b/src/registry/endpoint_info.h
@@ -1,4 +1,4 @@
-/// Endpoints of the registry as the decision module sees them.
+/// Conversion of the registry's endpoints to input of the decision module.
 #pragma once
 #include <cstdint>
 
@@ -8,11 +8,11 @@
 
 namespace robinhoist::registry {
 
-/// Describes a listed endpoint to the decision module.
+/// Converts a listed endpoint.
 ///
-/// `index` is the host's number for it, `zone` that of its zone, -1 if unknown, which counts as the
-/// first; `order` is a digest of its name; `clock_zero` is the wall-clock time of the host's
-/// TimePoint zero.
+/// `index` identifies the endpoint to the decision module. `zone` is the index of its zone; -1
+/// stands for an unknown zone, which is treated as the first. `order` is a hash of its name.
+/// `clock_zero` is the wall-clock time of the caller's TimePoint zero.
 EndpointInfo endpoint_info(const Endpoint& endpoint, int index, int zone, std::uint64_t order,
                            WallTime clock_zero);
 
--- a/src/registry/registry.h
+++ b/src/registry/registry.h
@@ -1,8 +1,8 @@
-/// The endpoint registry's state: which endpoints there are, where, and in which phase, with a
-/// version that grows with each change.
+/// The endpoint registry's state: the endpoints with their addresses and phases, and a version that
+/// increases with each change.
 ///
-/// Readers ask for the changes since a version. Changes are kept for a bounded window; whoever is
-/// further behind gets the complete list. Free of I/O.
+/// Readers request the changes since a version. A bounded number of changes is kept; a reader that
+/// is further behind gets the complete list. This module does no I/O.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -26,34 +26,34 @@
   int build = 0;
   EndpointPhase phase = EndpointPhase::ready;
   double size = 1;     ///< capacity relative to other endpoints
-  WallTime started{};  ///< the epoch: long ago
+  WallTime started{};  ///< the epoch means long ago
   bool operator==(const Endpoint&) const = default;
 };
 
-/// The changes up to a version, or the complete list as of it.
+/// The changes up to a version, or the complete list at that version.
 struct Update {
-  std::string series{};  ///< versions of different series can't be compared
+  std::string series{};  ///< only versions of the same series can be compared
   std::int64_t version = 0;
-  bool complete = false;  ///< endpoints that are not mentioned do not exist
+  bool complete = false;  ///< whether endpoints that are not in `entries` do not exist
   std::vector<Endpoint> entries{};
 };
 
 class EndpointRegistry {
  public:
-  /// `max_changes` is how many changes are kept for readers.
+  /// `max_changes` is the number of changes that are kept for readers.
   explicit EndpointRegistry(std::string series, std::size_t max_changes = 10000)
       : series_(std::move(series)), max_changes_(max_changes) {}
 
-  /// Adds or replaces an endpoint. This and the next two return whether anything changed.
+  /// Adds or replaces an endpoint. This and the next two functions return whether anything changed.
   bool put(const Endpoint& entry);
   bool set_phase(const std::string& name, EndpointPhase phase);
-  /// A removed endpoint is among the changes with phase removed.
+  /// Removes an endpoint. Readers get it as a change with phase `removed`.
   bool remove(const std::string& name);
 
   std::int64_t version() const { return version_; }
   std::size_t size() const { return entries_.size(); }
-  /// The last change of each endpoint since a version; the complete list if the window of changes
-  /// does not reach back so far or the series is another one.
+  /// The last change of each endpoint since a version, or the complete list if the kept changes do
+  /// not go back that far or the series differs.
   Update changes_since(const std::string& series, std::int64_t version) const;
 
  private:
@@ -71,12 +71,12 @@
   std::deque<Change> changes_{};
 };
 
-/// JSON, as on the wire and in the endpoint cache.
+/// Encodes an update as JSON, the format on the wire and in the endpoint cache.
 std::string encode(const Update& update);
-/// Throws json::DecodeError naming the field.
+/// Decodes an update. Throws json::DecodeError with the name of the field.
 Update decode(const std::string& text);
-/// Endpoints as encode() writes them, separated by commas. Throws json::DecodeError naming the
-/// field.
+/// Decodes endpoints in the format of encode(), separated by commas. Throws json::DecodeError with
+/// the name of the field.
 std::vector<Endpoint> decode_endpoints(const std::string& text);
 
 }  // namespace robinhoist::registry
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -12,7 +12,7 @@
 constexpr const char* endpoints_path = "/v1/nodes";
 constexpr const char* endpoint_path_prefix = "/v1/nodes/";
 
-// Changes that come together are sent together.
+// Changes within this time are sent together.
 constexpr Duration notify_delay = std::chrono::milliseconds(2);
 
 }  // namespace
@@ -22,7 +22,7 @@
     : loop_(loop),
       registry_(series),
       on_sent_(std::move(on_sent)),
-      waiting_(loop, [this](const http::LongPoll::Query& request) { send_update(request); }),
+      waiting_polls_(loop, [this](const http::LongPoll::Query& request) { send_update(request); }),
       server_(std::make_unique<http::Server>(
           loop, server, [this](const http::ExchangePtr& exchange) { handle(exchange); })) {}
 
@@ -43,15 +43,15 @@
 }
 
 void Service::apply_after_delay(Change change) {
-  last_due_ = std::max(last_due_, loop_.now() + delay_);
+  last_effective_at_ = std::max(last_effective_at_, loop_.now() + delay_);
   auto apply = [this, change = std::move(change)] {
     if (change())
       notify_soon();
   };
-  if (last_due_ <= loop_.now())
+  if (last_effective_at_ <= loop_.now())
     apply();
   else
-    loop_.at(last_due_, std::move(apply));
+    loop_.at(last_effective_at_, std::move(apply));
 }
 
 void Service::notify_soon() {
@@ -59,7 +59,7 @@
     return;
   notify_timer_ = loop_.in(notify_delay, [this] {
     notify_timer_ = net::Loop::no_timer;
-    waiting_.notify();
+    waiting_polls_.notify();
   });
 }
 
@@ -70,7 +70,7 @@
   if (has_changes || request.wait <= Duration{})
     send_update(request);
   else
-    waiting_.wait(std::move(request));
+    waiting_polls_.wait(std::move(request));
 }
 
 void Service::send_update(const http::LongPoll::Query& request) {
@@ -88,7 +88,7 @@
   } else if (request.method == "GET" && path == endpoints_path) {
     poll(exchange);
   } else if (request.method == "PUT" && path == endpoints_path) {
-    exchange->answer(put_from(request));
+    exchange->answer(handle_put(request));
   } else if (request.method == "DELETE" && path.starts_with(endpoint_path_prefix)) {
     const std::size_t name_at = std::string_view(endpoint_path_prefix).size();
     remove(http::percent_decoded(path.substr(name_at)));
@@ -98,7 +98,7 @@
   }
 }
 
-http::Response Service::put_from(const http::Request& request) {
+http::Response Service::handle_put(const http::Request& request) {
   try {
     for (const Endpoint& entry : decode_endpoints(request.body))
       put(entry);
--- a/src/tracing/trace_store.cpp
+++ b/src/tracing/trace_store.cpp
@@ -5,7 +5,7 @@
 namespace robinhoist::tracing {
 namespace {
 
-constexpr std::size_t max_events = 64;  // of one request
+constexpr std::size_t max_events = 64;  // per trace
 
 constexpr int trace_id_digits = 32;
 constexpr int span_id_digits = 16;
@@ -93,7 +93,8 @@
                            const std::optional<TraceParent>& parent, TimePoint now) {
   if (!enabled() || !sampled(parent))
     return nullptr;
-  // The span id is drawn first, as it always was: ids of a seed stay the same.
+  // The span id is drawn before the trace id. The order must not change, so that a seed keeps
+  // producing the same ids.
   const std::string span_id = random_id(span_id_digits);
   const std::string trace_id = parent ? parent->trace_id : random_id(trace_id_digits);
   auto trace = std::make_shared<Trace>(request_name, trace_id, span_id, now);
@@ -108,7 +109,7 @@
 void TraceStore::drop_oldest() {
   const TracePtr& oldest = traces_.front();
   for (const std::string* id : {&oldest->request_name, &oldest->trace_id}) {
-    // A later request of the same trace may be registered under its id.
+    // The id may refer to a later request of the same trace by now.
     const auto registered = by_id_.find(*id);
     if (registered != by_id_.end() && registered->second.lock() == oldest)
       by_id_.erase(registered);
--- a/src/tracing/trace_store.h
+++ b/src/tracing/trace_store.h
@@ -1,7 +1,7 @@
-/// Traces of single requests through a proxy, by W3C Trace Context.
+/// In-memory store of request traces with W3C Trace Context ids.
 ///
-/// A request is traced when its client sampled it or when the proxy samples it itself. The store is
-/// a bounded ring in memory: the oldest trace is dropped. Free of I/O and clocks.
+/// A request is traced if its client or the proxy sampled it. The number of traces is bounded: the
+/// oldest trace is dropped for a new one. This module does no I/O and reads no clock.
 #pragma once
 #include <cstddef>
 #include <deque>
@@ -25,25 +25,25 @@
   std::string span_id{};   ///< 16 hexadecimal digits
   bool sampled = false;
 };
-/// Nothing if the header is not valid; then it counts as absent.
+/// Returns nothing if the header is not valid; it is then treated as absent.
 std::optional<TraceParent> parse_traceparent(std::string_view header);
-/// The header's text, in version 00.
+/// Formats a traceparent header of version 00.
 std::string format_traceparent(const TraceParent& parent);
 
-/// One named value of an event. Empty values are not shown.
+/// A named value of an event. Empty values are omitted from the output.
 struct Attribute {
   std::string name;
   std::string value;
 };
 
-/// Something that happened to a traced request.
+/// An event of a traced request.
 struct Event {
   Duration at{};  ///< since the trace began
   std::string name{};
   std::vector<Attribute> attributes{};
 };
 
-/// The events of one request, in order. Their number is bounded.
+/// The events of one request in order of time. Their number is bounded.
 class Trace {
  public:
   Trace(std::string request_name, std::string trace_id, std::string span_id, TimePoint began)
@@ -54,12 +54,12 @@
 
   void add(TimePoint now, std::string event, std::initializer_list<Attribute> attributes);
   const std::vector<Event>& events() const { return events_; }
-  /// Events beyond the bound.
+  /// Number of events that were dropped because of the bound.
   std::size_t dropped() const { return dropped_; }
 
-  const std::string request_name;  ///< the proxy's own name for it
+  const std::string request_name;  ///< the proxy's own name for the request
   const std::string trace_id;
-  const std::string span_id;  ///< of this proxy's part in the trace
+  const std::string span_id;  ///< of this proxy's span in the trace
   const TimePoint began;
   std::string outcome{};  ///< empty while the request is open
 
@@ -70,8 +70,8 @@
 using TracePtr = std::shared_ptr<Trace>;
 
 struct Settings {
-  double share = 0;          ///< 0 to 1: part of the requests that are sampled by the proxy
-  std::size_t capacity = 0;  ///< traces that are kept; 0 switches tracing off
+  double share = 0;          ///< of requests that the proxy samples, 0 to 1
+  std::size_t capacity = 0;  ///< number of traces that are kept; 0 disables tracing
 };
 
 class TraceStore {
@@ -82,7 +82,8 @@
   /// Begins a trace, or returns null if the request is not sampled.
   TracePtr begin(const std::string& request_name, const std::optional<TraceParent>& parent,
                  TimePoint now);
-  /// By the proxy's name for the request, or by trace id: then the last of that trace. Null: none.
+  /// Finds a trace by the proxy's name for the request or by trace id; of several requests with the
+  /// same trace id, the last one. Returns null if there is none.
   TracePtr find(const std::string& id) const;
   /// Oldest first.
   const std::deque<TracePtr>& all() const { return traces_; }
