--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -19,7 +19,7 @@
 
 constexpr int max_build = 65535;
 constexpr int min_sockets = 64;
-constexpr double max_version = 9e15;  // beyond, a double no longer holds every whole number
+constexpr double max_version = 9e15;  // a double represents every integer up to this value exactly
 
 bool is_address(const std::string& text) {
   const std::size_t colon = text.rfind(':');
@@ -52,7 +52,7 @@
   return static_cast<unsigned>(seed ^ (seed >> 32));
 }
 
-// Decodes an inner object; errors name it.
+// Decodes a nested object and prefixes its errors with the name of the field.
 template <class Decode>
 auto decode_inner(const Value& object, const char* field, Decode decode) {
   try {
@@ -144,7 +144,7 @@
   std::ifstream input(file, std::ios::binary);
   std::ostringstream content;
   if (!input || !(content << input.rdbuf()))
-    throw DecodeError(file + ": can't be read, or is empty");
+    throw DecodeError(file + ": cannot be read, or is empty");
   try {
     return decode_config(content.str());
   } catch (const DecodeError& error) {
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -1,7 +1,7 @@
-/// The configuration file of a proxy on the operators' platform: one JSON object with its name, its
-/// addresses, its limits, the deployment's settings, and the endpoints and the release that were
-/// last known. Also the decoding of endpoint lists and releases, which come the same way on
-/// sockets.
+/// The configuration file of a proxy on the operators' platform: one JSON object with the proxy's
+/// name, addresses and resource limits, the deployment's settings, and the last known endpoints and
+/// release. The decoders of endpoint lists and releases are also used for the watch streams, which
+/// have the same format.
 #pragma once
 #include <string>
 #include <string_view>
@@ -13,11 +13,11 @@
 
 namespace robinhoist::platform {
 
-/// What the process may use.
+/// Resource limits of the process.
 struct Limits {
   double cores = 1;
   double memory_mb = 0;
-  int sockets = 0;  ///< file descriptors in all
+  int sockets = 0;  ///< limit on all open file descriptors
 };
 
 /// Addresses are host:port.
@@ -26,16 +26,17 @@
   std::string listen{};
   std::string discovery{};
   std::string release_api{};
-  unsigned seed = 1;  ///< seed of the random generators
+  unsigned seed = 1;  ///< of the random generators
   Limits limits{};
   module_settings::ModuleSettings module_settings{};
   registry::Update known_endpoints{};
   ReleaseUpdate known_release{};
 };
 
-/// Throws json::DecodeError naming the field and what is wrong with it.
+/// Decodes the text of a configuration file. Throws json::DecodeError with the field's name and
+/// what is wrong with it.
 Config decode_config(std::string_view text);
-/// The same of a file, which the error names too.
+/// Reads and decodes a configuration file. Throws json::DecodeError with the file's name as well.
 Config read_config(const std::string& file);
 
 /// Throws json::DecodeError.
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -11,20 +11,21 @@
 
 using namespace std::chrono_literals;
 
-// A change counts as known to this proxy that long after it was made, whether or not it came. A
-// broken watch has to be noticed and replaced in that time, though a connection or two hang.
+// The platform assumes that a proxy knows a change this long after it was made, whether or not the
+// change was delivered. A broken watch has to be detected and replaced within this time, even if up
+// to two new connections hang.
 constexpr Duration propagation_deadline = 6s;
-// The service writes an empty line every two seconds.
-constexpr Duration max_silence = propagation_deadline / 2;
-// The service's agent runs on this machine and answers at once.
+// The service sends an empty line every two seconds as a keepalive.
+constexpr Duration max_idle_time = propagation_deadline / 2;
+// The service's agent runs on the same host and responds without delay.
 constexpr Duration first_response_timeout = 1s;
 constexpr Duration max_retry_delay = 500ms;
 
 }  // namespace
 
 Watch::Settings Discovery::watch_settings(unsigned seed) {
-  return {.what = "endpoints",
-          .silence = {.first = first_response_timeout, .next = max_silence},
+  return {.resource = "endpoints",
+          .timeouts = {.first = first_response_timeout, .next = max_idle_time},
           .max_retry_delay = max_retry_delay,
           .seed = seed};
 }
@@ -46,19 +47,20 @@
 
 void Discovery::accept(const registry::Update& update) {
   if (update.version < version_)
-    check_older(update);
-  only_older_since_.reset();
+    reject_unless_new_series(update);
+  first_older_at_.reset();
   version_ = update.version;
   on_update_(update);
 }
 
-// A list older than the known one is refused, until nothing else has come for as long as a change
-// may take: then discovery has begun a new series of versions.
-void Discovery::check_older(const registry::Update& update) {
-  if (!only_older_since_)
-    only_older_since_ = loop_.now();
+// Throws for a list that is older than the known one. If only older lists arrive for longer than a
+// change may take to propagate, the service has restarted with a new series of versions, and its
+// next complete list is accepted.
+void Discovery::reject_unless_new_series(const registry::Update& update) {
+  if (!first_older_at_)
+    first_older_at_ = loop_.now();
   const bool is_new_series =
-      update.complete && loop_.now() >= *only_older_since_ + propagation_deadline;
+      update.complete && loop_.now() >= *first_older_at_ + propagation_deadline;
   if (!is_new_series)
     throw json::DecodeError("revision " + std::to_string(update.version) +
                             " is older than the one held, " + std::to_string(version_));
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -1,5 +1,5 @@
-/// Endpoints from the operators' discovery service, by a watch that goes on from the version of the
-/// list that is known.
+/// Endpoints from the operators' discovery service, received by a watch that resumes from the
+/// version of the last known list.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,21 +13,22 @@
 class Discovery : public proxy::EndpointSource {
  public:
   static Watch::Settings watch_settings(unsigned seed);
-  /// `version` is that of a list that is known already, or 0.
+  /// `version` is the version of the list known at startup, or 0.
   Discovery(net::Loop& loop, const std::string& address, std::int64_t version,
             const Watch::Settings& watch, const log::Logger& log);
   void start(OnUpdate on_update) override;
   void refresh() override;
-  /// The service is at another address from now on.
-  void move(const std::string& address) { watch_.move(address); }
+  /// Reconnects to the service at a new address.
+  void set_address(const std::string& address) { watch_.set_address(address); }
 
  private:
   void accept(const registry::Update& update);
-  void check_older(const registry::Update& update);
+  void reject_unless_new_series(const registry::Update& update);
 
   net::Loop& loop_;
   std::int64_t version_;
-  std::optional<TimePoint> only_older_since_{};  // only versions below version_ have come since
+  // When the first of an unbroken run of lists older than version_ arrived.
+  std::optional<TimePoint> first_older_at_{};
   OnUpdate on_update_{};
   Watch watch_;
 };
--- a/src/platform/process.cpp
+++ b/src/platform/process.cpp
@@ -17,23 +17,25 @@
 
 using namespace std::chrono_literals;
 
-// Loop, signals, listener, watches, votes, the standard three, and some in reserve.
+// Descriptors of the event loop, signals, listener, watches, votes and standard streams, and a few
+// spare ones.
 constexpr int reserved_sockets = 24;
-constexpr std::size_t client_share_percent = 45;  // of the rest; endpoints get the others
+constexpr std::size_t client_share_percent = 45;  // of the others; endpoints get the remainder
 constexpr std::size_t kibibyte = 1024;
-constexpr std::size_t max_request_body = 64 * kibibyte;  // stated by the protocol
+constexpr std::size_t max_request_body = 64 * kibibyte;  // limit of the platform's protocol
 constexpr std::size_t max_header = 8 * kibibyte;
-// Endpoints' responses may be larger than the protocol says, so the memory bounds them: it has room
-// for so many at once, each with its copies on the way through.
+// Endpoints may send responses above the protocol's limit, so the size of a response is limited by
+// memory instead: this many responses have to fit at once, including their copies in buffers.
 constexpr double max_responses_in_memory = 96;
 constexpr Duration first_request_timeout = 2s;
 constexpr Duration request_timeout = 2s;
 constexpr Duration client_idle_timeout = 5s;
-// After SIGTERM, new connections may still come for so long.
+// New connections may still arrive for this long after SIGTERM.
 constexpr Duration shutdown_grace = 600ms;
 constexpr Duration statistics_interval = 5s;
 
-// One thread and little memory: one arena, and free memory goes back to the system.
+// The process has one thread and little memory: it uses one arena and returns free memory to the
+// system early.
 void limit_allocator() {
   constexpr int trim_threshold = 512 * 1024;
   constexpr int mmap_threshold = 256 * 1024;
@@ -42,7 +44,7 @@
   mallopt(M_MMAP_THRESHOLD, mmap_threshold);
 }
 
-// The parts of the process, wired together.
+// The components of the process and the connections between them.
 class Process {
  public:
   explicit Process(const std::string& config_file);
@@ -95,8 +97,8 @@
 void Process::reload() {
   try {
     const Config config = read_config(config_file_);
-    endpoints_.move(config.discovery);
-    releases_.move(config.release_api);
+    endpoints_.set_address(config.discovery);
+    releases_.set_address(config.release_api);
     log_.info("configuration reloaded",
               {{"discovery", config.discovery}, {"release_api", config.release_api}});
   } catch (const json::DecodeError& error) {
@@ -176,7 +178,7 @@
   upstream.max_connections = endpoint_sockets;
   upstream.budget = std::make_shared<http::ConnectionBudget>(endpoint_sockets);
   upstream.connect_timeout = config.module_settings.connect_timeout;
-  // Before the endpoint closes it.
+  // Shorter than the endpoint's own timeout, so that the proxy closes an idle connection first.
   upstream.idle_timeout = config.module_settings.keep_idle * 4 / 5;
   upstream.limits = {
       .max_header_bytes = max_header, .max_body_bytes = max_response, .require_length = true};
--- a/src/platform/process.h
+++ b/src/platform/process.h
@@ -1,8 +1,8 @@
-/// A proxy on the operators' platform, as a process.
+/// The process of a proxy on the operators' platform.
 ///
-/// - SIGHUP: the configuration file is read again, for the addresses of discovery and release API.
-/// - SIGTERM, SIGINT: it serves on for a while, asks clients to disconnect, answers all open
-///   requests and exits with 0.
+/// - SIGHUP reloads the addresses of discovery and release API from the configuration file.
+/// - SIGTERM and SIGINT start a graceful shutdown: the proxy keeps serving for a short time, asks
+///   clients to disconnect, answers all open requests and exits with status 0.
 #pragma once
 #include <string>
 
@@ -11,12 +11,12 @@
 
 namespace robinhoist::platform {
 
-/// Divides the process's descriptors and memory: first the platform's own connections, then
-/// endpoints and clients.
+/// Divides the process's descriptors and memory: descriptors are first reserved for the platform's
+/// services, and the others divided between endpoints and clients.
 proxy::RouterSettings router_settings(const Config& config);
 
-/// Runs until it is stopped. Returns the exit status. Throws json::DecodeError if the configuration
-/// file is not valid.
+/// Runs until stopped by a signal and returns the exit status. Throws json::DecodeError if the
+/// configuration file is not valid.
 int run(const std::string& config_file);
 
 }  // namespace robinhoist::platform
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -15,8 +15,8 @@
 
 constexpr std::size_t max_id_length = 256;
 
-// The header's value if it comes exactly once: of two, nobody can tell which one an endpoint goes
-// by.
+// The header's value if it occurs exactly once. With two values, it is unknown which one an
+// endpoint would use.
 std::optional<std::string_view> single_value(const http::Headers& headers, std::string_view name) {
   std::optional<std::string_view> found;
   for (const auto& [key, value] : headers.all()) {
@@ -29,7 +29,7 @@
   return found;
 }
 
-// A number and its unit: 480m is 480 milliseconds, 480u microseconds.
+// Parses a number with a unit: 480m is 480 milliseconds, 480u is 480 microseconds.
 std::optional<double> parse_time_ms(std::string_view text) {
   if (text.size() < 2)
     return {};
@@ -45,7 +45,7 @@
   double value;
 };
 
-// name=value,name=value; nothing if any of it can't be read.
+// Parses name=value,name=value. Returns nothing if any part is malformed.
 std::optional<std::vector<Metric>> parse_metrics(std::string_view text) {
   std::vector<Metric> metrics;
   while (!text.empty()) {
@@ -65,7 +65,7 @@
   return metrics;
 }
 
-// Printable and without blanks.
+// Whether all characters are printable and none is blank.
 bool is_graphic(std::string_view text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 127; });
 }
@@ -74,7 +74,8 @@
   return id && !id->empty() && id->size() <= max_id_length && is_graphic(*id);
 }
 
-// A key that comes must be valid; it may be missing unless the request class needs one.
+// An idempotency key has to be valid if present; it may be absent unless the request class requires
+// one.
 bool is_valid_key(const http::Headers& headers, Idempotency idempotency) {
   if (headers.has(wire_names::idempotency_key))
     return is_valid_id(single_value(headers, wire_names::idempotency_key));
@@ -145,14 +146,14 @@
   if (!is_valid_key(headers, request_class.idempotency))
     return proxy::Rejection{400, "needs one Idempotency-Key"};
   const double time_left_ms = std::min(*timeout_ms, to_millis(request_class.deadline));
-  // One tick is kept for the response's way to the client.
+  // One tick is reserved for sending the response to the client.
   parsed.info.deadline = exchange.at + from_millis(time_left_ms) - module_settings_.requests.tick;
   parsed.info.is_retry = headers.get(wire_names::client_retry) == "1";
   parsed.client_id = *id;
   return {};
 }
 
-// Hints are optional: what makes no sense is ignored.
+// Hints are optional: invalid ones are ignored.
 void PlatformProtocol::read_hints(std::string_view header, RequestInfo& info) const {
   const auto metrics = parse_metrics(header);
   if (!metrics)
--- a/src/platform/protocol.h
+++ b/src/platform/protocol.h
@@ -1,7 +1,8 @@
-/// The operators' protocol, as their clients and endpoints speak it.
+/// The HTTP protocol of the operators' clients and endpoints.
 ///
-/// The request class is the first part of the path; the time left comes with each request and goes
-/// on with each attempt; an endpoint that rejects a request says whether it has started it.
+/// The first path segment selects the request class. A request states the time that is left for it,
+/// and each attempt passes on what remains. An endpoint that rejects a request states whether it
+/// had started it.
 #pragma once
 #include <optional>
 #include <string>
--- a/src/platform/release_api.cpp
+++ b/src/platform/release_api.cpp
@@ -15,11 +15,11 @@
 
 using namespace std::chrono_literals;
 
-// A sign of life is due every second.
-constexpr Duration max_silence = 3s;
+// The API sends an empty object every second as a keepalive.
+constexpr Duration max_idle_time = 3s;
 constexpr Duration max_retry_delay = 2s;
 constexpr std::size_t max_votes_in_flight = 4;
-// Two statements of one state differ in its age by the time that they took to come.
+// Two messages about the same state may differ in its age by their time in transit.
 constexpr Duration same_state_tolerance = 100ms;
 
 http::ConnectionPoolSettings vote_connections() {
@@ -31,7 +31,7 @@
   return settings;
 }
 
-// How far a release has come: through the stages of its canary, released, rolled back.
+// The position of a release in its life cycle: stages of the canary, released, rolled back.
 struct Progress {
   int phase;
   int stage;
@@ -65,8 +65,8 @@
 }  // namespace
 
 Watch::Settings ReleaseApi::watch_settings(unsigned seed) {
-  return {.what = "releases",
-          .silence = {.first = max_silence, .next = max_silence},
+  return {.resource = "releases",
+          .timeouts = {.first = max_idle_time, .next = max_idle_time},
           .max_retry_delay = max_retry_delay,
           .seed = seed};
 }
@@ -91,8 +91,8 @@
 }
 
 void ReleaseApi::read_event(const json::Value& event) {
-  const bool is_sign_of_life = event.ObjectEmpty();
-  if (is_sign_of_life)
+  const bool is_keepalive = event.ObjectEmpty();
+  if (is_keepalive)
     return;
   const std::string type = json::text(event, wire_names::event_type);
   const json::Value& object = json::nested_object(event, wire_names::event_object);
@@ -103,14 +103,14 @@
                      json::duration(object, wire_names::age_ms));
 }
 
-// Answers to votes and events of the watch may overtake each other, or come from a former address.
+// Responses to votes and watch events may arrive out of order, or from a former address of the API.
 bool ReleaseApi::is_outdated(const ReleaseUpdate& release, TimePoint since) const {
   if (release.build != known_.build)
     return release.build < known_.build;
-  // An answer that was long on its way seems younger than it is, by as much as a vote may take: an
-  // earlier stage's cap must not come back.
-  const bool goes_back = progress_of(release) < progress_of(known_);
-  return since < known_since_ + (goes_back ? vote_timeout_ : -same_state_tolerance);
+  // The age in a response does not include its time in transit, which may be as long as the vote
+  // timeout. Such a response must not bring back the cap of an earlier stage.
+  const bool is_regression = progress_of(release) < progress_of(known_);
+  return since < known_since_ + (is_regression ? vote_timeout_ : -same_state_tolerance);
 }
 
 void ReleaseApi::accept(const ReleaseUpdate& release) {
@@ -151,15 +151,15 @@
   try {
     release = decode_release(json::parse_object(response.body));
   } catch (const json::DecodeError&) {
-    on_result(Outcome::timeout);  // unreadable: the vote may count
+    on_result(Outcome::timeout);  // not readable: the vote may have been counted
     return;
   }
   on_result(Outcome::ok);
   accept(release);
 }
 
-void ReleaseApi::move(const std::string& address) {
-  watch_.move(address);
+void ReleaseApi::set_address(const std::string& address) {
+  watch_.set_address(address);
   const Poco::Net::SocketAddress peer(address);
   if (connections_->peer().toString() == peer.toString())
     return;
--- a/src/platform/release_api.h
+++ b/src/platform/release_api.h
@@ -1,5 +1,4 @@
-/// Releases from the operators' release API: a watch, and votes whose answers state the release
-/// too.
+/// Releases from the operators' release API, received by a watch and in the responses to votes.
 #pragma once
 #include <functional>
 #include <memory>
@@ -14,20 +13,20 @@
 
 class ReleaseApi : public proxy::ReleaseSource {
  public:
-  /// A client has reported a wrong response of that endpoint, so long ago.
+  /// A client reported that a response of this endpoint was wrong, this long ago.
   using OnWrongAnswer = std::function<void(const std::string& endpoint, Duration ago)>;
 
   static Watch::Settings watch_settings(unsigned seed);
-  /// `known` is the release as of the configuration file.
+  /// `known` is the release in the configuration file.
   ReleaseApi(net::Loop& loop, const std::string& address, const ReleaseUpdate& known,
              Duration vote_timeout, unsigned seed, const log::Logger& log);
   void start(OnUpdate on_update) override;
   void vote(const proxy::Vote& vote, OnVoteResult on_result) override;
-  /// This platform takes no such reports.
+  /// The platform has no API for such reports.
   void report_client_outcomes(const proxy::ClientOutcomes&) override {}
   void on_wrong_answer(OnWrongAnswer handler) { on_wrong_answer_ = std::move(handler); }
-  /// The API is at another address from now on. Votes in flight still get their answers.
-  void move(const std::string& address);
+  /// Uses the API at a new address. Votes in flight are completed at the old one.
+  void set_address(const std::string& address);
 
  private:
   void read_event(const json::Value& event);
@@ -39,7 +38,7 @@
   net::Loop& loop_;
   Duration vote_timeout_;
   ReleaseUpdate known_;
-  TimePoint known_since_;  // when the release entered that state
+  TimePoint known_since_;  // when the release entered the known state
   std::unique_ptr<http::ConnectionPool> connections_;
   std::vector<std::unique_ptr<http::ConnectionPool>> former_connections_{};  // with votes in flight
   Watch watch_;
--- a/src/platform/watch.cpp
+++ b/src/platform/watch.cpp
@@ -44,7 +44,7 @@
   timer_ = loop_.in(0s, [this] { request(); });
 }
 
-void Watch::move(const std::string& address) {
+void Watch::set_address(const std::string& address) {
   if (address == address_)
     return;
   address_ = address;
@@ -62,11 +62,11 @@
                                                  service_limits());
   framer_ = json::Framer(max_object_bytes);
   stream_->start(
-      request, settings_.silence, [this](std::string& body) { return read_objects(body); },
-      [this](int, const std::string&) { failed("it ended or fell silent"); });
+      request, settings_.timeouts, [this](std::string& body) { return read_objects(body); },
+      [this](int, const std::string&) { failed("the stream ended or timed out"); });
 }
 
-// Returns whether there was a sign of life: a complete object or an empty line.
+// Returns whether a complete object or an empty keepalive line was received.
 bool Watch::read_objects(std::string& body) {
   const std::size_t lines_before = framer_.lines();
   std::size_t objects = 0;
@@ -84,12 +84,12 @@
   return alive;
 }
 
-// Returns how many objects were complete.
+// Returns the number of complete objects.
 std::size_t Watch::deliver_objects(std::string& body) {
   for (std::size_t objects = 0;; ++objects) {
     const json::FrameStatus framed = framer_.next(body);
     if (framed == json::FrameStatus::malformed)
-      throw json::DecodeError("what comes is no JSON object");
+      throw json::DecodeError("received data is not a JSON object");
     if (framed == json::FrameStatus::incomplete)
       return objects;
     on_object_(json::parse_object(framer_.object()));
@@ -99,13 +99,14 @@
 void Watch::succeeded() {
   backoff_.reset();
   if (failing_)
-    log_.info("watch re-established", {{"of", settings_.what}, {"address", address_}});
+    log_.info("watch re-established", {{"of", settings_.resource}, {"address", address_}});
   failing_ = false;
 }
 
 void Watch::failed(const std::string& reason) {
   if (!failing_)
-    log_.warn("watch lost", {{"of", settings_.what}, {"address", address_}, {"reason", reason}});
+    log_.warn("watch lost",
+              {{"of", settings_.resource}, {"address", address_}, {"reason", reason}});
   failing_ = true;
   loop_.cancel(timer_);
   timer_ = loop_.in(backoff_.next_delay(), [this] { request(); });
--- a/src/platform/watch.h
+++ b/src/platform/watch.h
@@ -1,8 +1,7 @@
-/// A watch of the operators' platform: a response without end that brings one JSON object after
-/// the other.
+/// A watch of the operators' platform: an unbounded HTTP response with a sequence of JSON objects.
 ///
-/// Only complete objects are delivered. An object that makes no sense ends its connection, and so
-/// does silence; a new one follows after a delay that grows with each failure.
+/// Only complete objects are delivered. The connection is closed on an invalid object or an idle
+/// timeout; it is opened again after a delay that grows with each failure.
 #pragma once
 #include <functional>
 #include <memory>
@@ -17,20 +16,20 @@
 
 namespace robinhoist::platform {
 
-/// Limits of all connections to the platform's services.
+/// Message limits of all connections to the platform's services.
 http::MessageLimits service_limits();
 
 class Watch {
  public:
   struct Settings {
-    std::string what{};  ///< what is watched, for the log
-    http::StreamClient::SilenceLimits silence{};
+    std::string resource{};  ///< name of what is watched, for the log
+    http::StreamClient::SilenceLimits timeouts{};
     Duration max_retry_delay{};
-    unsigned seed = 1;
+    unsigned seed = 1;  ///< of the jitter of retry delays
   };
   /// Returns the target of the next request.
   using Target = std::function<std::string()>;
-  /// Takes an object; throws json::DecodeError if it makes no sense.
+  /// Handles an object; throws json::DecodeError if it is not valid.
   using OnObject = std::function<void(const json::Value& object)>;
 
   /// `address` is host:port.
@@ -41,10 +40,10 @@
   Watch& operator=(const Watch&) = delete;
 
   void start(Target target, OnObject on_object);
-  /// Begins a new request at once.
+  /// Replaces the current request by a new one without delay.
   void restart();
-  /// Watches another address from now on; the connection to the old one is closed.
-  void move(const std::string& address);
+  /// Closes the connection and watches another address.
+  void set_address(const std::string& address);
 
  private:
   void request();
--- a/src/platform/wire_names.h
+++ b/src/platform/wire_names.h
@@ -1,5 +1,5 @@
-/// The operators' names: fields, enumerators, paths and headers of their protocol, as they stand in
-/// the configuration file and on sockets. Nowhere else in the code.
+/// Fields, enumerators, paths and headers of the operators' protocol, as used in the configuration
+/// file and on the wire. All of these literals are defined here and nowhere else in the code.
 #pragma once
 #include <initializer_list>
 #include <utility>
@@ -23,13 +23,13 @@
 inline constexpr const char* cost_hint_ms = "work_hint_ms";
 inline constexpr const char* tenant = "org";
 
-/// Paths.
+/// Request targets.
 inline constexpr const char* readiness_path = "/up";
 inline constexpr const char* discovery_path = "/discovery/hosts?watch=1&from=";
 inline constexpr const char* release_watch_path = "/v1/watch";
 inline constexpr const char* vote_path = "/v1/verdicts";
 
-/// An endpoint list.
+/// Fields and values of an endpoint list.
 inline constexpr const char* list_version = "revision";
 inline constexpr const char* list_complete = "complete";
 inline constexpr const char* list_entries = "members";
@@ -46,7 +46,7 @@
     {"draining", EndpointPhase::draining},
     {"gone", EndpointPhase::removed}};
 
-/// A release and a vote on it.
+/// Fields and values of a release and of a vote on it.
 inline constexpr const char* release_build = "Revision";
 inline constexpr const char* release_stage = "Wave";
 inline constexpr const char* release_phase = "State";
@@ -59,7 +59,7 @@
     {"COMPLETE", ReleasePhase::released},
     {"ROLLED_BACK", ReleasePhase::rolled_back}};
 
-/// Events of the release watch.
+/// Fields and types of events of the release watch.
 inline constexpr const char* event_type = "type";
 inline constexpr const char* event_object = "object";
 inline constexpr const char* release_event = "ROLLOUT";
--- a/tests/platform_services_test.cpp
+++ b/tests/platform_services_test.cpp
@@ -65,7 +65,7 @@
     exchange->write(endpoint_list(12, false));
   });
   const auto discovery = start(first);
-  loop_.in(600ms, [&] { discovery->move(second.address()); });
+  loop_.in(600ms, [&] { discovery->set_address(second.address()); });
   run_loop_for(800ms);
   EXPECT_THAT(versions_, ElementsAre(8, 9, 12));
   ASSERT_GE(first.targets.size(), 3u);
@@ -115,8 +115,8 @@
 // A change counts as known 6 s after it was made: by then two retries have had their time.
 TEST_F(Discovery, notices_silence_in_time) {
   const platform::Watch::Settings settings = platform::Discovery::watch_settings(1);
-  EXPECT_GT(settings.silence.next, 2s);  // an empty line is due so often
-  EXPECT_LE(settings.silence.next + 2 * (settings.silence.first + settings.max_retry_delay), 6s);
+  EXPECT_GT(settings.timeouts.next, 2s);  // an empty line is due so often
+  EXPECT_LE(settings.timeouts.next + 2 * (settings.timeouts.first + settings.max_retry_delay), 6s);
 }
 
 using Watch = PlatformService;
@@ -124,8 +124,10 @@
 // A connection that trickles an object without its end is silent, and so is one that is never
 // answered: the third has the object.
 TEST_F(Watch, takes_bytes_without_a_complete_object_for_silence) {
-  const platform::Watch::Settings settings{
-      .what = "x", .silence = {.first = 100ms, .next = 100ms}, .max_retry_delay = 50ms, .seed = 1};
+  const platform::Watch::Settings settings{.resource = "x",
+                                           .timeouts = {.first = 100ms, .next = 100ms},
+                                           .max_retry_delay = 50ms,
+                                           .seed = 1};
   int connections = 0;
   std::function<void(const http::ExchangePtr&)> trickle = [&](const http::ExchangePtr& exchange) {
     if (exchange->write("{"))
@@ -181,7 +183,7 @@
   std::vector<Outcome> outcomes;
   api.vote({2, 0, Verdict::roll_back}, [&](Outcome outcome) { outcomes.push_back(outcome); });
   // The address moves while the vote is in flight: its answer still comes.
-  api.move("127.0.0.1:1");
+  api.set_address("127.0.0.1:1");
   run_loop_for(200ms);
   EXPECT_THAT(outcomes, ElementsAre(GetParam().outcome));
   EXPECT_EQ(stages.size(), GetParam().outcome == Outcome::ok ? 2u : 1u);
