--- a/src/proxy/admin_server.h
+++ b/src/proxy/admin_server.h
@@ -1,10 +1,10 @@
-/// The admin API of a proxy, on a port of its own that clients must not reach:
+/// The admin API of a proxy, on a separate port that must not be reachable for clients:
 ///
-/// - `GET /health`: 200 once it serves
+/// - `GET /health`: 200 once the proxy serves
 /// - `GET /status`: counters and endpoints as JSON
-/// - `GET /txns`: all traces, one JSON object a line
+/// - `GET /txns`: all traces, one JSON object per line
 /// - `GET /txns/ID`: the trace of one request
-/// - `POST /wrong` with `{"node": NAME}`: a client has found a response of that endpoint wrong
+/// - `POST /wrong` with `{"node": NAME}`: reports that a response of this endpoint was wrong
 #pragma once
 #include <string>
 
@@ -15,8 +15,8 @@
 
 class AdminServer {
  public:
-  /// Serves from now on. The router outlives the server. Throws std::runtime_error if the address
-  /// is taken.
+  /// Starts to serve. The router must outlive the server. Throws std::runtime_error if the address
+  /// is in use.
   AdminServer(net::Loop& loop, const std::string& address, Router& router);
   int port() const { return server_.port(); }
 
--- a/src/proxy/api_client_settings.h
+++ b/src/proxy/api_client_settings.h
@@ -1,4 +1,4 @@
-/// Connection settings for calls to this project's own control-plane services.
+/// Connection settings for calls to the release controller and the endpoint registry.
 #pragma once
 #include <chrono>
 
@@ -10,7 +10,8 @@
 inline constexpr Duration min_retry_delay = std::chrono::milliseconds(100);
 inline constexpr Duration max_retry_delay = std::chrono::seconds(2);
 
-/// Few connections, but room for the complete list of a large deployment.
+/// A few connections, and a body limit that admits the complete endpoint list of a large
+/// deployment.
 inline http::ConnectionPoolSettings api_client_settings() {
   http::ConnectionPoolSettings settings;
   settings.max_connections = 4;
--- a/src/proxy/client_outcome_reporter.h
+++ b/src/proxy/client_outcome_reporter.h
@@ -1,5 +1,5 @@
-/// Reports to the controller, once a second, how clients' requests fared: migration steps that run
-/// beside live traffic back off by it.
+/// Reports the outcomes of clients' requests to the controller once a second. Migration steps that
+/// run during live traffic are throttled by these reports.
 #pragma once
 #include "net/loop.h"
 #include "proxy/proxy_counters.h"
@@ -9,14 +9,14 @@
 
 class ClientOutcomeReporter {
  public:
-  /// The counters and the release source outlive the reporter.
+  /// The counters and the release source must outlive the reporter.
   ClientOutcomeReporter(net::Loop& loop, ReleaseSource& releases, const ProxyCounters& counters)
       : loop_(loop), releases_(releases), counters_(counters) {}
   ~ClientOutcomeReporter() { loop_.cancel(timer_); }
   ClientOutcomeReporter(const ClientOutcomeReporter&) = delete;
   ClientOutcomeReporter& operator=(const ClientOutcomeReporter&) = delete;
 
-  /// Reports now and then periodically; an interval without requests sends nothing.
+  /// Reports now and then periodically. Nothing is sent for an interval without requests.
   void start() { report(); }
 
  private:
--- a/src/proxy/drain_monitor.cpp
+++ b/src/proxy/drain_monitor.cpp
@@ -6,7 +6,7 @@
 namespace robinhoist::proxy {
 namespace {
 
-// Clients disconnect by themselves, without a notice to the proxy, so it has to look.
+// The proxy gets no event when an idle client disconnects, so the state is polled.
 constexpr Duration poll_interval = std::chrono::milliseconds(10);
 
 }  // namespace
@@ -34,7 +34,7 @@
   if (state_ != State::draining || !idle_())
     return;
   state_ = State::drained;
-  // Not from inside whatever answered the last client.
+  // Deferred: this may be called while the last response is being sent.
   loop_.in(Duration(0), [done = std::exchange(done_, nullptr)] {
     if (done)
       done();
--- a/src/proxy/drain_monitor.h
+++ b/src/proxy/drain_monitor.h
@@ -1,4 +1,4 @@
-/// Tells when a proxy that is shutting down has served its last client.
+/// Detects when a proxy that is shutting down has served its last client.
 #pragma once
 #include <functional>
 
@@ -8,17 +8,17 @@
 
 class DrainMonitor {
  public:
-  /// `idle` says whether nothing is owed to any client.
+  /// `idle` returns whether no client waits for a response or is still connected.
   DrainMonitor(net::Loop& loop, std::function<bool()> idle);
   ~DrainMonitor();
   DrainMonitor(const DrainMonitor&) = delete;
   DrainMonitor& operator=(const DrainMonitor&) = delete;
 
-  /// From now on `done` runs as soon as the proxy is idle: once, from the loop.
+  /// Starts to drain. `done` is called once, from the loop, as soon as the proxy is idle.
   void start(std::function<void()> done);
-  /// Whether start() has been called, also after `done` ran.
+  /// Whether start() has been called, including after `done` ran.
   bool draining() const { return state_ != State::serving; }
-  /// Call after anything that may have been the last. Cheap unless draining.
+  /// To be called after every event that may have made the proxy idle. Cheap unless draining.
   void check();
 
  private:
--- a/src/proxy/endpoint_source.h
+++ b/src/proxy/endpoint_source.h
@@ -1,4 +1,4 @@
-/// Where a proxy learns of endpoints. One implementation for each kind of endpoint registry.
+/// Interface to a source of endpoint lists. One implementation for each kind of endpoint registry.
 #pragma once
 #include <functional>
 
@@ -10,10 +10,10 @@
  public:
   virtual ~EndpointSource() = default;
   using OnUpdate = std::function<void(const registry::Update&)>;
-  /// Follows the registry from now on. `on_update` runs on the loop, never for an update older than
-  /// the last. Failures are retried without end.
+  /// Starts to follow the registry. `on_update` runs on the loop, never with an update older than
+  /// the last one. Failures are retried indefinitely.
   virtual void start(OnUpdate on_update) = 0;
-  /// Asks for the complete list soon.
+  /// Requests the complete list.
   virtual void refresh() = 0;
 };
 
--- a/src/proxy/http_endpoint_source.cpp
+++ b/src/proxy/http_endpoint_source.cpp
@@ -61,7 +61,7 @@
   timer_ = loop_.in(delay, [this] { poll(); });
 }
 
-// False: the response makes no sense.
+// Applies the response. Returns false if it is not valid.
 bool HttpEndpointSource::accept(const http::Response& response) {
   registry::Update update;
   try {
--- a/src/proxy/http_endpoint_source.h
+++ b/src/proxy/http_endpoint_source.h
@@ -1,5 +1,5 @@
-/// Endpoints from this project's registry over HTTP, by long polls: the registry answers once
-/// something has changed, or at the end of the wait.
+/// Endpoints from this project's registry, by HTTP long polling: the registry responds when the
+/// list has changed or the wait time has passed.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -13,7 +13,7 @@
 
 class HttpEndpointSource : public EndpointSource {
  public:
-  /// `address` is the registry's, `proxy` this proxy's name in its log.
+  /// `address` is the address of the registry, `proxy` the name under which this proxy polls it.
   HttpEndpointSource(net::Loop& loop, const std::string& address, std::string proxy, unsigned seed,
                      const log::Logger& log);
   ~HttpEndpointSource() override;
@@ -35,8 +35,8 @@
   http::ConnectionPool connections_;
   retry::Backoff backoff_;
   OnUpdate on_update_{};
-  std::string series_{};      // of the list that is known; empty: none
-  std::int64_t version_ = 0;  // in that series
+  std::string series_{};      // of the known list; empty if none is known
+  std::int64_t version_ = 0;  // of the known list within its series
   http::ConnectionPool::Id call_ = 0;
   net::Loop::Timer timer_ = net::Loop::no_timer;
   bool failing_ = false;
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -21,14 +21,14 @@
 constexpr const char* load_header = "endpoint-load-metrics";
 constexpr std::string_view load_text_prefix = "TEXT ";
 
-// Not a number when the text is none.
+// NaN if the text is not a number, `absent` if it is empty.
 double number_or(std::string_view text, double absent) {
   if (text.empty())
     return absent;
   return settings::parse_number(std::string(text)).value_or(std::nan(""));
 }
 
-// The field of a load report that a metric belongs to, or null.
+// The field of the load report for a metric, or null if the metric is not used.
 std::optional<double>* load_metric(LoadReport& load, std::string_view name) {
   if (name == "cpu_utilization")
     return &load.utilization;
@@ -43,7 +43,8 @@
   return nullptr;
 }
 
-// Takes the part up to the next comma off the front of the text, without leading blanks.
+// Removes the part up to the next comma from the front of the text and returns it without leading
+// blanks.
 std::string_view next_item(std::string_view& text) {
   const std::size_t end = std::min(text.find(','), text.size());
   std::string_view item = text.substr(0, end);
@@ -53,7 +54,7 @@
   return item;
 }
 
-// Metrics that are unknown or make no sense are skipped.
+// Unknown metrics and invalid values are skipped.
 LoadReport parse_load(std::string_view header) {
   LoadReport load;
   if (!header.starts_with(load_text_prefix))
@@ -100,7 +101,7 @@
   return parsed;
 }
 
-// Request class, tenant and keys.
+// Reads the request class, the tenant, and the idempotency and routing keys.
 std::optional<Rejection> HttpProtocol::read_identity(const http::Request& request,
                                                      ParsedRequest& parsed) const {
   const deployment::Deployment& deployment = settings_.deployment;
@@ -117,7 +118,7 @@
   const auto& named_class =
       deployment.request_classes[static_cast<std::size_t>(info.request_class)];
   parsed.idempotency_key = request.headers.get(names.idempotency_key);
-  // Without the key, no endpoint could recognize a retry.
+  // Endpoints recognize a retry of such a request by its key.
   const bool needs_key = named_class.request_class.idempotency == Idempotency::idempotent_with_key;
   if (needs_key && parsed.idempotency_key.empty())
     return Rejection{400,
@@ -127,7 +128,7 @@
   return {};
 }
 
-// Time left, expected cost, and whether the client has tried before.
+// Reads the remaining time, the expected cost, and whether this is a retry by the client.
 std::optional<Rejection> HttpProtocol::read_hints(const http::Exchange& exchange,
                                                   ParsedRequest& parsed) const {
   const http::Headers& headers = exchange.request.headers;
--- a/src/proxy/http_protocol.h
+++ b/src/proxy/http_protocol.h
@@ -1,7 +1,7 @@
-/// The project's own HTTP protocol: request classes by method and path, hints in request headers,
-/// load reports in the header that proxies of the field use (Open Request Cost Aggregation).
+/// The project's own HTTP protocol: the request class is selected by method and path, hints come in
+/// request headers, and load reports in the header of Open Request Cost Aggregation (ORCA).
 ///
-/// docs/operating-proxy.md lists the headers and statuses that a client sees.
+/// docs/operating-proxy.md lists the headers and statuses of responses to clients.
 #pragma once
 #include "proxy/protocol.h"
 #include "proxy/settings.h"
--- a/src/proxy/in_flight_requests.h
+++ b/src/proxy/in_flight_requests.h
@@ -1,7 +1,7 @@
-/// Bookkeeping of the requests that a proxy has accepted and not yet forgotten.
+/// Registry of the requests that a proxy has accepted and still tracks.
 ///
-/// A request is answered at most once, but stays here until the decision engine has seen the end
-/// of all its attempts. Nothing here decides or does I/O.
+/// A request is answered at most once, but is tracked until the decision engine has processed the
+/// end of all its attempts. This module makes no decisions and does no I/O.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -20,25 +20,25 @@
 /// One attempt at an endpoint.
 struct InFlightAttempt {
   int endpoint;
-  int build;  ///< of the endpoint when it was chosen
+  int build;  ///< of the endpoint at the time it was chosen
   http::ConnectionPool::Id call;
   bool ended;
 };
 
 /// One accepted request.
 struct InFlightRequest {
-  http::ExchangePtr exchange;  ///< null once answered or disconnected
-  http::Request forwarded;     ///< as endpoints get it
+  http::ExchangePtr exchange;  ///< null once answered or if the client disconnected
+  http::Request forwarded;     ///< as sent to endpoints
   TimePoint deadline{};
   int request_class = 0;
   std::vector<InFlightAttempt> attempts{};
-  bool answered = false;  ///< or the client has disconnected: no response is due any more
+  bool answered = false;  ///< a response was sent, or the client has disconnected
   Outcome last_outcome = Outcome::obsolete;
-  std::string client_id{};    ///< empty where the protocol has none
-  tracing::TracePtr trace{};  ///< null: not traced
+  std::string client_id{};    ///< empty if the protocol has none
+  tracing::TracePtr trace{};  ///< null if not traced
 };
 
-/// Names one attempt; ordered by request, then attempt.
+/// Identifies an attempt. Ordered by request, then by attempt.
 struct AttemptId {
   int request_id;
   std::size_t attempt;
@@ -49,20 +49,22 @@
 
 class InFlightRequests {
  public:
-  /// A number from 1 that no request here has. Numbers are reused after two thousand million.
+  /// Returns an id from 1 that no tracked request has. Ids wrap around after the largest int.
   int next_request_id();
-  /// Whether an open request has this client id; never true for the empty one.
+  /// Whether an open request has this client id. Always false for an empty id.
   bool client_id_in_use(const std::string& client_id) const;
   void add(int request_id, InFlightRequest request);
 
-  /// Null when it is unknown or forgotten. The pointer is valid until the request is forgotten.
+  /// Returns null if the request is not tracked. The pointer is valid until the request is
+  /// forgotten.
   InFlightRequest* find(int request_id);
-  /// For a request that must be here; throws std::out_of_range.
+  /// For a request that is known to be tracked; throws std::out_of_range otherwise.
   InFlightRequest& at(int request_id) { return requests_.at(request_id); }
-  /// All attempts that have not ended.
+  /// All attempts of tracked requests that have not ended.
   std::vector<AttemptId> open_attempts() const;
 
-  /// No response is due any more; its client id may be used again. Once for each request.
+  /// Marks that the request needs no response any more and frees its client id. To be called once
+  /// for each request.
   void mark_answered(InFlightRequest& request);
   void forget(int request_id) { requests_.erase(request_id); }
 
--- a/src/proxy/mode_names.h
+++ b/src/proxy/mode_names.h
@@ -1,4 +1,4 @@
-/// The mode of the canary analysis as the REST status and traces word it.
+/// Text of the canary analysis mode in the REST status and in traces.
 #pragma once
 #include <string>
 
@@ -6,8 +6,8 @@
 
 namespace robinhoist::proxy {
 
-/// The mode in the words of the REST API's first version, which its clients may read, such as
-/// "back build 7 stage 1 trial: failures 4 against 60". Log lines have the field's terms.
+/// The mode in the wording of the REST API's first version, which clients may parse, such as
+/// "back build 7 stage 1 trial: failures 4 against 60". Log lines use the current terms.
 std::string api_mode(const AnalysisReport& report);
 
 }  // namespace robinhoist::proxy
--- a/src/proxy/protocol.h
+++ b/src/proxy/protocol.h
@@ -1,8 +1,9 @@
-/// The seam between the router and the protocol that clients and endpoints speak.
+/// Interface between the router and the HTTP conventions of clients and endpoints.
 ///
-/// A Protocol turns a client's HTTP request into input of the decision engine, prepares attempts,
-/// classifies their results and writes the final responses. It never decides about requests.
-/// HttpProtocol is this project's own protocol, platform::PlatformProtocol the operators'.
+/// A Protocol converts a client's HTTP request into input of the decision engine, prepares
+/// attempts, classifies their results and writes the final responses. It makes no decisions about
+/// requests. HttpProtocol implements this project's own protocol, platform::PlatformProtocol the
+/// operators'.
 #pragma once
 #include <optional>
 #include <string>
@@ -16,17 +17,17 @@
 
 namespace robinhoist::proxy {
 
-/// Why a request is answered without the decision engine ever seeing it.
+/// Why a request is rejected before it is passed to the decision engine.
 struct Rejection {
   int status;  ///< HTTP status, 4xx or 503
   std::string reason;
 };
 
-/// A client's request after parsing. With a rejection, the other fields have no meaning.
+/// A client's request after parsing. If there is a rejection, the other fields are not valid.
 struct ParsedRequest {
   RequestInfo info{};
-  http::Request forwarded{};  ///< as endpoints get it
-  /// The client's own id, or empty. No two open requests may have the same.
+  http::Request forwarded{};  ///< as sent to endpoints
+  /// The client's own id for the request, or empty. It is unique among the open requests.
   std::string client_id{};
   std::string_view idempotency_key{};  ///< for traces; points into the exchange's request
   std::optional<Rejection> rejection{};
@@ -38,8 +39,8 @@
   LoadReport load{};
 };
 
-/// Translates the end of an HTTP call. `response_outcome` is what a complete response counts as,
-/// the only part that depends on the protocol.
+/// Converts the result of an HTTP call to an outcome. `response_outcome` is the outcome for a
+/// complete response, the only part that depends on the protocol.
 inline Outcome outcome_of(http::CallResult how, Outcome response_outcome) {
   switch (how) {
     case http::CallResult::answered:
@@ -59,23 +60,23 @@
   return Outcome::reset;
 }
 
-/// Stateless apart from its settings; outlives the Router that uses it.
+/// Stateless apart from its settings. It must outlive the Router that uses it.
 class Protocol {
  public:
   virtual ~Protocol() = default;
 
-  /// The response to a question about the proxy itself, such as its readiness. Nothing: it is a
-  /// request to route.
+  /// Returns the response to a request about the proxy itself, such as its readiness, or nothing if
+  /// the request is to be routed.
   virtual std::optional<http::Response> admin_response(const http::Request& request,
                                                        bool ready) const = 0;
-  /// Parses a request, moving its body out of the exchange. `request_id` is the number that the
-  /// request gets if it is accepted.
+  /// Parses a request and moves its body out of the exchange. `request_id` is the id of the request
+  /// if it is accepted.
   virtual ParsedRequest read(http::Exchange& exchange, int request_id) const = 0;
-  /// Sets the headers that differ by attempt. Called when the attempt is written, which may be long
-  /// after it was decided: `timeout` is the time left by then.
+  /// Sets the headers that differ by attempt. Called when the attempt is written to its connection,
+  /// which may be long after the decision to make it; `timeout` is the time left at that moment.
   virtual void prepare_attempt(http::Request& forwarded, std::size_t attempt,
                                Duration timeout) const = 0;
-  /// Classifies a call's end; `response` is empty unless it ended as answered.
+  /// Classifies the result of a call. `response` is empty unless the result is `answered`.
   virtual AttemptResult classify(http::CallResult how, const http::Response& response) const = 0;
 
   virtual http::Response rejected_before_routing(const Rejection& rejection) const = 0;
@@ -83,7 +84,7 @@
                                    int build) const = 0;
   /// The request did not run and may be sent again, after `retry_after` if that is not zero.
   virtual http::Response rejected(Duration retry_after, const std::string& reason) const = 0;
-  /// The request may have run. `timed_out` tells a deadline from a broken attempt.
+  /// The request may have run. `timed_out` distinguishes a passed deadline from a failed attempt.
   virtual http::Response failed(bool timed_out, const std::string& reason) const = 0;
 };
 
--- a/src/proxy/proxy_counters.h
+++ b/src/proxy/proxy_counters.h
@@ -1,16 +1,16 @@
-/// Counters of one proxy since its start, for the status report, log lines and the client outcome
+/// Counters of a proxy since its start, for the status report, log lines and the client outcome
 /// report.
 #pragma once
 
 namespace robinhoist::proxy {
 
-/// All values only grow. Every accepted request ends as exactly one of succeeded, rejected, failed
-/// or client_disconnected.
+/// No value ever decreases. Every accepted request ends as exactly one of succeeded, rejected,
+/// failed or client_disconnected.
 struct ProxyCounters {
   long accepted = 0;
   long rejected_before_routing = 0;
   long succeeded = 0;
-  /// Succeeded requests whose response came after the latency objective of their class.
+  /// Succeeded requests that were answered after the latency objective of their class.
   long late = 0;
   long rejected = 0;
   long failed = 0;
--- a/src/proxy/release_source.h
+++ b/src/proxy/release_source.h
@@ -1,5 +1,5 @@
-/// Where a proxy learns of releases and casts its votes. One implementation for each kind of
-/// release controller.
+/// Interface to a release controller: release updates, votes, and reports of client outcomes. One
+/// implementation for each kind of controller.
 #pragma once
 #include <functional>
 
@@ -15,7 +15,7 @@
   Verdict verdict;
 };
 
-/// How clients' requests fared since the last report.
+/// Outcomes of clients' requests since the last report.
 struct ClientOutcomes {
   long requests;
   long unsuccessful;  ///< late, rejected or failed
@@ -26,12 +26,13 @@
   virtual ~ReleaseSource() = default;
   using OnUpdate = std::function<void(const ReleaseUpdate&)>;
   using OnVoteResult = std::function<void(Outcome)>;
-  /// Follows the newest release from now on; `on_update` runs on the loop. Failures are retried
-  /// without end.
+  /// Starts to follow the newest release. `on_update` runs on the loop. Failures are retried
+  /// indefinitely.
   virtual void start(OnUpdate on_update) = 0;
-  /// Casts a vote; `on_result` runs exactly once. Timeout, reset or error: the vote may count.
+  /// Casts a vote. `on_result` runs exactly once. On timeout, reset or error the vote may have been
+  /// counted.
   virtual void vote(const Vote& vote, OnVoteResult on_result) = 0;
-  /// Best effort: a lost report is made up for by the next.
+  /// Best effort: a lost report is not repeated, as the next one supersedes it.
   virtual void report_client_outcomes(const ClientOutcomes& outcomes) = 0;
 };
 
--- a/src/proxy/request_tracer.cpp
+++ b/src/proxy/request_tracer.cpp
@@ -13,7 +13,7 @@
 namespace robinhoist::proxy {
 namespace {
 
-// Names of events, as traces have always had them.
+// Names of events in stored traces; they must not change.
 constexpr const char* event_accepted = "taken";
 constexpr const char* event_attempt_started = "submitted";
 constexpr const char* event_attempt_cancelled = "called off";
@@ -22,7 +22,7 @@
 
 constexpr const char* trace_header = "traceparent";
 
-// Five digits tell times and shares well enough.
+// Five digits are precise enough for times and shares.
 std::string number_text(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.5g", value);
@@ -33,7 +33,7 @@
   return value ? "yes" : "no";
 }
 
-// Why an attempt was made: the first one, a hedge beside others, or a retry.
+// Why an attempt was made: the first one, a hedge while others are in flight, or a retry.
 std::string attempt_reason(const InFlightRequest& request) {
   if (request.attempts.empty())
     return "first";
--- a/src/proxy/router.cpp
+++ b/src/proxy/router.cpp
@@ -26,7 +26,8 @@
 
 Router::~Router() {
   loop_.cancel(engine_timer_);
-  // Connections with a request open report their end, which needs the members below.
+  // Connections with an open request report their end, which uses members that are destroyed before
+  // the server.
   if (server_)
     server_->reset_connections();
 }
@@ -153,7 +154,7 @@
   const EndpointUpdateKind live_kind =
       update.complete ? EndpointUpdateKind::complete : EndpointUpdateKind::incremental;
   engine_.endpoints_updated(cached ? EndpointUpdateKind::cached : live_kind, changes, now);
-  // An attempt may be waiting for its connection to an endpoint that is draining by now.
+  // Attempts that still wait for a connection may be to an endpoint that has started to drain.
   recall_unsent_attempts([this](const InFlightAttempt& attempt) {
     const Upstream& upstream = upstreams_.at(attempt.endpoint);
     return upstream.phase != EndpointPhase::ready || upstream.build != attempt.build;
@@ -163,7 +164,8 @@
   run_engine();
 }
 
-// Until the controller has spoken, builds above the lowest count as not yet announced.
+// Until the first release update arrives, builds above the lowest one are treated as not yet
+// announced by the controller.
 void Router::assume_lowest_build_released() {
   const ReleaseUpdate assumed{.build = upstreams_.lowest_listed_build(),
                               .stage = 0,
@@ -177,7 +179,7 @@
   ++counters_.release_updates;
   tracer_.release_updated(release);
   engine_.release_updated(release, loop_.now());
-  // An attempt may be waiting for its connection while the cap is lowered.
+  // Attempts that still wait for a connection may exceed a lowered cap.
   recall_unsent_attempts(
       [&](const InFlightAttempt& attempt) { return attempt.build >= release.build; });
   run_engine();
--- a/src/proxy/router.h
+++ b/src/proxy/router.h
@@ -1,10 +1,10 @@
-/// The host of the decision engine on sockets.
+/// Runs the decision engine with real clients and endpoints on sockets.
 ///
-/// It tells the engine what happens (requests, ends of attempts, updates of endpoints and releases)
-/// and carries out what the engine decides. It makes no decision itself: no choice of endpoint, no
-/// timeout, no retry. Everything runs on the thread of the loop.
+/// The router passes events to the engine (requests, ends of attempts, updates of endpoints and
+/// releases) and carries out the engine's decisions. It makes no decisions itself: endpoints,
+/// timeouts and retries are chosen by the engine. Everything runs on the thread of the loop.
 ///
-/// Shutdown in two steps: begin_shutdown() while new clients may still come, then drain().
+/// Shutdown has two steps: begin_shutdown() while new clients may still connect, then drain().
 #pragma once
 #include <functional>
 #include <memory>
@@ -31,11 +31,12 @@
 
 namespace robinhoist::proxy {
 
-/// The host's own settings. Those of the decision engine are module_settings::ModuleSettings.
+/// Settings of the router itself. Those of the decision engine are in
+/// module_settings::ModuleSettings.
 struct RouterSettings {
   std::string name{};
-  std::string endpoint_cache_file{};  ///< empty: endpoints are not cached
-  unsigned seed = 1;                  ///< seed of the random generators
+  std::string endpoint_cache_file{};  ///< empty if endpoints are not cached
+  unsigned seed = 1;                  ///< of the random generators
   http::ServerSettings server{};
   http::ConnectionPoolSettings upstream{};
   tracing::Settings trace{};
@@ -43,7 +44,7 @@
 
 class Router {
  public:
-  /// All references outlive the router.
+  /// All referenced objects must outlive the router.
   Router(net::Loop& loop, const RouterSettings& settings,
          const module_settings::ModuleSettings& module_settings, const Protocol& protocol,
          const log::Logger& log, EndpointSource& endpoints, ReleaseSource& releases);
@@ -51,25 +52,27 @@
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
 
-  /// Accepts requests from now on. Throws std::runtime_error if the address is taken.
+  /// Starts to accept requests. Throws std::runtime_error if the address is in use.
   void start();
-  /// Goes on accepting requests, but asks each client to disconnect: others may still be on their
-  /// way here.
+  /// Asks each client to disconnect, but keeps accepting requests, because new clients may still
+  /// connect.
   void begin_shutdown();
-  /// Accepts no more; `done` runs once no client is owed a response.
+  /// Accepts no more requests. `done` runs once all open requests are answered and all clients
+  /// disconnected.
   void drain(std::function<void()> done);
 
-  /// Applies a list of endpoints from before the start, which may be out of date.
+  /// Applies an endpoint list that was stored before the start and may be out of date.
   void use_cached_endpoints(const registry::Update& update);
-  /// A client reports that a response of that endpoint was wrong. False: no such endpoint.
+  /// Reports that a client found a response of this endpoint wrong. Returns false if the endpoint
+  /// is not known.
   bool report_wrong_answer(const std::string& endpoint);
 
   int port() const { return server_->port(); }
-  /// Requests without a response yet.
+  /// Number of requests without a response yet.
   std::size_t open_requests() const { return in_flight_.unanswered(); }
-  /// Requests that are not forgotten, including answered ones with open attempts.
+  /// Number of tracked requests, including answered ones with open attempts.
   std::size_t tracked_requests() const { return in_flight_.size(); }
-  /// Slots for endpoints, including those to be used again.
+  /// Number of endpoint slots, including free ones.
   std::size_t upstream_slots() const { return upstreams_.slots().size(); }
   std::size_t clients() const { return server_ ? server_->clients() : 0; }
   const ProxyCounters& counters() const { return counters_; }
@@ -116,7 +119,7 @@
   const log::Logger& log_;
   EndpointSource& endpoint_source_;
   ReleaseSource& release_source_;
-  WallTime wall_start_;  // wall-clock time of the loop's zero
+  WallTime wall_start_;  // wall-clock time of the loop's time zero
   DecisionEngine engine_;
   ProxyCounters counters_{};
   RequestTracer tracer_;
@@ -129,7 +132,7 @@
   Readiness readiness_{};
   net::Loop::Timer engine_timer_ = net::Loop::no_timer;
   bool engine_running_ = false;
-  std::string mode_{};  // the engine's view of the release as the REST API words it
+  std::string mode_{};  // of the canary analysis, in the wording of the REST API
 };
 
 }  // namespace robinhoist::proxy
--- a/src/proxy/router_decisions.cpp
+++ b/src/proxy/router_decisions.cpp
@@ -1,4 +1,4 @@
-// Router: carrying out the decisions of the engine, and the ends of attempts and requests.
+// The part of Router that carries out the engine's decisions and completes attempts and requests.
 #include <algorithm>
 #include <utility>
 
@@ -10,8 +10,8 @@
 namespace robinhoist::proxy {
 // ---- Decisions of the engine
 
-// Carrying out a decision may give the engine more input; the outermost call goes on until there
-// is nothing left to decide.
+// Carrying out a decision may pass new events to the engine and call this function again. Only the
+// outermost call runs the loop, until no decision is left.
 void Router::run_engine() {
   if (engine_running_)
     return;
@@ -37,7 +37,7 @@
       cancel(decision);
       break;
     case Action::probe:
-      break;  // module settings of this host never ask for health checks
+      break;  // the router's module settings never enable health checks
     case Action::close:
       upstreams_.at(decision.endpoint).connections->close_idle();
       break;
@@ -70,7 +70,7 @@
   auto on_end = [this, id](http::CallResult how, http::Response&& response) {
     attempt_ended(id, protocol_.classify(how, response), std::move(response));
   };
-  // Prepared when it is written: its connection may take long to come up.
+  // Headers are set when the attempt is written, as its connection may take long to be established.
   auto prepare = [this, id](http::Request& forwarded, Duration time_left) {
     protocol_.prepare_attempt(forwarded, id.attempt, time_left);
   };
@@ -156,7 +156,8 @@
   request->last_outcome = result.outcome;
   const bool is_response = result.outcome == Outcome::ok && !request->answered;
   tracer_.attempt_ended(*request, id, upstream, response.status, is_response, loop_.now());
-  // Before the response is sent: the client's next request must meet an engine that knows.
+  // The engine is updated before the response is sent, so that the client's next request is decided
+  // with this result.
   engine_.attempt_ended(id.request_id, static_cast<int>(id.attempt), result.outcome,
                         request->answered || is_response, result.load, loop_.now());
   if (is_response) {
@@ -189,10 +190,10 @@
   exchange->answer(std::move(response));
 }
 
-// A request that is over starts no attempt that is still waiting for its connection.
+// Withdraws the attempts of a finished request that still wait for a connection.
 void Router::withdraw_unsent_attempts(int request_id) {
   for (std::size_t i = 0;; ++i) {
-    // The request may be forgotten with the last of its attempts.
+    // The request may be forgotten when its last attempt ends.
     const InFlightRequest* request = in_flight_.find(request_id);
     if (!request || i >= request->attempts.size())
       return;
@@ -202,8 +203,8 @@
   }
 }
 
-// Attempts that are not written yet and that the engine chose by what no longer holds go back to
-// it as obsolete.
+// Withdraws attempts that are not written yet and were chosen with outdated information. They are
+// returned to the engine as obsolete.
 void Router::recall_unsent_attempts(const std::function<bool(const InFlightAttempt&)>& outdated) {
   std::vector<AttemptId> recalled;
   for (const AttemptId& id : in_flight_.open_attempts()) {
--- a/src/proxy/settings.cpp
+++ b/src/proxy/settings.cpp
@@ -50,14 +50,15 @@
     return token;
   std::ifstream in(file);
   if (!(in >> token))
-    form.add_problem("releases-token-file", file + " can't be read, or is empty");
+    form.add_problem("releases-token-file", file + " cannot be read, or is empty");
   return token;
 }
 
 void read_identity(settings::SexpReader& form, Settings& settings) {
   settings.name = form.text("name");
-  settings.number = form.integer("number", 0, 1000000, 0);
-  settings.seed = static_cast<unsigned>(form.integer("salt", 1, 2147483646, 1 + settings.number));
+  settings.proxy_index = form.integer("number", 0, 1000000, 0);
+  settings.seed =
+      static_cast<unsigned>(form.integer("salt", 1, 2147483646, 1 + settings.proxy_index));
 }
 
 void read_addresses(settings::SexpReader& form, Settings& settings) {
@@ -111,7 +112,7 @@
   const deployment::Deployment& deployment = settings.deployment;
   if (!settings.zone.empty() && deployment.zone_index(settings.zone) < 0)
     form.add_problem("zone", settings.zone + " is none of the deployment's zones");
-  if (settings.number >= deployment.proxies)
+  if (settings.proxy_index >= deployment.proxies)
     form.add_problem("number", "must be below the deployment's number of umpires, " +
                                    std::to_string(deployment.proxies));
   for (const auto& named_class : deployment.request_classes)
@@ -160,7 +161,7 @@
   const deployment::Deployment& deployment = settings.deployment;
   const int zone = std::max(0, deployment.zone_index(settings.zone));
   module_settings::ModuleSettings result;
-  result.endpoints = deployment::endpoint_settings(deployment, zone, settings.number);
+  result.endpoints = deployment::endpoint_settings(deployment, zone, settings.proxy_index);
   result.canary_quota = deployment::canary_quota_settings(deployment);
   result.analysis = deployment::analysis_settings(deployment);
   result.requests = deployment::request_settings(deployment, clock_tick);
--- a/src/proxy/settings.h
+++ b/src/proxy/settings.h
@@ -1,5 +1,5 @@
-/// Settings of one proxy, read from an S-expression file: `(umpire ...)` with `(deployment ...)`
-/// beside it. deploy/example/ has a commented one.
+/// Settings of a proxy, read from an S-expression file with an `(umpire ...)` and a
+/// `(deployment ...)` form. deploy/example/ has a commented example.
 #pragma once
 #include <string>
 
@@ -12,8 +12,8 @@
 
 namespace robinhoist::proxy {
 
-/// Names of the request headers that a proxy reads, and of the response header `not_run` by which
-/// an endpoint proves that it did not run a request.
+/// Names of the request headers that a proxy reads, and of the response header `not_run`, with
+/// which an endpoint states that it did not run a request.
 struct HeaderNames {
   std::string tenant{"X-Tenant"};
   std::string idempotency_key{"Idempotency-Key"};
@@ -27,16 +27,16 @@
 /// Addresses are host:port.
 struct Settings {
   std::string name{};
-  std::string zone{};                 ///< of the deployment's zones; empty: the first
-  std::string admin_address{};        ///< empty: no admin API
+  std::string zone{};                 ///< one of the deployment's zones; empty for the first
+  std::string admin_address{};        ///< empty if there is no admin API
   std::string registry_address{};     ///< of the endpoint registry
   std::string controller_address{};   ///< of the release controller
-  std::string controller_token{};     ///< bearer token; empty: none is sent
-  std::string endpoint_cache_file{};  ///< empty: endpoints are not cached
+  std::string controller_token{};     ///< bearer token; empty if none is sent
+  std::string endpoint_cache_file{};  ///< empty if endpoints are not cached
   std::string log_level{"info"};
-  int number = 0;               ///< among the deployment's proxies, from 0
-  unsigned seed = 1;            ///< seed of the random generators
-  Duration response_reserve{};  ///< part of a request's time kept for the response's way
+  int proxy_index = 0;          ///< among the deployment's proxies, from 0
+  unsigned seed = 1;            ///< of the random generators
+  Duration response_reserve{};  ///< part of a request's time reserved for sending the response
   http::ServerSettings server{};
   http::ConnectionPoolSettings upstream{};
   HeaderNames headers{};
@@ -45,12 +45,13 @@
 };
 
 struct RouterSettings;
-/// What the router takes of them.
+/// Derives the settings of the router.
 RouterSettings router_settings(const Settings& settings);
-/// What the decision engine takes of them.
+/// Derives the settings of the decision engine.
 module_settings::ModuleSettings module_settings_of(const Settings& settings);
 
-/// Throws settings::ValidationError with all problems, each with its line.
+/// Reads and validates a settings file. Throws settings::ValidationError with all problems, each
+/// with its line.
 Settings read(const std::string& file);
 Settings read(settings::SexpReader root);
 
--- a/src/proxy/status_report.cpp
+++ b/src/proxy/status_report.cpp
@@ -21,7 +21,7 @@
   out.put("wrong_reports", counters.wrong_answer_reports);
 }
 
-// How late timers ran, in microseconds; left out until some have run.
+// Lateness of timers in microseconds; omitted until a timer has run.
 void put_timer_lateness(json::Writer& out, const net::Loop& loop) {
   if (const auto median = loop.lateness(0.5))
     out.put("wake_late_us_p50", *median);
--- a/src/proxy/status_report.h
+++ b/src/proxy/status_report.h
@@ -1,4 +1,4 @@
-/// The JSON that the admin API's GET /status returns.
+/// The JSON body of the admin API's GET /status.
 #pragma once
 #include <string>
 
@@ -8,10 +8,10 @@
 
 namespace robinhoist::proxy {
 
-/// What the report is made of; all of it outlives the call.
+/// The data of the report. The referenced objects must outlive the call.
 struct StatusSources {
   const std::string& proxy_name;
-  const std::string& mode;  ///< the decision engine's view of the release
+  const std::string& mode;  ///< of the canary analysis
   std::size_t unanswered_requests;
   std::size_t tracked_requests;  ///< including answered ones with open attempts
   std::size_t clients;
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-// Late results may still name a slot for some time after its endpoint left.
+// Late results may still refer to a slot for some time after its endpoint was removed.
 constexpr Duration slot_reuse_delay = 60s;
 
 }  // namespace
@@ -53,8 +53,8 @@
   return changes;
 }
 
-// A name that comes back at another address is another upstream. The registry never says that the
-// old one is gone.
+// A name that is listed with another address is a different upstream. The registry does not report
+// the old one as removed.
 std::optional<EndpointInfo> UpstreamPool::remove_moved(const registry::Endpoint& entry) {
   const auto before = listed_.find(entry.name);
   if (before == listed_.end() || before->second.address == entry.address)
--- a/src/proxy/upstream_pool.h
+++ b/src/proxy/upstream_pool.h
@@ -1,8 +1,8 @@
-/// The endpoints that a proxy knows, each with its connections, under the small indices by which
-/// the decision engine names them.
+/// The endpoints known to a proxy with their connections, in slots whose indices identify endpoints
+/// to the decision engine.
 ///
-/// The pool turns updates of the endpoint registry into input of the decision engine. Endpoints
-/// come and go for ever, so the slot of one that left long ago is used again.
+/// The pool converts updates of the endpoint registry into input of the decision engine. The slot
+/// of an endpoint that was removed long ago is reused, so that the number of slots stays bounded.
 #pragma once
 #include <map>
 #include <memory>
@@ -20,7 +20,8 @@
 
 namespace robinhoist::proxy {
 
-/// One endpoint: a name at an address. The same name at another address is another upstream.
+/// An endpoint, identified by name and address. The same name at another address is a different
+/// upstream.
 struct Upstream {
   std::string key{};  ///< name@address
   std::string name{};
@@ -28,33 +29,34 @@
   EndpointPhase phase = EndpointPhase::removed;
   std::unique_ptr<http::ConnectionPool> connections{};
   int in_flight = 0;                 ///< attempts that have not ended
-  TimePoint last_listed = long_ago;  ///< last update at which it was not removed
+  TimePoint last_listed = long_ago;  ///< time of the last update in which it was not removed
 };
 
 class UpstreamPool {
  public:
-  /// `wall_start` is the wall-clock time of the loop's zero, to convert start times of endpoints.
+  /// `wall_start` is the wall-clock time of the loop's time zero, needed to convert the start times
+  /// of endpoints.
   UpstreamPool(net::Loop& loop, http::ConnectionPoolSettings connection_settings,
                const module_settings::ModuleSettings& module_settings, const log::Logger& log,
                WallTime wall_start);
 
-  /// Applies an update and returns it as the decision engine takes it. Idle connections to
-  /// endpoints that were removed are closed. An endpoint with an unusable address is logged and
-  /// left out.
+  /// Applies an update and returns the changes as input of the decision engine. Idle connections to
+  /// removed endpoints are closed. An endpoint with an invalid address is logged and skipped.
   std::vector<EndpointInfo> apply(const registry::Update& update);
 
   Upstream& at(int endpoint) { return upstreams_[static_cast<std::size_t>(endpoint)]; }
   const Upstream& at(int endpoint) const { return upstreams_[static_cast<std::size_t>(endpoint)]; }
-  /// All slots, including those of endpoints that were removed.
+  /// All slots, including those of removed endpoints.
   const std::vector<Upstream>& slots() const { return upstreams_; }
-  /// The endpoint of that name. Where a name has moved, the one that is listed now.
+  /// The index of the endpoint with this name. If the name was listed with several addresses, the
+  /// current one.
   std::optional<int> find(const std::string& name) const;
 
-  /// The endpoints listed now, by name.
+  /// The currently listed endpoints, by name.
   const std::map<std::string, registry::Endpoint>& listed() const { return listed_; }
-  /// The lowest build among the listed endpoints; there must be one.
+  /// The lowest build among the listed endpoints. At least one endpoint must be listed.
   int lowest_listed_build() const;
-  /// The whole list as of an update, for the endpoint cache.
+  /// The complete list with the series and version of an update, for the endpoint cache.
   registry::Update snapshot(const registry::Update& as_of) const;
 
  private:
--- a/src/proxy/vote_outcome.h
+++ b/src/proxy/vote_outcome.h
@@ -1,11 +1,11 @@
-/// What a release controller's answer to a vote means.
+/// Interpretation of a release controller's response to a vote.
 #pragma once
 #include "http/status.h"
 #include "policy/request.h"
 
 namespace robinhoist::proxy {
 
-/// The outcome of a vote that was answered with this HTTP status.
+/// The outcome of a vote for the HTTP status of its response.
 inline Outcome vote_outcome(int status) {
   switch (status) {
     case http::status_ok:
--- a/src/proxy/watch_release_source.cpp
+++ b/src/proxy/watch_release_source.cpp
@@ -18,8 +18,8 @@
 
 using namespace std::chrono_literals;
 
-// A watch without even a bookmark for so long counts as broken.
-constexpr Duration watch_silence_timeout = 15s;
+// A watch that receives neither events nor bookmarks for this long is considered broken.
+constexpr Duration watch_idle_timeout = 15s;
 constexpr Duration first_heartbeat_interval = 1s;
 constexpr Duration min_heartbeat_interval = 50ms;
 constexpr Duration max_heartbeat_interval = 30s;
@@ -27,7 +27,7 @@
 constexpr Duration report_timeout = 1s;
 constexpr int heartbeats_per_lease = 3;
 
-// Field names of the controller's API that differ from the terms used here.
+// Field names and paths of the controller's API that differ from the terms used in the code.
 constexpr const char* proxy_field = "umpire";
 constexpr const char* incarnation_field = "session";
 constexpr const char* requests_field = "txns";
@@ -97,12 +97,12 @@
     request.headers.add("Authorization", "Bearer " + settings_.token);
   follower_.begin(from_scratch);
   stream_.start(
-      request, {watch_silence_timeout, watch_silence_timeout},
+      request, {watch_idle_timeout, watch_idle_timeout},
       [this](std::string& body) { return read_events(body); },
       [this](int status, const std::string&) { watch_ended(status); });
 }
 
-// Takes complete lines off the front of what has come. True: there was a sign of life.
+// Consumes the complete lines of the received data. Returns whether there was any.
 bool WatchReleaseSource::read_events(std::string& body) {
   if (!read_lines(body))
     return false;
@@ -114,7 +114,7 @@
   return true;
 }
 
-// False: there was no complete line, or the watch has to begin again.
+// Returns false if there was no complete line, or if the watch has to be restarted.
 bool WatchReleaseSource::read_lines(std::string& body) {
   using Line = releases::Follower::Line;
   bool any = false;
@@ -144,7 +144,7 @@
 
 void WatchReleaseSource::watch_ended(int status) {
   if (status == http::status_gone)
-    follower_ = {};  // what the controller no longer knows can't be resumed
+    follower_ = {};  // the controller no longer has this version, so the watch cannot be resumed
   const bool failed = status != http::status_ok;
   if (!failing_ && failed)
     log_.warn("release watch lost",
@@ -189,7 +189,7 @@
     heartbeat_interval_ =
         std::clamp(lease / heartbeats_per_lease, min_heartbeat_interval, max_heartbeat_interval);
   } catch (const json::DecodeError&) {
-    return;  // the next response states it again
+    return;  // the next heartbeat response contains the lease again
   }
 }
 
@@ -199,7 +199,7 @@
   const bool is_current =
       !newest_release_.empty() && acknowledged_ && acknowledged_->release.build == vote.build;
   if (!is_current) {
-    // A newer release is in force since the vote was decided.
+    // A newer release came into force after the decision to vote.
     loop_.in(Duration(0), [on_result] { on_result(Outcome::obsolete); });
     return;
   }
--- a/src/proxy/watch_release_source.h
+++ b/src/proxy/watch_release_source.h
@@ -1,5 +1,5 @@
-/// Releases from this project's controller, as an ordinary client of its API: a watch that is
-/// resumed where it broke, a heartbeat that acknowledges the cap in force, and votes.
+/// Releases from this project's controller by its REST API: a watch that is resumed after a
+/// disconnect, a heartbeat that acknowledges the cap in force, and votes.
 #pragma once
 #include <optional>
 #include <string>
@@ -19,9 +19,9 @@
   struct Settings {
     std::string address{};  ///< of the controller
     std::string proxy{};    ///< this proxy's name
-    std::string token{};    ///< bearer token; empty: none
+    std::string token{};    ///< bearer token; empty if none is sent
     Duration vote_timeout{};
-    unsigned seed = 1;
+    unsigned seed = 1;  ///< of the jitter of retry delays
   };
   WatchReleaseSource(net::Loop& loop, const Settings& settings, const log::Logger& log);
   ~WatchReleaseSource() override;
@@ -51,7 +51,7 @@
   http::StreamClient stream_;
   retry::Backoff backoff_;
   releases::Follower follower_{};
-  std::string incarnation_;       // of this process: no two processes have the same
+  std::string incarnation_;       // unique to this process
   std::string newest_release_{};  // name of the release in force
   std::optional<releases::Follower::Update> acknowledged_{};
   OnUpdate on_update_{};
@@ -59,7 +59,7 @@
   net::Loop::Timer watch_timer_ = net::Loop::no_timer;
   net::Loop::Timer heartbeat_timer_ = net::Loop::no_timer;
   bool failing_ = false;
-  bool superseded_ = false;  // another process uses this proxy's name
+  bool superseded_ = false;  // another process uses the name of this proxy
 };
 
 }  // namespace robinhoist::proxy
