--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -10,16 +10,17 @@
 
 using namespace std::chrono_literals;
 
-// How long after its time an answer is still waited for; a later one is lost.
-constexpr Duration max_answer_delay = 500ms;
+// How long a client waits for a response after its deadline; a later response counts as lost.
+constexpr Duration max_response_delay = 500ms;
 constexpr Duration reconnect_delay = 1ms;
-// So long before the last moment for it, each client that has no request open connects anew.
+// This long before the last moment for new connections, each client without an open request
+// connects again.
 constexpr Duration last_connect_margin = 10ms;
-// A client that sends no whole request is owed an error or a close so soon after it connected.
-constexpr Duration max_wait_of_bad_client = 3s;
-constexpr Duration drip_interval = 40ms;
+// A client that sends no complete request must get an error or a close within this time.
+constexpr Duration bad_client_timeout = 3s;
+constexpr Duration trickle_interval = 40ms;
 
-// Ends of requests in the record's words.
+// Outcomes of requests in the words of the record.
 constexpr const char* succeeded = "settled";
 constexpr const char* rejected = "declined";
 constexpr const char* failed = "voided";
@@ -45,14 +46,14 @@
 }  // namespace
 
 Client::Client(net::Loop& loop, int port, const Plan& plan, Observer& observer,
-               TimePoint traffic_start, std::uint32_t salt)
+               TimePoint traffic_start, std::uint32_t number)
     : loop_(loop),
       port_(port),
       plan_(plan),
       observer_(observer),
       traffic_start_(traffic_start),
-      random_(plan.seed * 1000 + salt),
-      rests_(std::bernoulli_distribution(0.3)(random_)) {
+      random_(plan.seed * 1000 + number),
+      has_long_pauses_(std::bernoulli_distribution(0.3)(random_)) {
   schedule(think_time(), [this] { connect(); });
   last_connect_timer_ = loop_.at(traffic_start + plan.last_connect - last_connect_margin, [this] {
     if (!open_)
@@ -65,7 +66,7 @@
 }
 
 Duration Client::think_time() {
-  const Duration most = rests_ ? Duration(1500ms) : Duration(40ms);
+  const Duration most = has_long_pauses_ ? Duration(1500ms) : Duration(40ms);
   return Duration(std::uniform_int_distribution<std::int64_t>(0, most.count())(random_));
 }
 
@@ -89,7 +90,7 @@
   schedule(think_time(), [this] { send_next(); });
 }
 
-// What the client does next, in place of anything that was scheduled before.
+// Schedules the client's next action and cancels the one scheduled before.
 void Client::schedule(Duration wait, net::Loop::Task task) {
   loop_.cancel(next_timer_);
   next_timer_ = loop_.in(wait, [this, task = std::move(task)] {
@@ -100,13 +101,13 @@
 
 Client::~Client() {
   for (net::Loop::Timer* timer :
-       {&next_timer_, &last_connect_timer_, &deadline_timer_, &leave_timer_})
+       {&next_timer_, &last_connect_timer_, &deadline_timer_, &disconnect_timer_})
     loop_.cancel(*timer);
 }
 
 void Client::send_next() {
   if (!connection_->open()) {
-    // Closed between two requests, or nobody listens.
+    // The connection was closed between two requests, or there is no listener.
     schedule(reconnect_delay, [this] { connect(); });
     return;
   }
@@ -122,19 +123,20 @@
   request_.sent = loop_.now();
   request_.deadline = request_.sent + timeout;
   bytes_ = serialize(request_, timeout);
-  sent_again_ = false;
+  resent_ = false;
   open_ = true;
   observer_.request_sent(request_);
-  deadline_timer_ = loop_.at(request_.deadline + max_answer_delay, [this] { give_up_listening(); });
-  if (std::bernoulli_distribution(plan_.leave_share)(random_))
-    leave_timer_ =
+  deadline_timer_ =
+      loop_.at(request_.deadline + max_response_delay, [this] { on_response_timeout(); });
+  if (std::bernoulli_distribution(plan_.disconnect_share)(random_))
+    disconnect_timer_ =
         loop_.in(Duration(std::uniform_int_distribution<std::int64_t>(0, timeout.count())(random_)),
-                 [this] { leave(); });
+                 [this] { disconnect(); });
   send(false);
 }
 
-void Client::send(bool again) {
-  sent_again_ = again;
+void Client::send(bool is_resend) {
+  resent_ = is_resend;
   reader_ = std::make_unique<http::ResponseReader>(http::MessageLimits{});
   reader_->expect(false);
   connection_->send(bytes_);
@@ -143,13 +145,14 @@
 void Client::on_bytes(std::string_view bytes) {
   input_ += bytes;
   if (!open_) {
-    observer_.add_breach("bytes that no request asked for: " + input_.substr(0, 40));
+    observer_.add_breach("unsolicited bytes: " + input_.substr(0, 40));
     return;
   }
   const http::ParseResult result = reader_->read(input_);
   if (result == http::ParseResult::invalid) {
-    observer_.add_breach("request " + std::to_string(request_.id) + " got no HTTP");
-    end_request(broken);
+    observer_.add_breach("request " + std::to_string(request_.id) +
+                         " got an invalid HTTP response");
+    complete_request(broken);
   } else if (result == http::ParseResult::complete) {
     answered(reader_->take());
   }
@@ -159,11 +162,11 @@
   const bool success = response.status == 200;
   const bool right = !success || response.body == std::to_string(request_.id);
   if (!right)
-    observer_.add_breach("request " + std::to_string(request_.id) + " got the answer '" +
+    observer_.add_breach("request " + std::to_string(request_.id) + " got the response body '" +
                          response.body + "'");
   const bool rejection = response.status == 429 || response.status == 503;
-  const char* refusal = rejection ? rejected : failed;
-  end_request(success ? succeeded : refusal, response.status, right);
+  const char* error_outcome = rejection ? rejected : failed;
+  complete_request(success ? succeeded : error_outcome, response.status, right);
   if (response.keep_alive) {
     first_on_connection_ = false;
     wait_then_send();
@@ -179,19 +182,20 @@
     return;
   }
   if (kind == CloseKind::orderly || reader_->begun() || observer_.was_forwarded(request_)) {
-    observer_.add_breach("request " + std::to_string(request_.id) + " was read and its " +
+    observer_.add_breach("request " + std::to_string(request_.id) + " was read, but its " +
                          (first_on_connection_ ? "new " : "") +
-                         "connection closed without a whole answer, " +
-                         std::to_string((loop_.now() - request_.sent) / 1ms) + " ms after it");
-    end_request(broken);
+                         "connection was closed without a complete response, " +
+                         std::to_string((loop_.now() - request_.sent) / 1ms) + " ms later");
+    complete_request(broken);
     schedule(reconnect_delay, [this] { connect(); });
     return;
   }
-  if (sent_again_ || !may_connect()) {
-    unanswered();
+  if (resent_ || !may_connect()) {
+    on_request_not_read();
     return;
   }
-  // The close crossed the request: it is sent once more, on a new connection.
+  // The peer closed the connection before it read the request: it is sent once more, on a new
+  // connection.
   schedule(Duration(0), [this] {
     if (!open_)
       return;
@@ -199,92 +203,92 @@
     if (connection_->open())
       send(true);
     else
-      unanswered();
+      on_request_not_read();
   });
 }
 
-// The proxy has not read it. Without a crowd, one that still takes connections must not do so to
-// the first request of a new one.
-void Client::unanswered() {
-  if (first_on_connection_ && sent_again_ && may_connect() && !plan_.crowd)
+// The proxy did not read the request. While it accepts connections and there are no bad clients, it
+// must not leave the first request on a new connection unread.
+void Client::on_request_not_read() {
+  if (first_on_connection_ && resent_ && may_connect() && !plan_.bad_clients_at)
     observer_.add_breach("request " + std::to_string(request_.id) +
                          " was not read on a new connection");
-  end_request(unreached);
+  complete_request(unreached);
   schedule(think_time(), [this] { connect(); });
 }
 
-void Client::leave() {
+void Client::disconnect() {
   if (!open_)
     return;
   connection_->close();
   open_ = false;
   loop_.cancel(deadline_timer_);
-  observer_.client_left(request_);
+  observer_.client_disconnected(request_);
   schedule(think_time(), [this] { connect(); });
 }
 
-void Client::give_up_listening() {
+void Client::on_response_timeout() {
   deadline_timer_ = net::Loop::no_timer;
   if (!open_)
     return;
-  observer_.add_breach("request " + std::to_string(request_.id) + " got no answer in time");
+  observer_.add_breach("request " + std::to_string(request_.id) + " got no response in time");
   connection_->close();
-  end_request(timed_out);
+  complete_request(timed_out);
   schedule(think_time(), [this] { connect(); });
 }
 
-void Client::end_request(const char* end, int status, bool right) {
+void Client::complete_request(const char* outcome, int status, bool right) {
   open_ = false;
   loop_.cancel(deadline_timer_);
-  loop_.cancel(leave_timer_);
-  observer_.request_ended(request_, end, status, right);
+  loop_.cancel(disconnect_timer_);
+  observer_.request_ended(request_, outcome, status, right);
 }
 
-void Client::expect_nothing_open() {
+void Client::check_no_open_request() {
   if (!open_)
     return;
   observer_.add_breach("request " + std::to_string(request_.id) + " was open at SIGKILL");
-  end_request(broken);
+  complete_request(broken);
 }
 
-Crowd::Crowd(net::Loop& loop, int port, Observer& observer, std::uint32_t salt)
-    : loop_(loop), timers_(loop), port_(port), observer_(observer), random_(salt) {}
+BadClients::BadClients(net::Loop& loop, int port, Observer& observer, std::uint32_t seed)
+    : loop_(loop), timers_(loop), port_(port), observer_(observer), random_(seed) {}
 
-void Crowd::connect(int count) {
+void BadClients::connect(int count) {
   for (int number = 0; number < count; ++number)
-    add_member(number);
+    add_client(number);
 }
 
-void Crowd::add_member(int number) {
-  static const std::array<const char*, 4> beginnings = {
+void BadClients::add_client(int number) {
+  static const std::array<const char*, 4> partial_requests = {
       "", "POST /pay HTTP/1.1\r\nHost: x\r\nRequest-I",
       "POST /book HTTP/1.1\r\nHost: x\r\nRequest-Id: crowd\r\nContent-Length: 4000\r\n\r\nhalf",
       "GET /look HTTP/1.1\r\nHost: x\r\nX-Drip: "};
-  auto member = std::make_shared<Member>();
+  auto client = std::make_shared<BadClient>();
   const std::size_t kind =
-      std::uniform_int_distribution<std::size_t>(0, beginnings.size() - 1)(random_);
-  member->connection = std::make_unique<Connection>(
+      std::uniform_int_distribution<std::size_t>(0, partial_requests.size() - 1)(random_);
+  client->connection = std::make_unique<Connection>(
       loop_, port_,
       Connection::Handlers{
-          .on_bytes = [one = member.get()](std::string_view) { one->answered = true; },
-          .on_closed = [one = member.get()](CloseKind) { one->answered = true; }});
-  if (!member->connection->send(beginnings[kind]))
-    member->answered = true;
-  if (kind == beginnings.size() - 1)
-    drip(member);
-  members_.push_back(member);
-  timers_.in(max_wait_of_bad_client, [this, member, number] { check(*member, number); });
+          .on_bytes = [one = client.get()](std::string_view) { one->answered = true; },
+          .on_closed = [one = client.get()](CloseKind) { one->answered = true; }});
+  if (!client->connection->send(partial_requests[kind]))
+    client->answered = true;
+  if (kind == partial_requests.size() - 1)
+    trickle(client);
+  clients_.push_back(client);
+  timers_.in(bad_client_timeout, [this, client, number] { check(*client, number); });
 }
 
-void Crowd::drip(const std::shared_ptr<Member>& member) {
-  if (member->answered)
+void BadClients::trickle(const std::shared_ptr<BadClient>& client) {
+  if (client->answered)
     return;
-  member->connection->send("x");
-  timers_.in(drip_interval, [this, member] { drip(member); });
+  client->connection->send("x");
+  timers_.in(trickle_interval, [this, client] { trickle(client); });
 }
 
-void Crowd::check(const Member& member, int number) {
-  if (!member.answered)
+void BadClients::check(const BadClient& client, int number) {
+  if (!client.answered)
     observer_.add_breach("bad client " + std::to_string(number) +
                          " got neither an error nor a close in 3 s");
 }
--- a/tests/soak/clients.h
+++ b/tests/soak/clients.h
@@ -1,4 +1,5 @@
-/// The clients of the soak: good ones that keep their connections, and a crowd of bad ones.
+/// The clients of the soak: well-behaved clients that reuse their connections, and misbehaving
+/// ones.
 #pragma once
 #include <cstddef>
 #include <memory>
@@ -14,30 +15,31 @@
 
 namespace robinhoist::soak {
 
-/// One client: a request at a time, on one connection for as long as that stays open.
+/// A client that sends one request at a time and keeps its connection for as long as it is open.
 class Client {
  public:
+  /// `number` distinguishes the clients of a run, each of which has its own random sequence.
   Client(net::Loop& loop, int port, const Plan& plan, Observer& observer, TimePoint traffic_start,
-         std::uint32_t salt);
+         std::uint32_t number);
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  /// The program is killed now: a request that is still open is a breach.
-  void expect_nothing_open();
+  /// To be called when the program is killed: a request that is still open is a breach.
+  void check_no_open_request();
 
  private:
   void connect();
   void open_connection();
   void send_next();
-  void send(bool again);
+  void send(bool is_resend);
   void on_bytes(std::string_view bytes);
   void on_closed(CloseKind kind);
   void answered(const http::Response& response);
-  void unanswered();
-  void leave();
-  void give_up_listening();
-  void end_request(const char* end, int status = 0, bool right = true);
+  void on_request_not_read();
+  void disconnect();
+  void on_response_timeout();
+  void complete_request(const char* outcome, int status = 0, bool right = true);
   void wait_then_send();
   void schedule(Duration wait, net::Loop::Task task);
   bool may_connect() const;
@@ -49,46 +51,46 @@
   Observer& observer_;
   TimePoint traffic_start_;
   std::mt19937 random_;
-  bool rests_;  ///< thinks long, so that its connection rests
+  bool has_long_pauses_;  ///< between requests, so that its connection is idle
   std::unique_ptr<Connection> connection_{};
   std::string input_{};
   std::unique_ptr<http::ResponseReader> reader_{};
   ClientRequest request_{};
   std::string bytes_{};
-  bool open_ = false;        ///< a request has no answer yet
-  bool sent_again_ = false;  ///< it was sent again, as a close had crossed it
+  bool open_ = false;    ///< whether a request has no response yet
+  bool resent_ = false;  ///< whether it was sent again after a close before it was read
   bool first_on_connection_ = true;
   net::Loop::Timer next_timer_ = net::Loop::no_timer;
   net::Loop::Timer last_connect_timer_ = net::Loop::no_timer;
   net::Loop::Timer deadline_timer_ = net::Loop::no_timer;
-  net::Loop::Timer leave_timer_ = net::Loop::no_timer;
+  net::Loop::Timer disconnect_timer_ = net::Loop::no_timer;
 };
 
-/// Clients that say nothing, stop in the middle of a request, or send a byte at a time. Each is
-/// owed an error or a close in time.
-class Crowd {
+/// Clients that send nothing, stop in the middle of a request, or send a byte at a time. Each must
+/// get an error or a close in time.
+class BadClients {
  public:
-  Crowd(net::Loop& loop, int port, Observer& observer, std::uint32_t salt);
+  BadClients(net::Loop& loop, int port, Observer& observer, std::uint32_t seed);
 
-  /// Connects them all.
+  /// Connects this many clients.
   void connect(int count);
 
  private:
-  struct Member {
+  struct BadClient {
     std::unique_ptr<Connection> connection{};
     std::string unsent{};
     bool answered = false;
   };
-  void add_member(int number);
-  void drip(const std::shared_ptr<Member>& member);
-  void check(const Member& member, int number);
+  void add_client(int number);
+  void trickle(const std::shared_ptr<BadClient>& client);
+  void check(const BadClient& client, int number);
 
   net::Loop& loop_;
   net::Timers timers_;
   int port_;
   Observer& observer_;
   std::mt19937 random_;
-  std::vector<std::shared_ptr<Member>> members_{};
+  std::vector<std::shared_ptr<BadClient>> clients_{};
 };
 
 }  // namespace robinhoist::soak
--- a/tests/soak/connection.cpp
+++ b/tests/soak/connection.cpp
@@ -25,7 +25,7 @@
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   address.sin_port = htons(static_cast<std::uint16_t>(port));
-  // On loopback this does not wait, unless the queue of the listener is full.
+  // On loopback this does not block, unless the listener's accept queue is full.
   if (fd >= 0 && ::connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0) {
     const int on = 1;
     ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -90,14 +90,15 @@
   handlers_.on_closed(unread ? CloseKind::unread : CloseKind::orderly);
 }
 
-// After the end of the stream: whether the peer's side was gone before all that was sent had come.
-// What comes to a side that is gone is not acknowledged, and is answered by a reset, which may not
-// be there yet. What had come and was not read would have made the end a reset.
+// To be called at the end of the stream: whether the peer closed its socket before it received all
+// sent bytes. Bytes that arrive at a closed socket are not acknowledged; the peer's kernel responds
+// with a reset, which may not have arrived yet. Bytes that were received but not read would have
+// made the peer's close a reset.
 bool Connection::has_unread_bytes() const {
   int unacknowledged = 0;
   ::ioctl(fd_, SIOCOUTQ, &unacknowledged);
-  // In this order: a reset that comes in between discards what is unacknowledged and leaves its
-  // error.
+  // The error is read last: a reset that arrives between the two calls discards the unacknowledged
+  // bytes and sets the error.
   int error = 0;
   socklen_t length = sizeof error;
   ::getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &length);
--- a/tests/soak/connection.h
+++ b/tests/soak/connection.h
@@ -1,5 +1,5 @@
-/// A client's connection as the kernel shows it: it tells a close that came before a request was
-/// read from one that came after.
+/// A client's connection that uses the kernel's socket state to find out whether the peer closed it
+/// before or after it had read a request.
 #pragma once
 #include <functional>
 #include <memory>
@@ -12,11 +12,11 @@
 namespace robinhoist::soak {
 
 enum class CloseKind {
-  orderly,  ///< the peer closed and had read all that was sent
-  unread    ///< the peer's side was gone before it read all that was sent, or the peer reset it
+  orderly,  ///< the peer had read all sent bytes before it closed the connection
+  unread    ///< the peer closed before it had read all sent bytes, or reset the connection
 };
 
-/// It may be closed from inside its handlers, and destroyed from outside of them.
+/// A connection may be closed, but not destroyed, from inside its handlers.
 class Connection {
  public:
   struct Handlers {
@@ -30,9 +30,9 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  /// False: nobody listens there, or the peer has closed already.
+  /// Whether the connection was established and the peer has not closed it.
   bool open() const;
-  /// False: the bytes did not all reach the kernel.
+  /// Returns false unless the kernel accepted all bytes.
   bool send(std::string_view bytes);
   /// Closes this side. No handler runs afterwards.
   void close();
--- a/tests/soak/endpoints.cpp
+++ b/tests/soak/endpoints.cpp
@@ -16,7 +16,7 @@
   return target == "/book" ? RequestKind::idempotent_with_key : RequestKind::non_idempotent;
 }
 
-// "1234u", microseconds.
+// Parses a timeout such as 1234u, in microseconds.
 Duration parse_timeout(std::string_view text) {
   return Duration(std::atol(std::string(text).c_str()));
 }
@@ -45,9 +45,9 @@
                         .request_id = std::string(headers.get("Request-Id")),
                         .key = std::string(headers.get("Idempotency-Key")),
                         .kind = kind_of(exchange->request.target),
-                        .told_timeout = parse_timeout(headers.get("Request-Timeout"))};
+                        .timeout = parse_timeout(headers.get("Request-Timeout"))};
   const bool rejected = chance(endpoint.reject_share);
-  const long work = observer_.attempt_arrived(arrival, rejected);
+  const long attempt_id = observer_.attempt_arrived(arrival, rejected);
   if (rejected) {
     exchange->answer(rejection());
     return;
@@ -56,25 +56,27 @@
     unanswered_.push_back(exchange);
     return;
   }
-  const Run outcome{.has_effect = begin_effect(arrival), .fails = chance(endpoint.error_share)};
+  const RunOutcome outcome{.has_effect = begin_effect(arrival),
+                           .fails = chance(endpoint.error_share)};
   const Duration delay(std::uniform_int_distribution<std::int64_t>(
       endpoint.min_delay.count(), endpoint.max_delay.count())(random_));
-  timers_.in(delay, [this, &endpoint, exchange, arrival, work, outcome] {
-    run(endpoint, exchange, arrival, work, outcome);
+  timers_.in(delay, [this, &endpoint, exchange, arrival, attempt_id, outcome] {
+    run(endpoint, exchange, arrival, attempt_id, outcome);
   });
 }
 
 void Endpoints::run(const EndpointPlan& endpoint, const http::ExchangePtr& exchange,
-                    const Arrival& arrival, long work, Run run) {
-  if (run.has_effect && !arrival.key.empty())
+                    const Arrival& arrival, long attempt_id, RunOutcome outcome) {
+  if (outcome.has_effect && !arrival.key.empty())
     keys_[arrival.key] = loop_.now();
-  observer_.attempt_ran(endpoint.name, work, run.has_effect ? "well" : "repeat", run.has_effect);
-  exchange->answer(run.fails ? http::text_response(500, "failed")
-                             : http::text_response(200, arrival.request_id));
+  observer_.attempt_ran(endpoint.name, attempt_id, outcome.has_effect ? "well" : "repeat",
+                        outcome.has_effect);
+  exchange->answer(outcome.fails ? http::text_response(500, "failed")
+                                 : http::text_response(200, arrival.request_id));
 }
 
-// Whether a run that begins now changes data. What arrives while its key is remembered, or while
-// another run of the key is under way, is a repeat, however long it then takes.
+// Whether a run that starts now has an effect. A request that arrives while its key is remembered,
+// or while another run with the same key is in progress, is a duplicate regardless of its duration.
 bool Endpoints::begin_effect(const Arrival& arrival) {
   if (arrival.kind != RequestKind::idempotent_with_key)
     return arrival.kind == RequestKind::non_idempotent;
--- a/tests/soak/endpoints.h
+++ b/tests/soak/endpoints.h
@@ -14,7 +14,7 @@
 
 namespace robinhoist::soak {
 
-/// Endpoints that deduplicate by key among each other, each as its plan says.
+/// Endpoints that behave as planned and share one set of idempotency keys for deduplication.
 class Endpoints {
  public:
   Endpoints(net::Loop& loop, const Plan& plan, Observer& observer);
@@ -23,19 +23,19 @@
   const std::string& name(std::size_t endpoint) const { return plan_.endpoints[endpoint].name; }
   int port(std::size_t endpoint) const { return servers_[endpoint]->port(); }
 
-  /// Breaks all connections of one that is drawn.
+  /// Resets all connections of a randomly chosen endpoint.
   void reset_some();
-  /// Closes the idle connections of one that is drawn.
+  /// Closes the idle connections of a randomly chosen endpoint.
   void close_some_idle();
 
  private:
   void handle(const EndpointPlan& endpoint, const http::ExchangePtr& exchange);
-  struct Run {
+  struct RunOutcome {
     bool has_effect;
-    bool fails;  ///< it is answered with an error
+    bool fails;  ///< whether it is answered with an error
   };
   void run(const EndpointPlan& endpoint, const http::ExchangePtr& exchange, const Arrival& arrival,
-           long work, Run run);
+           long attempt_id, RunOutcome outcome);
   bool begin_effect(const Arrival& arrival);
   http::Server& draw_server();
   bool chance(double share) { return std::bernoulli_distribution(share)(random_); }
@@ -45,8 +45,10 @@
   const Plan& plan_;
   Observer& observer_;
   std::mt19937 random_;
-  std::map<std::string, std::optional<TimePoint>> keys_{};  ///< when they ran; none: they run now
-  std::vector<http::ExchangePtr> unanswered_{};             ///< kept: dropped, they would answer
+  /// When the request of each key ran; nothing while it is running.
+  std::map<std::string, std::optional<TimePoint>> keys_{};
+  /// Kept alive, because an exchange is answered when it is destroyed.
+  std::vector<http::ExchangePtr> unanswered_{};
   std::vector<std::unique_ptr<http::Server>> servers_{};
 };
 
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,6 +1,6 @@
-// The soak: seeded runs of the program on the operators' platform, from its start to SIGKILL,
-// audited from the wire. Prints a line of a table for each run. Exit status: 0 all rules kept, 1
-// some broken, 2 bad command line.
+// The soak: seeded runs of the program on the operators' platform, from its start to SIGKILL. Each
+// run is audited by its network traffic and reported as a table row. Exit status: 0 if all rules
+// were kept, 1 if some were broken, 2 for a command line error.
 #include <unistd.h>
 
 #include <cstdio>
@@ -19,16 +19,16 @@
     "| seed | series | requests | succeeded | rejected | failed | left | unreached | ended by | "
     "rules |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
-int count_of(const RunResult& result, const char* end) {
-  const auto found = result.ends.find(end);
-  return found == result.ends.end() ? 0 : found->second;
+int count_of(const RunResult& result, const char* outcome) {
+  const auto found = result.outcome_counts.find(outcome);
+  return found == result.outcome_counts.end() ? 0 : found->second;
 }
 
 void print_row(long seed, const RunResult& result) {
   std::printf("| %ld | %s | %d | %d | %d | %d | %d | %d | %s | %s |\n", seed,
               result.description.c_str(), result.requests(), count_of(result, "settled"),
               count_of(result, "declined"), count_of(result, "voided"), count_of(result, "left"),
-              count_of(result, "unreached"), result.ended_by_itself ? "itself" : "SIGKILL",
+              count_of(result, "unreached"), result.exited_before_kill ? "itself" : "SIGKILL",
               result.breaches.empty() ? "kept" : "BROKEN");
   for (const std::string& breach : result.breaches)
     std::printf("  seed %ld: %s\n", seed, breach.c_str());
@@ -42,7 +42,7 @@
   return (std::filesystem::temp_directory_path() / name).string();
 }
 
-int play(const Options& options) {
+int run_seeds(const Options& options) {
   if (options.check_only) {
     std::printf("%ld %ld\n", options.first_seed, options.last_seed);
     return 0;
@@ -52,7 +52,7 @@
     std::puts(table_head);
   long broken = 0;
   for (long seed = options.first_seed; seed <= options.last_seed; ++seed) {
-    const RunResult result = play_run(seed, folder + "/" + std::to_string(seed));
+    const RunResult result = execute_run(seed, folder + "/" + std::to_string(seed));
     print_row(seed, result);
     broken += result.breaches.empty() ? 0 : 1;
   }
@@ -70,7 +70,7 @@
 
 int main(int argc, char** argv) {
   try {
-    return play(parse_options(std::vector<std::string>(argv + 1, argv + argc)));
+    return run_seeds(parse_options(std::vector<std::string>(argv + 1, argv + argc)));
   } catch (const UsageError& error) {
     std::fprintf(stderr, "soak: %s\n", error.what());
     return 2;
--- a/tests/soak/observer.cpp
+++ b/tests/soak/observer.cpp
@@ -11,10 +11,11 @@
 using namespace std::chrono_literals;
 
 constexpr Duration tick_interval = 2ms;
-// An attempt that begins later than this after its client left is a breach.
-constexpr Duration max_start_after_leave = 100ms;
-// The time that an attempt tells its endpoint may exceed what is left to the client by this.
-constexpr Duration max_told_excess = 150ms;
+// An attempt that reaches its endpoint later than this after its client disconnected is a breach.
+constexpr Duration max_start_after_disconnect = 100ms;
+// The timeout that an attempt states to its endpoint may exceed the client's remaining time by
+// this.
+constexpr Duration max_timeout_excess = 150ms;
 constexpr Duration socket_slack = 50ms;
 constexpr const char* proxy_name = "n0";
 constexpr const char* zone = "here";
@@ -28,7 +29,8 @@
   meta.seed = seed;
   meta.proxies = 1;
   meta.length = 10s;
-  meta.answer_slack = 500ms;  // an answer up to so late earns nothing, but it is not lost
+  meta.answer_slack =
+      500ms;  // a response up to this late earns nothing, but does not count as lost
   meta.drain_grace = 1s + socket_slack;
   meta.window = 2s;
   meta.fall_window = 1s;
@@ -79,7 +81,7 @@
       stalls_(loop),
       clients_(path(folder, "clients.jsonl")),
       endpoints_(path(folder, "nodes.jsonl")),
-      told_(path(folder, "told.jsonl")),
+      updates_(path(folder, "told.jsonl")),
       proxies_(path(folder, "umpires.jsonl")) {
   record::write(path(folder, "meta.json"), meta_of(seed));
 }
@@ -104,21 +106,21 @@
                         .speed = 1});
 }
 
-void Observer::list_told(const std::vector<registry::Endpoint>& entries, bool complete) {
-  record::told_list(told_, loop_.now(), proxy_name, entries, complete);
+void Observer::list_sent(const std::vector<registry::Endpoint>& entries, bool complete) {
+  record::told_list(updates_, loop_.now(), proxy_name, entries, complete);
 }
 
-void Observer::release_told() {
-  record::told_news(told_, loop_.now(), proxy_name, 1, 0, "released", 1);
+void Observer::release_sent() {
+  record::told_news(updates_, loop_.now(), proxy_name, 1, 0, "released", 1);
 }
 
 long Observer::attempt_arrived(const Arrival& arrival, bool rejected) {
-  const long work = next_work_++;
+  const long attempt_id = next_attempt_id_++;
   const std::string name = std::string(proxy_name) + "." + arrival.request_id;
   record::node_met(endpoints_, stalls_.earliest(), rejected ? "refused" : "taken",
                    {.endpoint = arrival.endpoint,
                     .build = 1,
-                    .id = work,
+                    .id = attempt_id,
                     .request_class = static_cast<int>(arrival.kind),
                     .request_name = name,
                     .attempt = "1",
@@ -126,29 +128,31 @@
                     .key = arrival.key,
                     .work = "0"});
   check_arrival(arrival);
-  return work;
+  return attempt_id;
 }
 
 void Observer::check_arrival(const Arrival& arrival) {
   const auto request = requests_.find(arrival.request_id);
   if (request == requests_.end()) {
-    add_breach("an attempt of request " + arrival.request_id + ", which no client sent");
+    add_breach("an attempt of request " + arrival.request_id + ", which was sent by no client");
     return;
   }
   const TimePoint at = stalls_.earliest();
   SentRequest& sent = request->second;
   sent.forwarded = true;
-  if (sent.left != TimePoint{} && at > sent.left + max_start_after_leave)
+  if (sent.disconnected_at != TimePoint{} && at > sent.disconnected_at + max_start_after_disconnect)
     add_breach("request " + arrival.request_id + " was sent to " + arrival.endpoint + " " +
-               to_ms(at - sent.left) + " after its client had left");
+               to_ms(at - sent.disconnected_at) + " after its client had disconnected");
   const Duration time_left = sent.deadline - at;
-  if (arrival.told_timeout > time_left + max_told_excess)
-    add_breach("request " + arrival.request_id + " told " + arrival.endpoint + " " +
-               to_ms(arrival.told_timeout) + " where " + to_ms(time_left) + " were left");
+  if (arrival.timeout > time_left + max_timeout_excess)
+    add_breach("request " + arrival.request_id + " was sent to " + arrival.endpoint +
+               " with a timeout of " + to_ms(arrival.timeout) + " when " + to_ms(time_left) +
+               " were left");
 }
 
-void Observer::attempt_ran(const std::string& endpoint, long work, const char* how, bool effect) {
-  record::node_ran(endpoints_, loop_.now(), endpoint, work, how, effect);
+void Observer::attempt_ran(const std::string& endpoint, long attempt_id, const char* how,
+                           bool effect) {
+  record::node_ran(endpoints_, loop_.now(), endpoint, attempt_id, how, effect);
 }
 
 void Observer::request_sent(const ClientRequest& request) {
@@ -160,14 +164,14 @@
   return sent != requests_.end() && sent->second.forwarded;
 }
 
-void Observer::client_left(const ClientRequest& request) {
-  requests_[std::to_string(request.id)].left = loop_.now();
+void Observer::client_disconnected(const ClientRequest& request) {
+  requests_[std::to_string(request.id)].disconnected_at = loop_.now();
   request_ended(request, "left", 0, true);
 }
 
-void Observer::request_ended(const ClientRequest& request, const char* end, int status,
+void Observer::request_ended(const ClientRequest& request, const char* outcome, int status,
                              bool right) {
-  ++ends_[end];
+  ++outcome_counts_[outcome];
   record::tried(clients_, {.from = request.sent,
                            .to = std::max(request.sent, stalls_.earliest()),
                            .until = request.deadline,
@@ -179,7 +183,7 @@
                            .proxy = proxy_name,
                            .key = request.key,
                            .poison = false,
-                           .end = end,
+                           .end = outcome,
                            .status = status,
                            .why = "",
                            .endpoint = "",
@@ -192,7 +196,7 @@
 }
 
 void Observer::flush() {
-  for (record::Writer* writer : {&clients_, &endpoints_, &told_, &proxies_})
+  for (record::Writer* writer : {&clients_, &endpoints_, &updates_, &proxies_})
     writer->flush();
 }
 
--- a/tests/soak/observer.h
+++ b/tests/soak/observer.h
@@ -1,5 +1,5 @@
-/// What a run of the soak saw: its record for the auditor, and what it checks beside the auditor's
-/// five rules.
+/// Observes a run of the soak: writes the record for the auditor, and makes the checks that are not
+/// among the auditor's five rules.
 #pragma once
 #include <map>
 #include <string>
@@ -14,11 +14,11 @@
 
 namespace robinhoist::soak {
 
-/// The request classes of tests/platform/config.json, in their order.
+/// The request classes of tests/platform/config.json, in the order of the file.
 enum class RequestKind { idempotent, idempotent_with_key, non_idempotent };
 
-/// Knows how long ago an event may really have happened that a handler sees now, because the loop
-/// of the test itself was held up.
+/// Measures stalls of the test's own loop. After a stall, an event may have happened earlier than
+/// its handler runs.
 class StallMonitor {
  public:
   explicit StallMonitor(net::Loop& loop);
@@ -48,49 +48,49 @@
   TimePoint deadline{};
 };
 
-/// An attempt as it reached an endpoint.
+/// An attempt as received by an endpoint.
 struct Arrival {
   std::string endpoint{};
   std::string request_id{};
   std::string key{};
   RequestKind kind{};
-  Duration told_timeout{};
+  Duration timeout{};
 };
 
 class Observer {
  public:
-  /// Writes the record into a folder, which has to exist.
+  /// Writes the record into a folder, which must exist.
   Observer(net::Loop& loop, const std::string& folder, long seed);
 
   void proxy_started();
   void proxy_ended();
   void endpoint_started(const std::string& name);
-  void list_told(const std::vector<registry::Endpoint>& entries, bool complete);
-  void release_told();
+  void list_sent(const std::vector<registry::Endpoint>& entries, bool complete);
+  void release_sent();
 
-  /// Returns the number of the work.
+  /// Returns the id of the attempt in the record.
   long attempt_arrived(const Arrival& arrival, bool rejected);
-  void attempt_ran(const std::string& endpoint, long work, const char* how, bool effect);
+  void attempt_ran(const std::string& endpoint, long attempt_id, const char* how, bool effect);
 
   long next_request_id() { return next_request_id_++; }
   void request_sent(const ClientRequest& request);
-  /// `end` is one of the record's words.
-  void request_ended(const ClientRequest& request, const char* end, int status, bool right);
-  /// Whether an attempt of it has reached an endpoint.
+  /// `outcome` is one of the words of the record.
+  void request_ended(const ClientRequest& request, const char* outcome, int status, bool right);
+  /// Whether an attempt of the request has reached an endpoint.
   bool was_forwarded(const ClientRequest& request) const;
-  void client_left(const ClientRequest& request);
+  void client_disconnected(const ClientRequest& request);
 
-  /// A rule that did not hold, beside those of the auditor.
+  /// Reports that a rule did not hold, in addition to the rules of the auditor.
   void add_breach(const std::string& what);
   const std::vector<std::string>& breaches() const { return breaches_; }
-  const std::map<std::string, int>& ends() const { return ends_; }
+  const std::map<std::string, int>& outcome_counts() const { return outcome_counts_; }
   const StallMonitor& stalls() const { return stalls_; }
   void flush();
 
  private:
   struct SentRequest {
     TimePoint deadline;
-    TimePoint left;  ///< zero: its client has not left
+    TimePoint disconnected_at;  ///< zero while the client is connected
     bool forwarded = false;
   };
   void check_arrival(const Arrival& arrival);
@@ -99,12 +99,12 @@
   StallMonitor stalls_;
   record::Writer clients_;
   record::Writer endpoints_;
-  record::Writer told_;
+  record::Writer updates_;
   record::Writer proxies_;
   std::unordered_map<std::string, SentRequest> requests_{};
-  std::map<std::string, int> ends_{};
+  std::map<std::string, int> outcome_counts_{};
   std::vector<std::string> breaches_{};
-  long next_work_ = 1;
+  long next_attempt_id_ = 1;
   long next_request_id_ = 1;
 };
 
--- a/tests/soak/options.cpp
+++ b/tests/soak/options.cpp
@@ -12,7 +12,8 @@
   const char* end = text.data() + text.size();
   const auto [stopped, error] = std::from_chars(text.data(), end, seed);
   if (error != std::errc{} || stopped != end || seed < 1 || seed > max_seed)
-    throw UsageError("--seeds: '" + text + "' is no number from 1 to " + std::to_string(max_seed));
+    throw UsageError("--seeds: '" + text + "' is not a number from 1 to " +
+                     std::to_string(max_seed));
   return seed;
 }
 
@@ -35,7 +36,7 @@
     } else if (*word == "--rows") {
       options.rows_only = true;
     } else if (*word != "--seeds" && *word != "--out") {
-      throw UsageError("'" + *word + "' is no option: --seeds FIRST[-LAST], --out DIR");
+      throw UsageError("unknown option '" + *word + "': use --seeds FIRST[-LAST], --out DIR");
     } else if (word + 1 == words.end()) {
       throw UsageError(*word + " needs a value");
     } else if (*word == "--seeds") {
--- a/tests/soak/options.h
+++ b/tests/soak/options.h
@@ -10,16 +10,16 @@
   long first_seed = 1;
   long last_seed = 1;
   std::string folder{};     ///< for the records of the runs
-  bool check_only = false;  ///< the command line; prints the seeds and plays nothing
-  bool rows_only = false;   ///< no head and no sum: one of several tables that run at once
+  bool check_only = false;  ///< only check the command line and print the seeds
+  bool rows_only = false;   ///< print neither table head nor summary, for parallel processes
 };
 
-/// Says in one line which word of the command line is wrong, and what is allowed.
+/// The message states in one line which argument is invalid and what is allowed.
 struct UsageError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Reads `[--check|--rows] [--seeds FIRST[-LAST]] [--out DIR]`. Throws UsageError.
+/// Parses `[--check|--rows] [--seeds FIRST[-LAST]] [--out DIR]`. Throws UsageError.
 Options parse_options(const std::vector<std::string>& words);
 
 }  // namespace robinhoist::soak
--- a/tests/soak/plan.cpp
+++ b/tests/soak/plan.cpp
@@ -9,28 +9,28 @@
 
 using namespace std::chrono_literals;
 
-// SIGKILL comes no earlier than the longest deadline, counted as three seconds where it is shorter,
-// and so much more after SIGTERM.
+// SIGKILL follows SIGTERM after the longest deadline, or after three seconds if that is longer,
+// plus this margin.
 constexpr Duration min_kill_delay = 3s;
 constexpr Duration kill_margin = 700ms;
 
-class PlanDraw {
+class PlanGenerator {
  public:
-  explicit PlanDraw(long seed) : random_(static_cast<std::uint32_t>(seed)) {
+  explicit PlanGenerator(long seed) : random_(static_cast<std::uint32_t>(seed)) {
     plan_.seed = static_cast<std::uint32_t>(seed);
   }
 
   Plan draw() {
     plan_.terminate = between(900ms, 1800ms);
     if (chance(0.3))
-      draw_list_silence();
+      draw_list_stall();
     plan_.last_connect = plan_.terminate + between(200ms, 400ms);
     plan_.kill = plan_.terminate + std::max(max_request_timeout, min_kill_delay) + kill_margin;
     plan_.clients = static_cast<int>(integer(8, 40));
-    plan_.leave_share = chance(0.7) ? 0.05 : 0.25;
+    plan_.disconnect_share = chance(0.7) ? 0.05 : 0.25;
     draw_endpoints();
     draw_signals();
-    draw_troubles();
+    draw_faults();
     return plan_;
   }
 
@@ -43,10 +43,11 @@
   }
   bool chance(double share) { return std::bernoulli_distribution(share)(random_); }
 
-  // A silence that lasts long enough for the change in it to count as told, and for its grace.
-  void draw_list_silence() {
-    plan_.list_silence = between(100ms, 500ms);
-    plan_.terminate = *plan_.list_silence + max_change_delay + between(1200ms, 2s);
+  // The stall lasts long enough for a change during it to count as known to the proxy, and for the
+  // grace period after that.
+  void draw_list_stall() {
+    plan_.list_stall = between(100ms, 500ms);
+    plan_.terminate = *plan_.list_stall + max_change_delay + between(1200ms, 2s);
   }
 
   void draw_endpoints() {
@@ -57,7 +58,7 @@
       endpoint.max_delay = endpoint.min_delay + (chance(0.5) ? between(100ms, 450ms) : 30ms);
       endpoint.reject_share = chance(0.3) ? 0.1 : 0;
       endpoint.error_share = chance(0.3) ? 0.05 : 0;
-      // The first is never one that hangs for good, so that the run serves something.
+      // The first endpoint never hangs, so that some requests succeed.
       endpoint.hang_share = i > 0 && chance(0.5) ? (chance(0.3) ? 1 : 0.2) : 0;
       plan_.endpoints.push_back(endpoint);
     }
@@ -67,8 +68,8 @@
     plan_.signals.push_back({at, number, config});
   }
 
-  // The series that the protocol allows: reloads in a row, before and after the end began, at the
-  // same instant, of a file that cannot be read, and a second SIGTERM.
+  // The sequences of signals that the protocol allows: several reloads, before, after and at the
+  // same time as the first SIGTERM, also of an unreadable file, and a second SIGTERM.
   void draw_signals() {
     const Duration end = plan_.terminate;
     const std::int64_t reloads = integer(0, 3);
@@ -90,13 +91,13 @@
         [](const SignalEvent& one, const SignalEvent& other) { return one.at < other.at; });
   }
 
-  void draw_troubles() {
+  void draw_faults() {
     const Duration end = plan_.terminate;
     if (chance(0.4))
-      plan_.crowd = between(100ms, end + 300ms);
+      plan_.bad_clients_at = between(100ms, end + 300ms);
     const std::size_t last = plan_.endpoints.size() - 1;
-    if (plan_.list_silence)
-      plan_.drains.push_back({*plan_.list_silence + between(100ms, 2s), last});
+    if (plan_.list_stall)
+      plan_.drains.push_back({*plan_.list_stall + between(100ms, 2s), last});
     else if (last > 1 && chance(0.5))
       plan_.drains.push_back({between(100ms, end + 200ms), last});
     for (std::int64_t i = integer(0, 3); i > 0; --i)
@@ -121,9 +122,9 @@
   std::string text;
   for (const SignalEvent& signal : signals)
     text += (text.empty() ? "" : " ") + std::string(name_of(signal));
-  if (crowd)
+  if (bad_clients_at)
     text += ", crowd";
-  if (list_silence)
+  if (list_stall)
     text += ", silent list";
   if (!drains.empty())
     text += ", drain";
@@ -133,7 +134,7 @@
 }
 
 Plan draw_plan(long seed) {
-  return PlanDraw(seed).draw();
+  return PlanGenerator(seed).draw();
 }
 
 }  // namespace robinhoist::soak
--- a/tests/soak/plan.h
+++ b/tests/soak/plan.h
@@ -1,4 +1,4 @@
-/// What happens in one run of the soak, drawn from its seed.
+/// The plan of events in one run of the soak, generated from its seed.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -9,14 +9,14 @@
 
 namespace robinhoist::soak {
 
-/// The configuration file as a SIGHUP finds it.
+/// The change of the configuration file before a SIGHUP.
 enum class ConfigChange {
   none,
-  move,       ///< the services are at other addresses
-  unreadable  ///< half written
+  move,       ///< the services have other addresses
+  unreadable  ///< truncated
 };
 
-/// Times are since the traffic began.
+/// A signal to the program. All times of a plan are relative to the start of the traffic.
 struct SignalEvent {
   Duration at{};
   int number = 0;
@@ -27,9 +27,9 @@
   std::string name{};
   Duration min_delay{};
   Duration max_delay{};
-  double hang_share = 0;    ///< of requests: never answered
-  double reject_share = 0;  ///< of requests: turned away without being run
-  double error_share = 0;   ///< of requests: run, and answered with an error
+  double hang_share = 0;    ///< of requests that are never answered
+  double reject_share = 0;  ///< of requests that are rejected without being run
+  double error_share = 0;   ///< of requests that run and are answered with an error
 };
 
 struct DrainEvent {
@@ -42,25 +42,26 @@
   std::vector<EndpointPlan> endpoints{};
   std::vector<SignalEvent> signals{};  ///< in order of time
   std::vector<DrainEvent> drains{};
-  std::vector<Duration> resets{};          ///< an endpoint breaks all of its connections
-  std::vector<Duration> idle_closes{};     ///< an endpoint closes its idle connections
-  std::optional<Duration> list_silence{};  ///< the open watches of the endpoint list fall silent
-  std::optional<Duration> crowd{};         ///< a crowd of bad clients connects
+  std::vector<Duration> resets{};       ///< an endpoint resets all of its connections
+  std::vector<Duration> idle_closes{};  ///< an endpoint closes its idle connections
+  std::optional<Duration>
+      list_stall{};  ///< the open watches of the endpoint list stop sending data
+  std::optional<Duration> bad_clients_at{};  ///< many misbehaving clients connect
   int clients = 0;
-  double leave_share = 0;   ///< of requests whose client leaves before the answer
-  Duration terminate{};     ///< the first SIGTERM
-  Duration last_connect{};  ///< clients open new connections until then
+  double disconnect_share = 0;  ///< of requests whose client disconnects before the response
+  Duration terminate{};         ///< the first SIGTERM
+  Duration last_connect{};      ///< clients open new connections until then
   Duration kill{};
 
-  /// The names of what is special about the run, for the table.
+  /// The signals and faults of the run, for the table.
   std::string describe() const;
 };
 
-/// The time that clients give a request at most; the longest deadline of the settings.
+/// The longest timeout of a client's request, which is the longest deadline of the settings.
 inline constexpr Duration max_request_timeout = std::chrono::milliseconds(400);
 
-/// A change of the endpoint list counts as told so long after the watch fell silent, whether or not
-/// it came.
+/// A change of the endpoint list counts as known to the proxy this long after the watch stalled,
+/// whether or not it was received.
 inline constexpr Duration max_change_delay = std::chrono::seconds(6);
 
 Plan draw_plan(long seed);
--- a/tests/soak/run.cpp
+++ b/tests/soak/run.cpp
@@ -25,12 +25,12 @@
 
 using namespace std::chrono_literals;
 
-// No SIGHUP comes in the first second of a process.
+// The platform sends no SIGHUP in the first second of a process.
 constexpr Duration min_start_time = 1100ms;
 constexpr Duration max_start_time = 30s;
 constexpr Duration exit_check_interval = 5ms;
 constexpr Duration readiness_interval = 10ms;
-constexpr int crowd_size = 300;  // more than the 256 descriptors of the configuration
+constexpr int bad_client_count = 300;  // more than the 256 descriptors of the configuration
 constexpr int max_descriptors = 256;
 
 class Run {
@@ -41,7 +41,7 @@
         observer_(loop_, folder_, seed),
         endpoints_(loop_, plan_, observer_),
         list_(observer_),
-        crowd_(loop_, port_, observer_, plan_.seed + 2) {
+        bad_clients_(loop_, port_, observer_, plan_.seed + 2) {
     for (std::size_t i = 0; i < endpoints_.count(); ++i)
       list_.add({.name = endpoints_.name(i),
                  .address = "127.0.0.1:" + std::to_string(endpoints_.port(i)),
@@ -50,7 +50,7 @@
     write_config(whole_config());
   }
 
-  RunResult play() {
+  RunResult execute() {
     proxy_ = std::make_unique<tests::ChildProcess>(
         tests::Words{"platform", "--config", config_file()}, folder_ + "/proxy.log",
         static_cast<rlim_t>(max_descriptors));
@@ -58,7 +58,7 @@
     const TimePoint started = loop_.now();
     when_ready([this, started] { start_traffic(std::max(loop_.now(), started + min_start_time)); });
     start_limit_ = loop_.in(max_start_time, [this] {
-      observer_.add_breach("not ready after 30 s");
+      observer_.add_breach("the program was not ready after 30 s");
       loop_.stop();
     });
     loop_.run();
@@ -110,12 +110,12 @@
       timers_.at(start + reset, [this] { endpoints_.reset_some(); });
     for (const Duration close : plan_.idle_closes)
       timers_.at(start + close, [this] { endpoints_.close_some_idle(); });
-    if (plan_.list_silence) {
-      timers_.at(start + *plan_.list_silence, [this] { services_.back()->fall_silent(); });
-      timers_.at(start + *plan_.list_silence + max_change_delay, [this] { list_.note_told(true); });
+    if (plan_.list_stall) {
+      timers_.at(start + *plan_.list_stall, [this] { services_.back()->stall_list_watches(); });
+      timers_.at(start + *plan_.list_stall + max_change_delay, [this] { list_.record_sent(true); });
     }
-    if (plan_.crowd)
-      timers_.at(start + *plan_.crowd, [this] { crowd_.connect(crowd_size); });
+    if (plan_.bad_clients_at)
+      timers_.at(start + *plan_.bad_clients_at, [this] { bad_clients_.connect(bad_client_count); });
     terminate_at_ = start + plan_.terminate;
     timers_.at(start + plan_.kill, [this] { kill_proxy(); });
     watch_for_exit();
@@ -123,7 +123,7 @@
 
   void send_signal(const SignalEvent& signal) {
     if (signal.config == ConfigChange::move) {
-      services_.back()->retire();
+      services_.back()->shut_down();
       add_services();
       write_config(whole_config());
     } else if (signal.config == ConfigChange::unreadable) {
@@ -147,7 +147,7 @@
     }
     proxy_->pid = 0;
     observer_.proxy_ended();
-    ended_by_itself_ = true;
+    exited_before_kill_ = true;
     if (loop_.now() < terminate_at_)
       observer_.add_breach("the program ended before SIGTERM");
     if (!WIFEXITED(status) || WEXITSTATUS(status) != 0)
@@ -156,8 +156,8 @@
 
   void kill_proxy() {
     for (const auto& client : clients_)
-      client->expect_nothing_open();
-    if (!ended_by_itself_) {
+      client->check_no_open_request();
+    if (!exited_before_kill_) {
       proxy_->end(SIGKILL);
       observer_.proxy_ended();
     }
@@ -166,12 +166,12 @@
 
   RunResult finish() {
     observer_.flush();
-    if (observer_.ends().count("settled") == 0)
+    if (observer_.outcome_counts().count("settled") == 0)
       observer_.add_breach("no request succeeded");
     RunResult result{.description = plan_.describe(),
-                     .ends = observer_.ends(),
+                     .outcome_counts = observer_.outcome_counts(),
                      .breaches = observer_.breaches(),
-                     .ended_by_itself = ended_by_itself_,
+                     .exited_before_kill = exited_before_kill_,
                      .longest_stall = observer_.stalls().longest()};
     const audit::Report report = audit::audit(folder_);
     for (const audit::RuleReport& rule : report.rules)
@@ -194,23 +194,23 @@
   EndpointList list_;
   std::vector<std::unique_ptr<Services>> services_{};
   std::vector<std::unique_ptr<Client>> clients_{};
-  Crowd crowd_;
+  BadClients bad_clients_;
   std::unique_ptr<tests::ChildProcess> proxy_{};
   net::Loop::Timer start_limit_ = net::Loop::no_timer;
   TimePoint terminate_at_{};
-  bool ended_by_itself_ = false;
+  bool exited_before_kill_ = false;
 };
 
 }  // namespace
 
 int RunResult::requests() const {
-  return std::accumulate(ends.begin(), ends.end(), 0,
+  return std::accumulate(outcome_counts.begin(), outcome_counts.end(), 0,
                          [](int sum, const auto& end) { return sum + end.second; });
 }
 
-RunResult play_run(long seed, const std::string& folder) {
+RunResult execute_run(long seed, const std::string& folder) {
   std::filesystem::create_directories(folder);
-  return Run(seed, folder).play();
+  return Run(seed, folder).execute();
 }
 
 }  // namespace robinhoist::soak
--- a/tests/soak/run.h
+++ b/tests/soak/run.h
@@ -1,5 +1,5 @@
 /// One run of the soak: the program on the operators' platform from its start to SIGKILL, with
-/// clients that use their connections to the end.
+/// clients that use their connections until it ends.
 #pragma once
 #include <map>
 #include <string>
@@ -11,15 +11,16 @@
 
 struct RunResult {
   std::string description{};
-  std::map<std::string, int> ends{};  ///< how many requests ended how, in the record's words
+  std::map<std::string, int>
+      outcome_counts{};  ///< number of requests by outcome, in the words of the record
   std::vector<std::string> breaches{};
-  bool ended_by_itself = false;  ///< before SIGKILL
-  Duration longest_stall{};      ///< of the test itself
+  bool exited_before_kill = false;  ///< whether the program exited before SIGKILL
+  Duration longest_stall{};         ///< of the test's own loop
 
   int requests() const;
 };
 
-/// Plays the run of a seed and audits it. The record is left in the folder, which is made.
-RunResult play_run(long seed, const std::string& folder);
+/// Executes and audits the run of a seed. The record is left in the folder, which is created.
+RunResult execute_run(long seed, const std::string& folder);
 
 }  // namespace robinhoist::soak
--- a/tests/soak/services.cpp
+++ b/tests/soak/services.cpp
@@ -7,7 +7,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration sign_of_life_interval = 1s;  // of the release; the list has one every other
+constexpr Duration keepalive_interval =
+    1s;  // of release watches; list watches get every second one
 constexpr Duration retired_connection_lifetime = 1500ms;
 constexpr const char* release =
     R"({"Revision":1,"Wave":0,"State":"COMPLETE","MaxShare":1.0,"AgeMs":9000})";
@@ -41,8 +42,8 @@
   return line({entries_[last_changed_]}, false);
 }
 
-void EndpointList::note_told(bool complete) const {
-  observer_.list_told(complete ? entries_ : std::vector{entries_[last_changed_]}, complete);
+void EndpointList::record_sent(bool complete) const {
+  observer_.list_sent(complete ? entries_ : std::vector{entries_[last_changed_]}, complete);
 }
 
 Services::Services(net::Loop& loop, EndpointList& list, Observer& observer)
@@ -51,18 +52,18 @@
       observer_(observer),
       server_(loop, http::ServerSettings{},
               [this](const http::ExchangePtr& exchange) { handle(exchange); }) {
-  keep_alive();
+  send_keepalives();
 }
 
 Services::~Services() = default;
 
-void Services::keep_alive() {
+void Services::send_keepalives() {
   for (const http::ExchangePtr& watch : release_watches_)
     watch->write("{}\n");
   if (++ticks_ % 2 == 0)
     for (const http::ExchangePtr& watch : list_watches_)
       watch->write("\n");
-  timers_.in(sign_of_life_interval, [this] { keep_alive(); });
+  timers_.in(keepalive_interval, [this] { send_keepalives(); });
 }
 
 void Services::handle(const http::ExchangePtr& exchange) {
@@ -74,28 +75,28 @@
   if (exchange->request.target == "/v1/watch") {
     release_watches_.push_back(exchange);
     exchange->write(std::string("{\"type\":\"ROLLOUT\",\"object\":") + release + "}\n");
-    observer_.release_told();
+    observer_.release_sent();
     return;
   }
   list_watches_.push_back(exchange);
   exchange->write(list_.complete_line());
-  list_.note_told(true);
+  list_.record_sent(true);
 }
 
 void Services::push_change() {
   for (const http::ExchangePtr& watch : list_watches_) {
     if (watch->gone() || !watch->write(list_.last_change_line()))
       continue;
-    list_.note_told(false);
+    list_.record_sent(false);
   }
 }
 
-void Services::fall_silent() {
-  // Held open and said nothing on.
-  timers_.in(1h, [silent = std::exchange(list_watches_, {})] {});
+void Services::stall_list_watches() {
+  // The connections are kept open without further data.
+  timers_.in(1h, [stalled = std::exchange(list_watches_, {})] {});
 }
 
-void Services::retire() {
+void Services::shut_down() {
   server_.pause(true);
   timers_.in(retired_connection_lifetime, [this] { server_.reset_connections(); });
 }
--- a/tests/soak/services.h
+++ b/tests/soak/services.h
@@ -1,4 +1,4 @@
-/// The platform's services as the soak plays them: the endpoint list and the release.
+/// The platform's services as simulated by the soak: the endpoint list and the release.
 #pragma once
 #include <string>
 #include <vector>
@@ -10,7 +10,7 @@
 
 namespace robinhoist::soak {
 
-/// The endpoint list, shared by the services of all addresses.
+/// The endpoint list, shared by the services at all addresses.
 class EndpointList {
  public:
   explicit EndpointList(Observer& observer) : observer_(observer) {}
@@ -18,12 +18,12 @@
   void add(const registry::Endpoint& endpoint) { entries_.push_back(endpoint); }
   void set_draining(std::size_t endpoint);
   int version() const { return version_; }
-  /// The whole list as a line of the watch.
+  /// The complete list as a line of the watch.
   std::string complete_line() const;
-  /// The change that made the present version, as a line.
+  /// The last change as a line of the watch.
   std::string last_change_line() const;
-  /// Notes in the record that the proxy is told the whole list, or the last change.
-  void note_told(bool complete) const;
+  /// Records that the complete list or the last change was sent to the proxy.
+  void record_sent(bool complete) const;
 
  private:
   std::string line(const std::vector<registry::Endpoint>& entries, bool complete) const;
@@ -45,14 +45,14 @@
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
   /// Writes the last change to all open watches of the list.
   void push_change();
-  /// The open watches say nothing more; new ones do.
-  void fall_silent();
-  /// Takes no new connection, and closes the open ones a little later.
-  void retire();
+  /// Sends no more data on the open list watches. New watches are served normally.
+  void stall_list_watches();
+  /// Stops accepting connections, and closes the open ones a little later.
+  void shut_down();
 
  private:
   void handle(const http::ExchangePtr& exchange);
-  void keep_alive();
+  void send_keepalives();
 
   net::Timers timers_;
   EndpointList& list_;
--- a/tests/soak_options_test.cpp
+++ b/tests/soak_options_test.cpp
@@ -1,4 +1,4 @@
-/// The soak's command line, and that the series it draws are ones that the protocol allows.
+/// The soak's command line, and that generated plans are allowed by the platform's protocol.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -32,19 +32,20 @@
   EXPECT_EQ(several.folder, "x");
 }
 
-TEST(SoakOptions, NamesWhatIsWrong) {
-  EXPECT_EQ(error_of({"--seeds", "x"}), "--seeds: 'x' is no number from 1 to 1000000000");
-  EXPECT_EQ(error_of({"--seeds", "1-"}), "--seeds: '' is no number from 1 to 1000000000");
-  EXPECT_EQ(error_of({"--seeds", "0"}), "--seeds: '0' is no number from 1 to 1000000000");
+TEST(SoakOptions, ReportsTheInvalidArgument) {
+  EXPECT_EQ(error_of({"--seeds", "x"}), "--seeds: 'x' is not a number from 1 to 1000000000");
+  EXPECT_EQ(error_of({"--seeds", "1-"}), "--seeds: '' is not a number from 1 to 1000000000");
+  EXPECT_EQ(error_of({"--seeds", "0"}), "--seeds: '0' is not a number from 1 to 1000000000");
   EXPECT_EQ(error_of({"--seeds", "3-1"}), "--seeds: '3-1' ends before it begins");
-  EXPECT_EQ(error_of({"--seed", "3"}), "'--seed' is no option: --seeds FIRST[-LAST], --out DIR");
+  EXPECT_EQ(error_of({"--seed", "3"}),
+            "unknown option '--seed': use --seeds FIRST[-LAST], --out DIR");
   EXPECT_EQ(error_of({"--out"}), "--out needs a value");
 }
 
-TEST(SoakPlan, KeepsToTheProtocol) {
+TEST(SoakPlan, ConformsToTheProtocol) {
   constexpr long seeds = 1000;
-  int series_with_reload_after_the_end = 0;
-  int crowds = 0;
+  int plans_with_reload_after_shutdown = 0;
+  int plans_with_bad_clients = 0;
   for (long seed = 1; seed <= seeds; ++seed) {
     const Plan plan = draw_plan(seed);
     ASSERT_EQ(plan.kill, plan.terminate + 3700ms) << seed;
@@ -57,11 +58,11 @@
                      [](const SignalEvent& signal) { return signal.number == SIGTERM; });
     ASSERT_NE(first_term, plan.signals.end()) << seed;
     ASSERT_EQ(first_term->at, plan.terminate) << seed;
-    series_with_reload_after_the_end += plan.signals.back().number == SIGHUP ? 1 : 0;
-    crowds += plan.crowd ? 1 : 0;
+    plans_with_reload_after_shutdown += plan.signals.back().number == SIGHUP ? 1 : 0;
+    plans_with_bad_clients += plan.bad_clients_at ? 1 : 0;
   }
-  EXPECT_GT(series_with_reload_after_the_end, seeds / 10);
-  EXPECT_GT(crowds, seeds / 4);
+  EXPECT_GT(plans_with_reload_after_shutdown, seeds / 10);
+  EXPECT_GT(plans_with_bad_clients, seeds / 4);
 }
 
 }  // namespace
