--- a/tests/child_process.h
+++ b/tests/child_process.h
@@ -1,4 +1,4 @@
-/// The program as a process of its own, for the tests that need one.
+/// Runs the program as a child process, for tests that need a real process.
 #pragma once
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -16,7 +16,7 @@
 
 namespace robinhoist::tests {
 
-/// A running process of the program. It is killed when this goes out of scope.
+/// A running process of the program. The destructor kills it.
 struct ChildProcess {
   pid_t pid;
 
@@ -31,8 +31,8 @@
   ChildProcess& operator=(const ChildProcess&) = delete;
   ~ChildProcess() { end(SIGKILL); }
 
-  /// Sends a signal and waits for the end of the process. Returns its exit status, or the signal
-  /// that ended it, negated.
+  /// Sends a signal and waits until the process has ended. Returns its exit status, or the negated
+  /// number of the signal that terminated it.
   int end(int signal) {
     if (pid <= 0)
       return 0;
@@ -44,7 +44,7 @@
   }
 
  private:
-  /// In the new process; does not return.
+  /// Runs in the child process and does not return.
   static void execute(const Words& arguments, const std::string& log_file, rlim_t max_files) {
     if (max_files > 0) {
       const rlimit limit{max_files, max_files};
@@ -61,7 +61,7 @@
   }
 };
 
-/// A TCP port of the loopback interface that nobody listens on at present.
+/// A TCP port of the loopback interface that is not in use at present.
 inline int free_port() {
   const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
--- a/tests/mode_names_test.cpp
+++ b/tests/mode_names_test.cpp
@@ -1,4 +1,4 @@
-/// The REST status and traces go on wording the mode as in their first version.
+/// The REST status and traces keep the mode wording of the API's first version.
 #include "proxy/mode_names.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 class ModeNames : public testing::TestWithParam<ModeCase> {};
 
-TEST_P(ModeNames, KeepTheWordsOfTheFirstVersion) {
+TEST_P(ModeNames, KeepTheWordingOfTheFirstVersion) {
   EXPECT_EQ(api_mode(GetParam().report), GetParam().text);
 }
 
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -1,5 +1,5 @@
-/// What the tests of the operators' platform share: its configuration file, a service that answers
-/// as a test wants, and the texts of the platform's objects.
+/// Shared by the tests of the operators' platform: its configuration file, a scripted service, and
+/// JSON objects of the platform.
 #pragma once
 #include <fstream>
 #include <functional>
@@ -23,11 +23,11 @@
 inline std::string replace_once(std::string text, const std::string& from, const std::string& to) {
   const std::size_t at = text.find(from);
   if (at == std::string::npos)
-    throw std::runtime_error("not in the text: " + from);
+    throw std::runtime_error("text not found: " + from);
   return text.replace(at, from.size(), to);
 }
 
-/// One of the platform's services: it answers as the test wants and remembers its requests.
+/// A simulated service of the platform: a handler of the test responds, and requests are recorded.
 class ScriptedService {
  public:
   using Handler = std::function<void(const http::ExchangePtr&)>;
@@ -51,11 +51,11 @@
   }
 
   Handler handler_;
-  std::vector<http::ExchangePtr> exchanges_{};  // kept open
+  std::vector<http::ExchangePtr> exchanges_{};  // keeps the connections open
   http::Server server_;
 };
 
-/// An endpoint list of one endpoint, as a line.
+/// An endpoint list with one endpoint, as a line of the watch.
 inline std::string endpoint_list(int revision, bool complete) {
   const std::string endpoint =
       R"({"id":"s1","host_port":"127.0.0.1:9","locality":"here","flavor":"m","cell":1,)"
--- a/tests/platform_process_test.cpp
+++ b/tests/platform_process_test.cpp
@@ -1,4 +1,4 @@
-// The program itself on the platform, by its signals and limits.
+// The program as a process on the platform: signals and the limit of open descriptors.
 #include <gmock/gmock.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -22,7 +22,7 @@
 using namespace std::chrono_literals;
 using namespace tests;
 
-// The program's surroundings: an endpoint, the platform's services, its configuration file, and a
+// The environment of the program: an endpoint, the platform's services, a configuration file and a
 // client.
 class PlatformProcess : public testing::Test {
  protected:
@@ -56,7 +56,7 @@
     exchange->write(replace_once(endpoint_list(8, true), "127.0.0.1:9", endpoint_.address()));
   }
 
-  // Runs a task once the program says that it is ready.
+  // Runs a task once the program reports that it is ready.
   void when_ready(const std::function<void()>& task) {
     http::Request request;
     request.target = "/up";
@@ -91,7 +91,7 @@
       testing::TempDir() + "platform-" + std::to_string(::getpid()) + ".json";
 };
 
-// Reloads in a row, one of them of a file that can't be read; SIGTERM twice with a request open.
+// Several reloads, one of them of an invalid file, and two SIGTERM while a request is open.
 TEST_F(PlatformProcess, reloads_and_stops_without_losing_a_request) {
   response_delay_ = 300ms;
   ScriptedService moved(loop_,
@@ -115,16 +115,17 @@
   loop_.in(740ms, [&] { ::kill(proxy.pid, SIGTERM); });
   loop_.in(760ms, [&] { ::kill(proxy.pid, SIGTERM); });
   run_loop_for(2500ms);
-  EXPECT_EQ(proxy.end(SIGKILL), 0);  // -9 had it not exited by itself
+  EXPECT_EQ(proxy.end(SIGKILL), 0);  // -9 if it had not exited before the signal
   EXPECT_EQ(client_.received.substr(0, 12), "HTTP/1.1 200") << client_.received;
   EXPECT_THAT(client_.received, testing::HasSubstr("Connection: close"));
   EXPECT_EQ(endpoint_.targets.size(), 1u);
-  EXPECT_EQ(moved.targets.size(), 2u);  // both watches, once
+  EXPECT_EQ(moved.targets.size(), 2u);  // each of the two watches once
 }
 
-// Guards against a response that leaves without `Connection: close` because SIGTERM, which was
-// there before it, waited behind a SIGHUP. The program stands still until all have come.
-TEST_F(PlatformProcess, signals_that_come_together_count_before_a_response_behind_them) {
+// Guards against a response without `Connection: close` after SIGTERM: the SIGTERM was pending
+// before the response arrived, but was handled after it because a SIGHUP was pending too. The
+// program is stopped until all three have arrived.
+TEST_F(PlatformProcess, handles_pending_signals_before_a_later_response) {
   response_delay_ = 300ms;
   ChildProcess proxy({"platform", "--config", config_file_}, "/dev/null");
   when_ready([&] {
@@ -150,22 +151,22 @@
   return seconds + seconds_per_microsecond * microseconds;
 }
 
-// With fewer descriptors than it was told, it waits without spinning and accepts clients again
-// afterwards.
+// With fewer descriptors than configured, the program waits without busy-looping and accepts
+// clients again once descriptors are free.
 TEST_F(PlatformProcess, accepts_clients_again_after_it_ran_out_of_descriptors) {
   constexpr rlim_t max_descriptors = 30;
-  constexpr int silent_clients = 60;
+  constexpr int idle_client_count = 60;
   rusage before{};
   ::getrusage(RUSAGE_CHILDREN, &before);
   ChildProcess proxy({"platform", "--config", config_file_}, "/dev/null", max_descriptors);
-  std::vector<std::unique_ptr<RawClient>> silent;
+  std::vector<std::unique_ptr<RawClient>> idle;
   loop_.in(500ms, [&] {
-    for (int i = 0; i < silent_clients; ++i) {
-      silent.push_back(std::make_unique<RawClient>());
-      connect(*silent.back());
+    for (int i = 0; i < idle_client_count; ++i) {
+      idle.push_back(std::make_unique<RawClient>());
+      connect(*idle.back());
     }
   });
-  loop_.in(900ms, [&] { silent.clear(); });
+  loop_.in(900ms, [&] { idle.clear(); });
   loop_.in(1100ms, [&] { send("GET /look"); });
   loop_.in(1500ms, [&] { ::kill(proxy.pid, SIGTERM); });
   run_loop_for(2500ms);
--- a/tests/platform_services_test.cpp
+++ b/tests/platform_services_test.cpp
@@ -17,7 +17,7 @@
 using testing::IsEmpty;
 using testing::Pair;
 
-/// A loop and a log that says nothing.
+/// A loop, and a logger that writes nothing.
 class PlatformService : public testing::Test {
  protected:
   void run_loop_for(Duration time) {
@@ -44,9 +44,9 @@
   std::vector<std::int64_t> versions_{};  // of all updates
 };
 
-// What is cut in mid-line or makes no sense is not delivered, and the watch is resumed from the
-// known version, also at another address.
-TEST_F(Discovery, is_resumed_after_cuts_noise_and_moves) {
+// Truncated and invalid data is not delivered. The watch is resumed from the known version, also at
+// a new address.
+TEST_F(Discovery, resumes_after_truncated_and_invalid_data_and_at_a_new_address) {
   int connections = 0;
   ScriptedService first(loop_, [&](const http::ExchangePtr& exchange) {
     exchange->begin_stream({});
@@ -75,8 +75,8 @@
   EXPECT_EQ(second.targets.at(0), "/discovery/hosts?watch=1&from=9");
 }
 
-// Over many lines, in the smallest pieces, two at a time, with braces in strings. A list that is
-// older than the known one is refused.
+// Objects may span several lines, arrive byte by byte or two at a time, and have braces in strings.
+// A list that is older than the known one is rejected.
 TEST_F(Discovery, accepts_complete_lists_in_any_layout) {
   std::string indented = replace_once(endpoint_list(8, true), ",", ",\r\n    ");
   indented = replace_once(indented, "\"m\"", "\"}]\\\"{\\\\\"");
@@ -93,11 +93,11 @@
   const auto discovery = start(service);
   run_loop_for(300ms);
   EXPECT_THAT(versions_, ElementsAre(8, 9, 9, 10));
-  ASSERT_EQ(service.targets.size(), 2u);  // again after the older one
+  ASSERT_EQ(service.targets.size(), 2u);  // reconnected after the older list
   EXPECT_EQ(service.targets[1], "/discovery/hosts?watch=1&from=10");
 }
 
-TEST_F(Discovery, accepts_a_new_series_of_versions_in_the_end) {
+TEST_F(Discovery, accepts_a_new_series_of_versions_after_the_propagation_deadline) {
   ScriptedService service(loop_, [](const http::ExchangePtr& exchange) {
     exchange->begin_stream({});
     exchange->write(endpoint_list(2, true));
@@ -112,18 +112,19 @@
   EXPECT_THAT(versions_, ElementsAre(2));
 }
 
-// A change counts as known 6 s after it was made: by then two retries have had their time.
-TEST_F(Discovery, notices_silence_in_time) {
+// A change counts as known 6 s after it was made. A broken watch is detected early enough for two
+// retries within that time.
+TEST_F(Discovery, detects_an_idle_connection_in_time) {
   const platform::Watch::Settings settings = platform::Discovery::watch_settings(1);
-  EXPECT_GT(settings.timeouts.next, 2s);  // an empty line is due so often
+  EXPECT_GT(settings.timeouts.next, 2s);  // the interval of the keepalive lines
   EXPECT_LE(settings.timeouts.next + 2 * (settings.timeouts.first + settings.max_retry_delay), 6s);
 }
 
 using Watch = PlatformService;
 
-// A connection that trickles an object without its end is silent, and so is one that is never
-// answered: the third has the object.
-TEST_F(Watch, takes_bytes_without_a_complete_object_for_silence) {
+// A connection that sends an object without ever completing it counts as idle, and so does one
+// without any response. The object is received on the third connection.
+TEST_F(Watch, treats_incomplete_objects_as_inactivity) {
   const platform::Watch::Settings settings{.resource = "x",
                                            .timeouts = {.first = 100ms, .next = 100ms},
                                            .max_retry_delay = 50ms,
@@ -157,24 +158,24 @@
 using ReleaseApi = PlatformService;
 
 struct VoteCase {
-  std::string answer;  // status and body, or "break", or "silence"
+  std::string response;  // status and body, "disconnect", or "none"
   Outcome outcome;
 };
 
 class ReleaseApiVote : public PlatformService, public testing::WithParamInterface<VoteCase> {
  protected:
   void answer(const http::ExchangePtr& exchange) const {
-    const std::string& answer = GetParam().answer;
+    const std::string& response = GetParam().response;
     if (exchange->request.target == "/v1/watch")
       exchange->begin_stream({});
-    else if (answer == "break")
+    else if (response == "disconnect")
       exchange->abort_connection();
-    else if (answer != "silence")
-      exchange->answer(http::json_response(std::stoi(answer), answer.substr(4)));
+    else if (response != "none")
+      exchange->answer(http::json_response(std::stoi(response), response.substr(4)));
   }
 };
 
-TEST_P(ReleaseApiVote, gets_one_result_that_says_whether_it_may_count) {
+TEST_P(ReleaseApiVote, reports_once_whether_the_vote_may_have_been_counted) {
   ScriptedService service(loop_, [this](const http::ExchangePtr& exchange) { answer(exchange); });
   platform::ReleaseApi api(loop_, service.address(),
                            ReleaseUpdate{2, 0, ReleasePhase::canary, 0.1, 1s}, 100ms, 1, log_);
@@ -182,7 +183,7 @@
   api.start([&](const ReleaseUpdate& release) { stages.push_back(release.stage); });
   std::vector<Outcome> outcomes;
   api.vote({2, 0, Verdict::roll_back}, [&](Outcome outcome) { outcomes.push_back(outcome); });
-  // The address moves while the vote is in flight: its answer still comes.
+  // The address changes while the vote is in flight: its response is still received.
   api.set_address("127.0.0.1:1");
   run_loop_for(200ms);
   EXPECT_THAT(outcomes, ElementsAre(GetParam().outcome));
@@ -198,9 +199,9 @@
                     VoteCase{"409 {\"error\":\"conflict\"}", Outcome::obsolete},
                     VoteCase{"429 {\"error\":\"throttled\"}", Outcome::rejected},
                     VoteCase{"500 {\"error\":\"internal\"}", Outcome::error},
-                    VoteCase{"break", Outcome::timeout}, VoteCase{"silence", Outcome::timeout}));
+                    VoteCase{"disconnect", Outcome::timeout}, VoteCase{"none", Outcome::timeout}));
 
-TEST_F(ReleaseApi, drops_earlier_states_and_passes_wrong_answer_reports_on) {
+TEST_F(ReleaseApi, ignores_earlier_states_and_forwards_wrong_answer_reports) {
   ScriptedService service(loop_, [](const http::ExchangePtr& exchange) {
     const std::string older =
         replace_once(release_json(2, 0, "IN_PROGRESS"), "\"AgeMs\":0", "\"AgeMs\":5000");
@@ -222,8 +223,9 @@
   EXPECT_THAT(wrong, ElementsAre("s1"));
 }
 
-// The answer to a vote may come so late that its stage is over: that stage's cap must not return.
-TEST_F(ReleaseApi, does_not_return_to_a_stage_by_a_late_answer) {
+// The response to a vote may arrive after its stage has ended. It must not restore that stage's
+// cap.
+TEST_F(ReleaseApi, late_vote_response_does_not_restore_an_earlier_stage) {
   http::ExchangePtr watch;
   http::ExchangePtr vote;
   ScriptedService service(loop_, [&](const http::ExchangePtr& exchange) {
@@ -240,7 +242,7 @@
   api.start(
       [&](const ReleaseUpdate& release) { updates.emplace_back(release.stage, release.phase); });
   api.vote({2, 0, Verdict::roll_back}, [](Outcome) {});
-  // The answer's age was true when it was written.
+  // The age in the response was correct when it was sent.
   loop_.in(100ms,
            [&] { vote->answer(http::json_response(200, release_json(2, 0, "IN_PROGRESS"))); });
   loop_.in(50ms, [&] {
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,5 +1,5 @@
-// The router with the platform's protocol: the scripts in tests/platform/*.txt, its configuration,
-// and what it keeps over its life.
+// The router with the platform's protocol: the scripts in tests/platform/*.txt, the configuration,
+// isolation between configurations, and bounded resource use.
 #include <gmock/gmock.h>
 #include <malloc.h>
 
@@ -41,7 +41,7 @@
 INSTANTIATE_TEST_SUITE_P(All, PlatformScript,
                          testing::ValuesIn(files_in(TESTS "/platform", ".txt")), script_name);
 
-TEST(Config, names_the_field_that_is_wrong) {
+TEST(Config, error_names_the_invalid_field) {
   struct Case {
     const char* valid;
     const char* invalid;
@@ -76,7 +76,7 @@
   EXPECT_LT(settings.upstream.idle_timeout, config.module_settings.keep_idle);
 }
 
-// The settings of another customer: the same numbers under other names.
+// The settings of a different customer: the same values with other names.
 std::string renamed(std::string text) {
   struct Renaming {
     const char* from;
@@ -111,8 +111,8 @@
   return endpoints;
 }
 
-// All decisions on some requests of an engine of its own with a customer's settings. `interleaved`
-// runs between any two requests.
+// Creates an engine with a customer's settings and returns all its decisions on a number of
+// requests. `interleaved` runs between any two requests.
 std::vector<std::string> decisions(const std::string& config,
                                    const std::function<void()>& interleaved) {
   const auto settings = platform::decode_config(config).module_settings;
@@ -141,7 +141,7 @@
   return decided;
 }
 
-TEST(Customers, names_decide_nothing_and_engines_share_nothing) {
+TEST(Customers, names_do_not_affect_decisions_and_engines_share_no_state) {
   const std::vector<std::string> alone = decisions(config_text(), [] {});
   EXPECT_GT(alone.size(), 200u);
   EXPECT_EQ(decisions(renamed(config_text()), [] {}), alone);
@@ -153,9 +153,9 @@
   EXPECT_EQ(decisions(config_text(), run_another_engine), alone);
 }
 
-// One after the other in one process at one address: the second knows nothing of the first's
-// request classes.
-TEST(Customers, one_follows_another_at_the_same_address) {
+// Two routers run one after the other in the same process at the same address. The second must not
+// know the request classes of the first.
+TEST(Customers, routers_in_sequence_at_the_same_address_are_independent) {
   const int port = free_port();
   for (const bool second : {false, true}) {
     const std::string text =
@@ -175,7 +175,7 @@
   }
 }
 
-// One attempt waits for its connection, another for its response.
+// One attempt is waiting for its connection, another for its response.
 TEST(Router, can_be_destroyed_with_requests_open) {
   PlatformFixture platform(config_text());
   ProxyFixture& fixture = platform.proxy;
@@ -205,8 +205,8 @@
   return std::distance(std::filesystem::directory_iterator("/proc/self/fd"), {});
 }
 
-// Endpoints, builds, ids and connections come and go for hours.
-class RouterOverALongTime : public testing::Test {
+// Simulates hours in which endpoints, builds, ids and connections are replaced.
+class RouterResourceUse : public testing::Test {
  protected:
   static constexpr int endpoints = 8;
   static constexpr int clients = 20;
@@ -252,7 +252,7 @@
   ProxyFixture& proxy_ = platform_.proxy;
 };
 
-TEST_F(RouterOverALongTime, memory_descriptors_and_slots_level_off) {
+TEST_F(RouterResourceUse, memory_descriptors_and_slots_stay_bounded) {
   constexpr int rounds = 60;
   constexpr int warm_up_rounds = 20;
   constexpr std::size_t tolerated_growth = std::size_t{64} * 1024;  // bytes
--- a/tests/proxy_fixture.h
+++ b/tests/proxy_fixture.h
@@ -1,5 +1,5 @@
-/// A real router on loopback sockets with scripted endpoints and raw clients, and the runner of the
-/// script files against it (tests/proxy/README.md).
+/// A real router on loopback sockets with scripted endpoints and raw clients, and the runner of
+/// script files (tests/proxy/README.md).
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -21,14 +21,14 @@
 
 using namespace std::chrono_literals;
 
-/// Endpoint updates come from the test.
+/// A source whose endpoint updates are made by the test.
 struct FakeEndpointSource : proxy::EndpointSource {
   OnUpdate on_update{};
   void start(OnUpdate handler) override { on_update = std::move(handler); }
   void refresh() override {}
 };
 
-/// Releases come from the test; each vote counts at once.
+/// A source whose release updates are made by the test. Each vote succeeds immediately.
 struct FakeReleaseSource : proxy::ReleaseSource {
   OnUpdate on_update{};
   std::vector<Verdict> votes{};
@@ -40,11 +40,11 @@
   void report_client_outcomes(const proxy::ClientOutcomes&) override {}
 };
 
-/// One router with everything around it, on a thread of its own. All members are used on the loop's
-/// thread, by loop.call().
+/// A router with its sources, endpoints and clients, on a separate thread. All members are to be
+/// used on the loop's thread, by loop.call().
 class ProxyFixture {
  public:
-  /// Makes the router: protocols differ in that.
+  /// Creates the router with the protocol under test.
   using MakeRouter = std::function<std::unique_ptr<proxy::Router>(ProxyFixture&)>;
   explicit ProxyFixture(MakeRouter make_router) : make_router_(std::move(make_router)) {}
   ~ProxyFixture() {
@@ -59,7 +59,7 @@
   ProxyFixture(const ProxyFixture&) = delete;
   ProxyFixture& operator=(const ProxyFixture&) = delete;
 
-  /// Starts the router unless it runs.
+  /// Starts the router unless it is running.
   void start() {
     if (router)
       return;
@@ -68,7 +68,7 @@
     releases.on_update({1, 0, ReleasePhase::released, 1, Duration{}});
   }
 
-  /// Carries out one line of a script. Throws std::runtime_error if there is no such line.
+  /// Carries out a line of a script. Throws std::runtime_error if the step is unknown.
   void step(const Words& words) {
     static const std::map<std::string, void (ProxyFixture::*)(const Words&)> steps = {
         {"node", &ProxyFixture::add_endpoint},   {"listed", &ProxyFixture::update_endpoint},
@@ -79,7 +79,7 @@
         {"drain", &ProxyFixture::drain},         {"expect", &ProxyFixture::expect}};
     const auto known = steps.find(words[0]);
     if (known == steps.end())
-      throw std::runtime_error("no such step");
+      throw std::runtime_error("unknown step: " + words[0]);
     (this->*known->second)(words);
   }
 
@@ -88,11 +88,12 @@
   FakeEndpointSource endpoints{};
   FakeReleaseSource releases{};
   std::unique_ptr<proxy::Router> router{};
-  std::map<std::string, std::unique_ptr<ScriptedEndpoint>> scripted{};  // null: nobody listens
+  std::map<std::string, std::unique_ptr<ScriptedEndpoint>>
+      scripted{};  // null if it refuses connections
   std::map<std::string, RawClient> clients{};
 
  private:
-  // The word at a position, or the default of an optional one.
+  // The word at a position, or `absent` if there is none.
   static std::string word_or(const Words& words, std::size_t index, const std::string& absent) {
     return words.size() > index ? words[index] : absent;
   }
@@ -128,7 +129,7 @@
         {.series = "s", .version = ++version_, .complete = false, .entries = {entry}});
   }
 
-  // release BUILD STAGE CAP: of a canary
+  // release BUILD STAGE CAP, for a canary
   void set_release(const Words& words) {
     releases.on_update({std::stoi(words[1]), std::stoi(words[2]), ReleasePhase::canary,
                         std::stod(words[3]), Duration{}});
@@ -253,7 +254,7 @@
       EXPECT_TRUE(compare(count_responses(client.received), wanted, std::stod(words[4])))
           << count_responses(client.received);
     else
-      throw std::runtime_error("expects what?");
+      throw std::runtime_error("unknown expectation: " + what);
   }
 
   static double count_responses(const std::string& text) {
@@ -278,7 +279,7 @@
   std::thread thread_{[this] { loop.run(); }};
 };
 
-/// Runs a script file; afterwards no request may be left behind.
+/// Runs a script file. At its end, no request may be open or tracked.
 inline void run_script(ProxyFixture& fixture, const std::string& file) {
   fixture.loop.call([&] { fixture.start(); });
   run_script(file, [&](const Words& words) {
@@ -299,14 +300,14 @@
     if (!error.empty())
       throw std::runtime_error(error);
   });
-  std::size_t left = 1;
-  for (int tries = 0; tries < 100 && left > 0; ++tries) {
+  std::size_t remaining = 1;
+  for (int tries = 0; tries < 100 && remaining > 0; ++tries) {
     fixture.loop.call(
-        [&] { left = fixture.router->open_requests() + fixture.router->tracked_requests(); });
-    if (left > 0)
+        [&] { remaining = fixture.router->open_requests() + fixture.router->tracked_requests(); });
+    if (remaining > 0)
       std::this_thread::sleep_for(10ms);
   }
-  EXPECT_EQ(left, 0u);
+  EXPECT_EQ(remaining, 0u);
 }
 
 }  // namespace robinhoist::tests
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -1,4 +1,5 @@
-// The scripts in tests/proxy/*.txt against a real router, the release watch, and the event loop.
+// Runs the scripts in tests/proxy/*.txt against a real router; tests the release watch and the
+// event loop.
 #include <gmock/gmock.h>
 
 #include "proxy/http_protocol.h"
@@ -43,7 +44,7 @@
 INSTANTIATE_TEST_SUITE_P(All, ProxyScript, testing::ValuesIn(files_in(TESTS "/proxy", ".txt")),
                          script_name);
 
-// The controller's side of a watch, with heartbeats.
+// A simulated controller that serves watches and heartbeats.
 class ReleaseWatch : public testing::Test {
  protected:
   static std::string event(const char* type, int version, int stage, const char* cap) {
@@ -65,14 +66,14 @@
     }
     watches_.push_back(exchange->request.target);
     if (watches_.size() == 1)
-      break_in_mid_event(exchange);
+      disconnect_in_mid_event(exchange);
     else if (watches_.size() == 2)
       exchange->answer(http::text_response(410, "expired\n"));
     else
-      begin_anew(exchange);
+      serve_restarted_watch(exchange);
   }
 
-  void break_in_mid_event(const http::ExchangePtr& exchange) {
+  void disconnect_in_mid_event(const http::ExchangePtr& exchange) {
     constexpr std::size_t part_of_event = 40;
     exchange->begin_stream(http::Response{});
     exchange->write(event("ADDED", 3, 0, "0.1") + bookmark() +
@@ -80,7 +81,7 @@
     loop_.in(20ms, [exchange] { exchange->abort_connection(); });
   }
 
-  void begin_anew(const http::ExchangePtr& exchange) {
+  void serve_restarted_watch(const http::ExchangePtr& exchange) {
     exchange->begin_stream(http::Response{});
     exchange->write(event("ADDED", 9, 2, "1") + bookmark());
     open_watches_.push_back(exchange);
@@ -95,9 +96,9 @@
                        [this](const http::ExchangePtr& exchange) { answer(exchange); }};
 };
 
-// Resumed where it broke; begun anew when the controller no longer knows that version. Each cap is
-// acknowledged.
-TEST_F(ReleaseWatch, is_resumed_when_broken_and_begun_anew_when_expired) {
+// A watch is resumed after a disconnect, and restarted when the controller no longer has its
+// version. Each cap is acknowledged.
+TEST_F(ReleaseWatch, resumes_after_a_disconnect_and_restarts_when_expired) {
   proxy::WatchReleaseSource source(
       loop_,
       {.address = "127.0.0.1:" + std::to_string(server_.port()), .proxy = "u", .vote_timeout = 1s},
@@ -114,7 +115,7 @@
   EXPECT_GT(heartbeats_.size(), 4u);
 }
 
-// How late timers run is a matter of measurements.
+// The lateness of timers is not checked here; it is measured by benchmarks.
 TEST(Loop, timers_run_in_order_and_not_early) {
   net::Loop loop(net::steady_now());
   std::vector<int> order;
--- a/tests/raw_client.h
+++ b/tests/raw_client.h
@@ -1,4 +1,4 @@
-/// A client that sends bytes as they are and collects what comes back.
+/// A client that sends bytes without interpreting them and collects the received bytes.
 #pragma once
 #include <memory>
 #include <string>
--- a/tests/scripted_endpoint.h
+++ b/tests/scripted_endpoint.h
@@ -1,5 +1,5 @@
-/// An upstream endpoint that does with each request what its script says next. The behaviours are
-/// listed in tests/proxy/README.md.
+/// A simulated endpoint that handles each request by the next behaviour of its script. The
+/// behaviours are listed in tests/proxy/README.md.
 #pragma once
 #include <arpa/inet.h>
 #include <sys/socket.h>
@@ -21,13 +21,13 @@
 
 namespace robinhoist::tests {
 
-/// Milliseconds as they stand in a script.
+/// Parses the milliseconds of a script.
 inline Duration parse_ms(const std::string& text) {
   constexpr double microseconds_per_ms = 1000;
   return Duration(static_cast<long>(std::stod(text) * microseconds_per_ms));
 }
 
-/// A listening socket whose queue is full: connections to it never come up.
+/// A listening socket with a full accept queue: connections to it are not established.
 class FullListener {
  public:
   FullListener() {
@@ -41,8 +41,8 @@
       throw std::runtime_error("can't listen on loopback");
     ::getsockname(listening, generic, &length);
     port_ = ntohs(address.sin_port);
-    constexpr int connections_that_fill_the_queue = 3;
-    for (int i = 0; i < connections_that_fill_the_queue; ++i)
+    constexpr int connections_to_fill_the_queue = 3;
+    for (int i = 0; i < connections_to_fill_the_queue; ++i)
       static_cast<void>(::connect(new_socket(), generic, length));
   }
   ~FullListener() {
@@ -53,7 +53,7 @@
   FullListener& operator=(const FullListener&) = delete;
 
   int port() const { return port_; }
-  /// Empties the queue, so that the next connection comes up.
+  /// Empties the accept queue, so that the next connection is established.
   void accept_waiting() {
     for (int fd = accept_one(); fd >= 0; fd = accept_one())
       sockets_.push_back(fd);
@@ -67,13 +67,13 @@
   int accept_one() const { return ::accept4(sockets_.front(), nullptr, nullptr, SOCK_CLOEXEC); }
 
   int port_ = 0;
-  std::vector<int> sockets_{};  // the listening one first
+  std::vector<int> sockets_{};  // the listening socket first
 };
 
 class ScriptedEndpoint {
  public:
-  /// `script`: behaviours separated by commas, one for each request; the last goes on for ever.
-  /// "stuck": connections never come up.
+  /// `script` is a comma-separated list of behaviours, one for each request; the last one applies
+  /// to all further requests. With the script "stuck", connections are not established.
   ScriptedEndpoint(net::Loop& loop, std::string script) : loop_(loop), script_(std::move(script)) {
     if (script_ == "stuck") {
       full_listener_ = std::make_unique<FullListener>();
@@ -85,10 +85,10 @@
   }
 
   int port() const { return listener_ ? listener_->port() : full_listener_->port(); }
-  /// How many requests have come.
+  /// Number of received requests.
   int requests() const { return requests_; }
   const http::Request& last_request() const { return last_request_; }
-  /// Of a stuck endpoint: connections that wait come up.
+  /// For a stuck endpoint: establishes the waiting connections.
   void accept_waiting() { full_listener_->accept_waiting(); }
 
  private:
@@ -103,7 +103,7 @@
     void on_bytes(net::Stream&) override {
       while (stream_->open() && reader_.read(stream_->input()) == http::ParseResult::complete) {
         endpoint_.last_request_ = reader_.take();
-        act(endpoint_.next_behaviour());
+        run(endpoint_.next_behaviour());
       }
     }
     void on_closed(net::Stream&, net::CloseReason) override {}
@@ -122,14 +122,14 @@
       stream_->drop();
     }
 
-    void act(const std::string& behaviour) {
-      if (act_simply(behaviour) || act_with_time(behaviour))
+    void run(const std::string& behaviour) {
+      if (run_untimed(behaviour) || run_timed(behaviour))
         return;
-      throw std::runtime_error("no such behaviour: " + behaviour);
+      throw std::runtime_error("unknown behaviour: " + behaviour);
     }
 
-    // Behaviours with a time behind their name. False: it is none of them.
-    bool act_with_time(const std::string& behaviour) {
+    // Runs a behaviour whose name ends with a time. Returns false if it is none of these.
+    bool run_timed(const std::string& behaviour) {
       const std::size_t dash = behaviour.rfind('-');
       if (dash == std::string::npos)
         return false;
@@ -145,7 +145,7 @@
       return true;
     }
 
-    // A connection that stood idle for so long is reset under the next request.
+    // Resets the connection at the next request after it has been idle for longer than `max_idle`.
     void respond_unless_stale(Duration max_idle) {
       const TimePoint now = endpoint_.loop_.now();
       if (last_response_ != TimePoint{} && now > last_response_ + max_idle) {
@@ -162,7 +162,7 @@
                          [this] { write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"); });
     }
 
-    bool act_simply(const std::string& behaviour) {
+    bool run_untimed(const std::string& behaviour) {
       static const std::map<std::string, std::function<void(Connection&)>> behaviours = {
           {"ok", [](Connection& c) { c.respond(200); }},
           {"error", [](Connection& c) { c.respond(500); }},
@@ -218,7 +218,7 @@
     }
 
     ScriptedEndpoint& endpoint_;
-    TimePoint last_response_{};  // of a stale behaviour
+    TimePoint last_response_{};  // by the behaviour `stale`
     std::shared_ptr<net::Stream> stream_;
     http::RequestReader reader_{http::MessageLimits{}};
   };
--- a/tests/scripted_test.h
+++ b/tests/scripted_test.h
@@ -1,7 +1,7 @@
 /// Scripted tests: text files that a test runs line by line.
 ///
-/// A line is a sequence of words separated by blanks; `#` begins a comment. What the words mean is
-/// up to the test.
+/// A line is a sequence of words separated by blanks; `#` begins a comment. The test that runs a
+/// script defines the meaning of its words.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -17,7 +17,7 @@
 
 using Words = std::vector<std::string>;
 
-/// The character that an escape such as \n stands for.
+/// The character for the second character of an escape such as \n.
 inline char unescaped(char c) {
   switch (c) {
     case 'r':
@@ -31,7 +31,7 @@
   }
 }
 
-/// Reads the quoted word that begins at `position`, and moves on to its closing quote.
+/// Reads the quoted word that begins at `position`, and advances `position` to its closing quote.
 inline std::string read_quoted_word(const std::string& line, std::size_t& position) {
   std::string word;
   for (++position; position < line.size() && line[position] != '"'; ++position) {
@@ -41,7 +41,7 @@
   return word;
 }
 
-/// The words of a line. A "quoted" word may hold blanks and \r \n \0.
+/// Splits a line into words. A "quoted" word may contain blanks and the escapes \r \n \0.
 inline Words split_words(const std::string& line) {
   Words words;
   for (std::size_t i = 0; i < line.size();) {
@@ -80,7 +80,7 @@
   return name;
 }
 
-/// Runs a script: `run_line` gets the words of each line that is not empty. An exception from it
+/// Runs a script: calls `run_line` with the words of each line that is not empty. An exception
 /// fails the test and ends the script.
 template <class RunLine>
 void run_script(const std::string& file, RunLine run_line) {
@@ -108,7 +108,7 @@
     return left < right;
   if (comparison == ">")
     return left > right;
-  throw std::runtime_error("no comparison: " + comparison);
+  throw std::runtime_error("unknown comparison: " + comparison);
 }
 
 }  // namespace robinhoist::tests
