--- a/src/deployment/reader.cpp
+++ b/src/deployment/reader.cpp
@@ -51,13 +51,13 @@
   request_class.priority_weight = form.number(key::priority_weight, 0, 1e6, 1.0);
   request_class.late_weight_share = form.number(key::late_weight_share, 0, 1, 0.0);
   request_class.idempotency = form.enumerator<Idempotency>(
-      key::idempotency, {{word::idempotent, Idempotency::idempotent},
-                         {word::idempotent_with_key, Idempotency::idempotent_with_key},
-                         {word::non_idempotent, Idempotency::non_idempotent}});
+      key::idempotency, {{value::idempotent, Idempotency::idempotent},
+                         {value::idempotent_with_key, Idempotency::idempotent_with_key},
+                         {value::non_idempotent, Idempotency::non_idempotent}});
   request_class.dedup_scope = form.enumerator<DedupScope>(key::dedup_scope,
-                                                          {{word::scope_all, DedupScope::all},
-                                                           {word::scope_zone, DedupScope::zone},
-                                                           {word::scope_cell, DedupScope::cell}},
+                                                          {{value::scope_all, DedupScope::all},
+                                                           {value::scope_zone, DedupScope::zone},
+                                                           {value::scope_cell, DedupScope::cell}},
                                                           DedupScope::all);
   request_class.dedup_window = form.duration(key::dedup_window, 0ms, max_release_time, 0ms);
   request_class.stream = false;
@@ -86,7 +86,7 @@
   deployment.quota_window = form.duration(key::quota_window, 1ms, max_time);
   deployment.free_requests = form.number(key::free_requests, 0, 1000);
   deployment.by_request_class = form.enumerator<bool>(
-      key::by_request_class, {{word::count_all, false}, {word::count_by_request_class, true}},
+      key::by_request_class, {{value::count_all, false}, {value::count_by_request_class, true}},
       false);
   deployment.one_way = form.boolean(key::one_way, false);
   deployment.safe_only_stages = form.integer(key::safe_only_stages, 0, 100, 0);
@@ -115,9 +115,9 @@
   rollout.caps = form.numbers(key::caps, 0, 1, 1);
   check_stages(form, rollout);
   rollout.promotion_mode = form.enumerator<PromotionMode>(
-      key::promotion_mode, {{word::first_vote, PromotionMode::first_vote},
-                            {word::count, PromotionMode::count},
-                            {word::clock, PromotionMode::clock}});
+      key::promotion_mode, {{value::first_vote, PromotionMode::first_vote},
+                            {value::count, PromotionMode::count},
+                            {value::clock, PromotionMode::clock}});
   rollout.bake = form.duration(key::bake, 0ms, max_release_time);
   rollout.stage_duration = form.duration(key::step, 0ms, max_release_time, 0ms);
   if (rollout.promotion_mode == PromotionMode::clock && rollout.stage_duration == Duration{})
@@ -134,8 +134,8 @@
   rollout.votes_to_hold = form.number(key::hold_share, 0, 1, 0.1);
   rollout.votes_to_roll_back = form.number(key::roll_back_share, 0, 1);
   rollout.votes_per_s = form.number(key::votes_per_s, 0.1, 1e6);
-  rollout.in_place =
-      form.enumerator<bool>(key::style, {{word::beside, false}, {word::in_place, true}}, false);
+  rollout.in_place = form.enumerator<bool>(
+      key::style, {{value::side_by_side, false}, {value::in_place, true}}, false);
   deployment.vote_timeout = form.duration(key::vote_timeout, 1ms, 1min, 1s);
   deployment.wrong_answer_report_share = form.number(key::wrong_answer_report_share, 0, 1, 0.0);
   form.finish();
@@ -181,8 +181,8 @@
   form.number(key::over_quota_weight, 0, 1, 1.0);  // validated, but not used
   deployment.load_reports =
       form.enumerator<LoadReportSource>(key::load_reports,
-                                        {{word::reports_none, LoadReportSource::none},
-                                         {word::reports_with_answers, LoadReportSource::answers}},
+                                        {{value::reports_none, LoadReportSource::none},
+                                         {value::reports_with_answers, LoadReportSource::answers}},
                                         LoadReportSource::answers);
   read_rules(form.child(key::rules), deployment);
   read_rollout(form.child(key::rollout), deployment);
--- a/src/deployment/setting_keys.h
+++ b/src/deployment/setting_keys.h
@@ -64,7 +64,7 @@
 }  // namespace key
 
 /// Values of enumerations.
-namespace word {
+namespace value {
 inline constexpr char idempotent[] = "inquiry";
 inline constexpr char idempotent_with_key[] = "referenced";
 inline constexpr char non_idempotent[] = "once-only";
@@ -76,10 +76,10 @@
 inline constexpr char first_vote[] = "first-vote";
 inline constexpr char count[] = "count";
 inline constexpr char clock[] = "clock";
-inline constexpr char beside[] = "beside";
+inline constexpr char side_by_side[] = "beside";
 inline constexpr char in_place[] = "in-place";
 inline constexpr char reports_none[] = "none";
 inline constexpr char reports_with_answers[] = "answers";
-}  // namespace word
+}  // namespace value
 
 }  // namespace robinhoist::deployment
--- a/src/limits/token_bucket.h
+++ b/src/limits/token_bucket.h
@@ -12,16 +12,16 @@
 
 namespace robinhoist::limits {
 
-/// Each name may spend `tokens_per_second` on average and `burst` tokens at once. The bucket of a
-/// name that has not been used for as long as a bucket takes to fill is dropped: it would be full.
+/// Each name may spend `tokens_per_second` on average and `burst` tokens at once. A bucket that has
+/// not been used for as long as it takes to fill is dropped, because it is full.
 class TokenBucketLimiter {
  public:
   /// A rate of 0 or less admits everything. The burst is at least one token.
   TokenBucketLimiter(double tokens_per_second, double burst)
       : tokens_per_second_(tokens_per_second), burst_(std::max(1.0, burst)) {}
 
-  /// Takes one token from the bucket of `name`. Returns nothing when the call is admitted, else how
-  /// long it takes until a token is available.
+  /// Takes one token from the bucket of `name`. Returns nothing if the call is admitted, or the
+  /// time until a token is available.
   std::optional<Duration> try_acquire(const std::string& name, TimePoint now) {
     if (tokens_per_second_ <= 0)
       return {};
@@ -39,7 +39,7 @@
     return Duration(static_cast<std::int64_t>(wait_us));
   }
 
-  /// How many names have a bucket now.
+  /// Number of names that have a bucket.
   std::size_t size() const { return buckets_.size(); }
 
  private:
--- a/src/platform/watch.cpp
+++ b/src/platform/watch.cpp
@@ -78,10 +78,10 @@
     return false;
   }
   body.erase(0, framer_.consume());
-  const bool alive = objects > 0 || framer_.lines() > lines_before;
-  if (alive)
+  const bool received = objects > 0 || framer_.lines() > lines_before;
+  if (received)
     succeeded();
-  return alive;
+  return received;
 }
 
 // Returns the number of complete objects.
--- a/src/proxy/settings.cpp
+++ b/src/proxy/settings.cpp
@@ -111,14 +111,13 @@
 void check_against_deployment(settings::SexpReader& form, const Settings& settings) {
   const deployment::Deployment& deployment = settings.deployment;
   if (!settings.zone.empty() && deployment.zone_index(settings.zone) < 0)
-    form.add_problem("zone", settings.zone + " is none of the deployment's zones");
+    form.add_problem("zone", settings.zone + " is not a zone of the deployment");
   if (settings.proxy_index >= deployment.proxies)
     form.add_problem("number", "must be below the deployment's number of umpires, " +
                                    std::to_string(deployment.proxies));
   for (const auto& named_class : deployment.request_classes)
     if (named_class.request_class.deadline <= 2 * settings.response_reserve)
-      form.add_problem("reserve",
-                       "takes half or more of the expiry of product " + named_class.name);
+      form.add_problem("reserve", "is half or more of the expiry of product " + named_class.name);
 }
 
 }  // namespace
--- a/src/retry/backoff.h
+++ b/src/retry/backoff.h
@@ -10,7 +10,7 @@
 namespace robinhoist::retry {
 
 /// The delay doubles from `min` to `max` with each failure. Half of each delay is randomized, so
-/// that clients that failed together do not return together.
+/// that clients that failed at the same time do not retry at the same time.
 class Backoff {
  public:
   /// `seed` should differ between the instances that retry against the same peer.
--- a/tests/proxy_fixture.h
+++ b/tests/proxy_fixture.h
@@ -235,23 +235,23 @@
   void expect_client(const Words& words) {
     const RawClient& client = clients.at(words[1]);
     const std::string& what = words[2];
-    const std::string wanted = word_or(words, 3, "");
+    const std::string expected = word_or(words, 3, "");
     if (what == "closed")
       EXPECT_TRUE(client.closed);
     else if (what == "open")
       EXPECT_FALSE(client.closed);
     else if (what == "status")
-      EXPECT_EQ(client.received.substr(0, 12), "HTTP/1.1 " + wanted);
+      EXPECT_EQ(client.received.substr(0, 12), "HTTP/1.1 " + expected);
     else if (what == "outcome")
-      EXPECT_EQ(header(client.received, "Robinhoist-Outcome"), wanted);
+      EXPECT_EQ(header(client.received, "Robinhoist-Outcome"), expected);
     else if (what == "holds")
-      EXPECT_NE(client.received.find(wanted), std::string::npos) << client.received;
+      EXPECT_NE(client.received.find(expected), std::string::npos) << client.received;
     else if (what == "lacks")
-      EXPECT_EQ(client.received.find(wanted), std::string::npos) << client.received;
+      EXPECT_EQ(client.received.find(expected), std::string::npos) << client.received;
     else if (what == "nothing")
       EXPECT_EQ(client.received, "");
     else if (what == "answers")
-      EXPECT_TRUE(compare(count_responses(client.received), wanted, std::stod(words[4])))
+      EXPECT_TRUE(compare(count_responses(client.received), expected, std::stod(words[4])))
           << count_responses(client.received);
     else
       throw std::runtime_error("unknown expectation: " + what);
--- a/tests/soak/options.cpp
+++ b/tests/soak/options.cpp
@@ -28,21 +28,21 @@
 
 }  // namespace
 
-Options parse_options(const std::vector<std::string>& words) {
+Options parse_options(const std::vector<std::string>& arguments) {
   Options options;
-  for (auto word = words.begin(); word != words.end(); ++word) {
-    if (*word == "--check") {
+  for (auto argument = arguments.begin(); argument != arguments.end(); ++argument) {
+    if (*argument == "--check") {
       options.check_only = true;
-    } else if (*word == "--rows") {
+    } else if (*argument == "--rows") {
       options.rows_only = true;
-    } else if (*word != "--seeds" && *word != "--out") {
-      throw UsageError("unknown option '" + *word + "': use --seeds FIRST[-LAST], --out DIR");
-    } else if (word + 1 == words.end()) {
-      throw UsageError(*word + " needs a value");
-    } else if (*word == "--seeds") {
-      read_seeds(*++word, options);
+    } else if (*argument != "--seeds" && *argument != "--out") {
+      throw UsageError("unknown option '" + *argument + "': use --seeds FIRST[-LAST], --out DIR");
+    } else if (argument + 1 == arguments.end()) {
+      throw UsageError(*argument + " needs a value");
+    } else if (*argument == "--seeds") {
+      read_seeds(*++argument, options);
     } else {
-      options.folder = *++word;
+      options.folder = *++argument;
     }
   }
   return options;
--- a/tests/soak/options.h
+++ b/tests/soak/options.h
@@ -20,6 +20,6 @@
 };
 
 /// Parses `[--check|--rows] [--seeds FIRST[-LAST]] [--out DIR]`. Throws UsageError.
-Options parse_options(const std::vector<std::string>& words);
+Options parse_options(const std::vector<std::string>& arguments);
 
 }  // namespace robinhoist::soak
--- a/tests/soak_options_test.cpp
+++ b/tests/soak_options_test.cpp
@@ -13,9 +13,9 @@
 
 using namespace std::chrono_literals;
 
-std::string error_of(const std::vector<std::string>& words) {
+std::string error_of(const std::vector<std::string>& arguments) {
   try {
-    parse_options(words);
+    parse_options(arguments);
   } catch (const UsageError& error) {
     return error.what();
   }
