--- a/src/proxy/drain_monitor.h
+++ b/src/proxy/drain_monitor.h
@@ -8,7 +8,7 @@
 
 class DrainMonitor {
  public:
-  /// `idle` returns whether no client waits for a response or is still connected.
+  /// `idle` returns whether all requests are answered and all clients have disconnected.
   DrainMonitor(net::Loop& loop, std::function<bool()> idle);
   ~DrainMonitor();
   DrainMonitor(const DrainMonitor&) = delete;
