--- a/src/registry/endpoint_info.cpp
+++ b/src/registry/endpoint_info.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // The decision module interprets a start time of zero as "long ago", so a start exactly at time
-// zero is moved by one tick.
+// zero is moved by one microsecond.
 TimePoint start_of(const Endpoint& endpoint, WallTime clock_zero) {
   if (endpoint.started == WallTime{})
     return {};
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -20,7 +20,7 @@
 constexpr Duration bad_client_timeout = 3s;
 constexpr Duration trickle_interval = 40ms;
 
-// Outcomes of requests in the words of the record.
+// Outcomes of requests as named in the record.
 constexpr const char* succeeded = "settled";
 constexpr const char* rejected = "declined";
 constexpr const char* failed = "voided";
--- a/tests/soak/observer.h
+++ b/tests/soak/observer.h
@@ -74,7 +74,7 @@
 
   long next_request_id() { return next_request_id_++; }
   void request_sent(const ClientRequest& request);
-  /// `outcome` is one of the words of the record.
+  /// `outcome` is one of the names in the record.
   void request_ended(const ClientRequest& request, const char* outcome, int status, bool right);
   /// Whether an attempt of the request has reached an endpoint.
   bool was_forwarded(const ClientRequest& request) const;
--- a/tests/soak/plan.h
+++ b/tests/soak/plan.h
@@ -44,8 +44,8 @@
   std::vector<DrainEvent> drains{};
   std::vector<Duration> resets{};       ///< an endpoint resets all of its connections
   std::vector<Duration> idle_closes{};  ///< an endpoint closes its idle connections
-  std::optional<Duration>
-      list_stall{};  ///< the open watches of the endpoint list stop sending data
+  /// The open watches of the endpoint list stop sending data.
+  std::optional<Duration> list_stall{};
   std::optional<Duration> bad_clients_at{};  ///< many misbehaving clients connect
   int clients = 0;
   double disconnect_share = 0;  ///< of requests whose client disconnects before the response
--- a/tests/soak/run.h
+++ b/tests/soak/run.h
@@ -11,8 +11,8 @@
 
 struct RunResult {
   std::string description{};
-  std::map<std::string, int>
-      outcome_counts{};  ///< number of requests by outcome, in the words of the record
+  /// Number of requests by outcome, as named in the record.
+  std::map<std::string, int> outcome_counts{};
   std::vector<std::string> breaches{};
   bool exited_before_kill = false;  ///< whether the program exited before SIGKILL
   Duration longest_stall{};         ///< of the test's own loop
--- a/tests/soak/services.cpp
+++ b/tests/soak/services.cpp
@@ -7,8 +7,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration keepalive_interval =
-    1s;  // of release watches; list watches get every second one
+// Release watches get each keepalive, list watches every second one.
+constexpr Duration keepalive_interval = 1s;
 constexpr Duration retired_connection_lifetime = 1500ms;
 constexpr const char* release =
     R"({"Revision":1,"Wave":0,"State":"COMPLETE","MaxShare":1.0,"AgeMs":9000})";
