--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -187,7 +187,7 @@
           proxy::WatchReleaseSource::Settings{.address = server.address().toString(),
                                               .proxy = "u" + std::to_string(i),
                                               .vote_timeout = 1s,
-                                              .salt = static_cast<unsigned>(i + 1)},
+                                              .seed = static_cast<unsigned>(i + 1)},
           log));
       sources.back()->start(
           [&](const ReleaseUpdate& release) { updated += release.build == build; });
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -60,11 +60,11 @@
       break;
     }
     case Kind::bad_requests:
-      load_.poison(trouble.tenant.empty() ? -1 : d.tenant(trouble.tenant), trouble.size);
+      load_.poison(trouble.tenant.empty() ? -1 : d.tenant_index(trouble.tenant), trouble.size);
       at_end([this] { load_.poison(-1, 0); });
       break;
     case Kind::retry_abuse:
-      load_.abuse(d.tenant(trouble.tenant), static_cast<int>(trouble.size), trouble.extra);
+      load_.abuse(d.tenant_index(trouble.tenant), static_cast<int>(trouble.size), trouble.extra);
       at_end([this] { load_.abuse(-1, 0, 1); });
       break;
     default:
@@ -84,7 +84,7 @@
 
 void Clients::send(const load::Try& one) {
   const auto& request_class = day_.deployment.request_classes[one.request_class];
-  const deployment::Match& match = request_class.matches.front();
+  const deployment::RequestMatcher& match = request_class.matchers.front();
   http::Request request;
   request.method = match.method;
   request.target = match.prefix ? match.path + "?n=" + std::to_string(one.id) : match.path;
--- a/src/deployment/setting_keys.h
+++ b/src/deployment/setting_keys.h
@@ -1,5 +1,5 @@
-/// Keys and words of a (deployment ...) form in settings files and scenario files. They are part of
-/// the file format and stand nowhere else in the code.
+/// Keys and values of a (deployment ...) form in settings files and scenario files. They are part
+/// of the file format. All of these literals are defined here and nowhere else in the code.
 #pragma once
 
 namespace robinhoist::deployment {
@@ -63,8 +63,8 @@
 inline constexpr char wrong_answer_report_share[] = "reports-share";
 }  // namespace key
 
-/// Words that stand for the values of an enumeration.
-namespace word {
+/// Values of enumerations.
+namespace value {
 inline constexpr char idempotent[] = "inquiry";
 inline constexpr char idempotent_with_key[] = "referenced";
 inline constexpr char non_idempotent[] = "once-only";
@@ -76,10 +76,10 @@
 inline constexpr char first_vote[] = "first-vote";
 inline constexpr char count[] = "count";
 inline constexpr char clock[] = "clock";
-inline constexpr char beside[] = "beside";
+inline constexpr char side_by_side[] = "beside";
 inline constexpr char in_place[] = "in-place";
 inline constexpr char reports_none[] = "none";
 inline constexpr char reports_with_answers[] = "answers";
-}  // namespace word
+}  // namespace value
 
 }  // namespace robinhoist::deployment
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -19,7 +19,7 @@
 
 constexpr int max_build = 65535;
 constexpr int min_sockets = 64;
-constexpr double max_version = 9e15;  // beyond, a double no longer holds every whole number
+constexpr double max_version = 9e15;  // a double represents every integer up to this value exactly
 
 bool is_address(const std::string& text) {
   const std::size_t colon = text.rfind(':');
@@ -41,7 +41,7 @@
   return text;
 }
 
-unsigned decode_salt(const Value& object) {
+unsigned decode_seed(const Value& object) {
   const std::string digits = json::text(object, "seed");
   const char* digits_end = digits.data() + digits.size();
   std::uint64_t seed = 0;
@@ -52,7 +52,7 @@
   return static_cast<unsigned>(seed ^ (seed >> 32));
 }
 
-// Decodes an inner object; errors name it.
+// Decodes a nested object and prefixes its errors with the name of the field.
 template <class Decode>
 auto decode_inner(const Value& object, const char* field, Decode decode) {
   try {
@@ -129,7 +129,7 @@
   config.name = json::text(object, "name");
   config.listen = address(object, "listen");
   config.discovery = address(object, "discovery");
-  config.salt = decode_salt(object);
+  config.seed = decode_seed(object);
   config.limits = decode_inner(object, "limits", decode_limits);
   decode_inner(object, "release_api", [&config](const Value& api) {
     config.release_api = address(api, "address");
@@ -144,7 +144,7 @@
   std::ifstream input(file, std::ios::binary);
   std::ostringstream content;
   if (!input || !(content << input.rdbuf()))
-    throw DecodeError(file + ": can't be read, or is empty");
+    throw DecodeError(file + ": cannot be read, or is empty");
   try {
     return decode_config(content.str());
   } catch (const DecodeError& error) {
