--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -31,7 +31,7 @@
   void vote_answered(Outcome outcome, TimePoint now) override {
     policy_.vote_answered(outcome, now);
   }
-  void answer_found_wrong(int endpoint) override { policy_.answer_found_wrong(endpoint); }
+  void wrong_answer_reported(int endpoint) override { policy_.wrong_answer_reported(endpoint); }
   std::optional<Decision> next(TimePoint now) override { return policy_.next(now); }
   bool knows(int request) const override { return policy_.knows(request); }
 
@@ -96,7 +96,7 @@
   void vote_answered(Outcome outcome, TimePoint) override {
     voted_ = voted_ && outcome == Outcome::ok;
   }
-  void answer_found_wrong(int) override {}
+  void wrong_answer_reported(int) override {}
   bool knows(int request) const override { return requests_.count(request) > 0; }
 
   std::optional<Decision> next(TimePoint now) override {
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -20,7 +20,7 @@
   virtual void client_disconnected(int request_id) = 0;
   virtual void release_updated(const ReleaseUpdate& release, TimePoint now) = 0;
   virtual void vote_answered(Outcome outcome, TimePoint now) = 0;
-  virtual void answer_found_wrong(int endpoint) = 0;
+  virtual void wrong_answer_reported(int endpoint) = 0;
   virtual std::optional<Decision> next(TimePoint now) = 0;
   virtual bool knows(int request_id) const = 0;
 };
--- a/src/emulator/simulated_clients.cpp
+++ b/src/emulator/simulated_clients.cpp
@@ -192,7 +192,7 @@
     return;
   SimulatedProxy& proxy = *simulation_.proxies[request.proxy];
   simulation_.engine.in(simulation_.sample_between(day.reports_least, day.reports_most),
-                        [&proxy, server = answer.server] { proxy.answer_found_wrong(server); });
+                        [&proxy, server = answer.server] { proxy.wrong_answer_reported(server); });
 }
 
 void SimulatedClients::proxy_started(int proxy) {
--- a/src/emulator/simulated_proxy.h
+++ b/src/emulator/simulated_proxy.h
@@ -69,7 +69,7 @@
   /// `update.since` is its age now.
   void release_updated(const ReleaseUpdate& update);
   void vote_answered(Outcome outcome);
-  void answer_found_wrong(int server);
+  void wrong_answer_reported(int server);
   /// The end of an attempt, as the network brings it.
   void attempt_ended(std::uint64_t id, Outcome outcome, const Answer& answer);
   void server_killed(int server);
--- a/src/emulator/simulated_proxy_updates.cpp
+++ b/src/emulator/simulated_proxy_updates.cpp
@@ -108,7 +108,7 @@
   run_policy();
 }
 
-void SimulatedProxy::answer_found_wrong(int server) {
+void SimulatedProxy::wrong_answer_reported(int server) {
   if (!up())
     return;
   const auto found =
@@ -116,7 +116,7 @@
                    [server](const Upstream& upstream) { return upstream.server == server; });
   if (found == upstreams_.end())
     return;
-  policy_->answer_found_wrong(static_cast<int>(found - upstreams_.begin()));
+  policy_->wrong_answer_reported(static_cast<int>(found - upstreams_.begin()));
   run_policy();
 }
 
--- a/src/policy/canary_analysis.h
+++ b/src/policy/canary_analysis.h
@@ -45,7 +45,7 @@
   /// An answer of this build was passed on to its client.
   void answer_passed_on(int build) { wrong_answers_.answer_passed_on(build); }
   /// A client reported an answer of this build as wrong.
-  void answer_found_wrong(int build) { wrong_answers_.answer_found_wrong(build); }
+  void wrong_answer_reported(int build) { wrong_answers_.wrong_answer_reported(build); }
 
   /// Whether the build is the one being judged: as a canary, or released while this proxy looked
   /// on and still to be rolled back.
--- a/src/policy/decision_engine.h
+++ b/src/policy/decision_engine.h
@@ -59,8 +59,8 @@
   }
 
   /// An answer given by this endpoint has been reported as wrong.
-  void answer_found_wrong(int endpoint) {
-    analysis_.answer_found_wrong(cluster_.endpoints()[endpoint].build);
+  void wrong_answer_reported(int endpoint) {
+    analysis_.wrong_answer_reported(cluster_.endpoints()[endpoint].build);
   }
 
   /// A health check has ended.
--- a/src/policy/wrong_answer_check.h
+++ b/src/policy/wrong_answer_check.h
@@ -15,7 +15,7 @@
   explicit WrongAnswerCheck(double report_share) : report_share_(report_share) {}
 
   void answer_passed_on(int build) { by_build_[build].given += 1; }
-  void answer_found_wrong(int build) { by_build_[build].wrong += 1; }
+  void wrong_answer_reported(int build) { by_build_[build].wrong += 1; }
 
   /// Judges `build` against all earlier builds.
   CheckResult run(int build, const CheckContext& context) const;
--- a/src/proxy/router.cpp
+++ b/src/proxy/router.cpp
@@ -188,7 +188,7 @@
   if (!index)
     return false;
   ++counters_.wrong_answer_reports;
-  engine_.answer_found_wrong(*index);
+  engine_.wrong_answer_reported(*index);
   run_engine();
   return true;
 }
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -170,7 +170,7 @@
 
 void Adapter::wrong_answer(Instance& instance, const Value& fields) {
   json::duration(fields, field::since_ms);
-  instance.answer_found_wrong(instance.endpoint_index(json::text(fields, field::endpoint)));
+  instance.wrong_answer_reported(instance.endpoint_index(json::text(fields, field::endpoint)));
 }
 
 }  // namespace robinhoist::simulator_adapter
--- a/src/simulator_adapter/instance.cpp
+++ b/src/simulator_adapter/instance.cpp
@@ -69,8 +69,8 @@
   engine_.probe_ended(endpoint, load, now);
 }
 
-void Instance::answer_found_wrong(int endpoint) {
-  engine_.answer_found_wrong(endpoint);
+void Instance::wrong_answer_reported(int endpoint) {
+  engine_.wrong_answer_reported(endpoint);
 }
 
 int Instance::endpoint_index(const std::string& name) const {
--- a/src/simulator_adapter/instance.h
+++ b/src/simulator_adapter/instance.h
@@ -30,7 +30,7 @@
   void release_updated(const ReleaseMessage& message, TimePoint now);
   /// `endpoint` as endpoint_index() returned it.
   void probe_ended(int endpoint, const LoadReport& load, TimePoint now);
-  void answer_found_wrong(int endpoint);
+  void wrong_answer_reported(int endpoint);
   /// Index of a listed endpoint; throws json::DecodeError for one that was never listed.
   int endpoint_index(const std::string& name) const;
 
--- a/tests/scenario_runner.cpp
+++ b/tests/scenario_runner.cpp
@@ -306,7 +306,7 @@
 // flag NODE COUNT
 void ScenarioRunner::report_wrong_answers(const Words& words) {
   for (int reports = 0; reports < number_at(words, 2); ++reports)
-    engine_->answer_found_wrong(endpoints_.at(words.at(1)));
+    engine_->wrong_answer_reported(endpoints_.at(words.at(1)));
 }
 
 // mark
