--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -67,7 +67,7 @@
   settings.collapse_window = deployment.collapse_window;
   settings.initial_warm_up_factor = deployment.initial_warm_up_factor;
   settings.collapse_multiple = deployment.collapse_multiple;
-  settings.polls_list = false;  // the list's source watches by itself
+  settings.subscribes_to_list = false;  // the list's source watches by itself
   settings.uses_sizes = deployment.uses_sizes;
   settings.reports = deployment.load_reports;
   settings.proxy_index = number;
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -117,7 +117,7 @@
   if (settings.initial_warm_up_factor > 1)
     throw bad_setting(field::initial_warm_up_factor, "must not be above 1");
   settings.collapse_multiple = positive(safety, field::collapse_multiple);
-  settings.polls_list =
+  settings.subscribes_to_list =
       json::enumerator<bool>(object, field::list_mode, {{"automatic", false}, {"subscribe", true}});
   settings.uses_sizes = json::enumerator<bool>(
       object, field::sizes,
--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -20,7 +20,7 @@
                                const AnalysisSettings& analysis, const RequestSettings& requests)
     : random_(seed),
       cluster_(endpoints, requests.request_classes),
-      list_subscription_(endpoints.polls_list),
+      list_subscription_(endpoints.subscribes_to_list),
       canary_quota_(canary_quota, static_cast<int>(requests.request_classes.size()), requests.tick),
       analysis_(analysis, static_cast<int>(requests.request_classes.size())),
       vote_scheduler_(analysis),
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -27,7 +27,7 @@
   double initial_warm_up_factor;  ///< of the warm capacity, at the start; in (0, 1]
   double collapse_multiple;       ///< rule 4: a cold endpoint falls over beyond this multiple of
                                   ///< what it is able to do
-  bool polls_list;                ///< whether the list must be subscribed to
+  bool subscribes_to_list;        ///< whether the list must be subscribed to
   bool uses_sizes;                ///< whether the endpoints' listed sizes count
   LoadReportSource reports;
   int proxy_index = 0;  ///< this proxy's number among all, from 0
--- a/tests/scenario_runner.cpp
+++ b/tests/scenario_runner.cpp
@@ -124,7 +124,7 @@
   const std::string& key = words.at(1);
   const double value = number_at(words, 2);
   if (key == "must_ask")
-    endpoint_settings_.polls_list = true;
+    endpoint_settings_.subscribes_to_list = true;
   else if (key == "fall_multiple")
     endpoint_settings_.collapse_multiple = value;
   else if (key == "by_product")
