--- a/src/audit/rules_quota.cpp
+++ b/src/audit/rules_quota.cpp
@@ -138,7 +138,7 @@
 
   void check_safe_only(const AttemptArrival& arrival, const Binding& binding) {
     const record::Meta& meta = events_.meta;
-    if (arrival.request_class < 0 || binding.stage >= meta.safe_only_stages ||
+    if (arrival.request_class < 0 || binding.stage >= meta.idempotent_only_stages ||
         meta.request_classes[arrival.request_class].idempotency == Idempotency::idempotent)
       return;
     report_.add_breach(proxy_ + " sent a txn with an effect to build " +
--- a/src/day/record_meta.cpp
+++ b/src/day/record_meta.cpp
@@ -24,7 +24,7 @@
   meta.fall_multiple = d.collapse_multiple;
   meta.cold_from = d.initial_warm_up_factor;
   meta.by_request_class = d.by_request_class;
-  meta.safe_only_stages = d.safe_only_stages;
+  meta.idempotent_only_stages = d.idempotent_only_stages;
   meta.proxies = d.proxies;
   meta.endpoints = day.places;
   meta.seed = seed;
--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -82,7 +82,7 @@
   settings.by_request_class = deployment.by_request_class;
   settings.one_way = deployment.one_way;
   settings.in_place = deployment.rollout.in_place;
-  settings.safe_only_stages = deployment.safe_only_stages;
+  settings.idempotent_only_stages = deployment.idempotent_only_stages;
   settings.caps = deployment.rollout.caps;
   return settings;
 }
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -57,8 +57,8 @@
   Duration quota_window{};            ///< over which the canary's requests are counted
   double free_requests = 0;           ///< in that window, beside the cap
   bool by_request_class = false;      ///< the cap holds for each request class by itself
-  bool one_way = false;      ///< a key once answered by the canary never goes back to older builds
-  int safe_only_stages = 0;  ///< first stages that get idempotent requests only
+  bool one_way = false;  ///< a key once answered by the canary never goes back to older builds
+  int idempotent_only_stages = 0;  ///< first stages that get idempotent requests only
 
   // What proxies may do.
   int max_attempts = 0;                  ///< of one request
--- a/src/deployment/reader.cpp
+++ b/src/deployment/reader.cpp
@@ -88,7 +88,7 @@
       key::by_request_class, {{word::count_all, false}, {word::count_by_request_class, true}},
       false);
   deployment.one_way = form.boolean(key::one_way, false);
-  deployment.safe_only_stages = form.integer(key::safe_only_stages, 0, 100, 0);
+  deployment.idempotent_only_stages = form.integer(key::idempotent_only_stages, 0, 100, 0);
   deployment.max_attempts = form.integer(key::max_attempts, 1, 100, 5);
   deployment.hedging = form.boolean(key::hedging, true);
   deployment.retry_after = form.boolean(key::retry_after, true);
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -141,7 +141,7 @@
   settings.one_way = json::boolean(release, field::one_way);
   settings.in_place = json::enumerator<bool>(release, field::replace_mode,
                                              {{"parallel", false}, {"replace", true}});
-  settings.safe_only_stages = json::integer(release, field::safe_only_stages);
+  settings.idempotent_only_stages = json::integer(release, field::idempotent_only_stages);
   for (const Value& cap : json::array(release, field::caps).GetArray()) {
     if (!cap.IsNumber() || cap.GetDouble() < 0)
       json::throw_wrong_type(field::caps, "an array of numbers from 0");
--- a/src/policy/canary_quota.cpp
+++ b/src/policy/canary_quota.cpp
@@ -70,7 +70,7 @@
   if (max_share <= 0)
     return false;
   const int stage = build > release_->build ? 0 : release_->stage;
-  if (idempotency != Idempotency::idempotent && stage < settings_.safe_only_stages)
+  if (idempotency != Idempotency::idempotent && stage < settings_.idempotent_only_stages)
     return false;
   Counts& counts = counts_for(request.request_class);
   drop_expired(counts, now);
--- a/src/policy/release.h
+++ b/src/policy/release.h
@@ -27,8 +27,8 @@
   bool by_request_class;  ///< the cap holds for each request class by itself
   bool one_way;           ///< a key once answered by the canary never goes back to an older build
   bool in_place;          ///< the release replaces endpoints instead of adding them beside the old
-  int safe_only_stages;   ///< first stages that get idempotent requests only
-  std::vector<double> caps;  ///< share of requests, by stage
+  int idempotent_only_stages;  ///< first stages that get idempotent requests only
+  std::vector<double> caps;    ///< share of requests, by stage
 };
 
 /// By what a release is judged, and how votes are cast.
--- a/src/record/meta.cpp
+++ b/src/record/meta.cpp
@@ -35,7 +35,7 @@
       .put("fall_multiple", meta.fall_multiple)
       .put("cold_from", meta.cold_from);
   out.put("by_product", meta.by_request_class)
-      .put("safe_only_stages", meta.safe_only_stages)
+      .put("safe_only_stages", meta.idempotent_only_stages)
       .begin_array("caps");
   for (double cap : meta.caps)
     out.put(nullptr, cap);
@@ -85,7 +85,7 @@
     meta.fall_multiple = json::number(document, "fall_multiple");
     meta.cold_from = json::number(document, "cold_from");
     meta.by_request_class = json::boolean(document, "by_product");
-    meta.safe_only_stages = json::integer(document, "safe_only_stages");
+    meta.idempotent_only_stages = json::integer(document, "safe_only_stages");
     for (auto& cap : json::array(document, "caps").GetArray())
       meta.caps.push_back(cap.GetDouble());
     for (auto& step : json::array(document, "steps").GetArray())
--- a/src/record/meta.h
+++ b/src/record/meta.h
@@ -26,7 +26,7 @@
   Duration length{}, drain_grace{}, window{}, fall_window{}, cold_for{}, answer_slack{};
   double free = 0, fall_multiple = 0, cold_from = 0;
   bool by_request_class = false;
-  int safe_only_stages = 0, proxies = 0, endpoints = 0;
+  int idempotent_only_stages = 0, proxies = 0, endpoints = 0;
   long seed = 0;
 };
 
--- a/tests/scenario_runner.cpp
+++ b/tests/scenario_runner.cpp
@@ -134,7 +134,7 @@
   else if (key == "in_place")
     canary_quota_settings_.in_place = true;
   else if (key == "safe_only_stages")
-    canary_quota_settings_.safe_only_stages = static_cast<int>(value);
+    canary_quota_settings_.idempotent_only_stages = static_cast<int>(value);
   else if (key == "no_copies")
     request_settings_.hedging = false;
   else if (key == "umpires")
