--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -80,7 +80,7 @@
   settings.window = deployment.quota_window;
   settings.free_requests = deployment.free_requests;
   settings.by_request_class = deployment.by_request_class;
-  settings.one_way = deployment.one_way;
+  settings.sticky_keys = deployment.sticky_keys;
   settings.in_place = deployment.rollout.in_place;
   settings.idempotent_only_stages = deployment.idempotent_only_stages;
   settings.caps = deployment.rollout.caps;
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -57,7 +57,7 @@
   Duration quota_window{};            ///< over which the canary's requests are counted
   double free_requests = 0;           ///< in that window, beside the cap
   bool by_request_class = false;      ///< the cap holds for each request class by itself
-  bool one_way = false;  ///< a key once answered by the canary never goes back to older builds
+  bool sticky_keys = false;  ///< a key once answered by the canary never goes back to older builds
   int idempotent_only_stages = 0;  ///< first stages that get idempotent requests only
 
   // What proxies may do.
--- a/src/deployment/reader.cpp
+++ b/src/deployment/reader.cpp
@@ -87,7 +87,7 @@
   deployment.by_request_class = form.enumerator<bool>(
       key::by_request_class, {{word::count_all, false}, {word::count_by_request_class, true}},
       false);
-  deployment.one_way = form.boolean(key::one_way, false);
+  deployment.sticky_keys = form.boolean(key::sticky_keys, false);
   deployment.idempotent_only_stages = form.integer(key::idempotent_only_stages, 0, 100, 0);
   deployment.max_attempts = form.integer(key::max_attempts, 1, 100, 5);
   deployment.hedging = form.boolean(key::hedging, true);
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -138,7 +138,7 @@
   settings.free_requests = not_negative(release, field::free_requests);
   settings.by_request_class =
       json::enumerator<bool>(release, field::quota_counts, {{"all", false}, {"each_class", true}});
-  settings.one_way = json::boolean(release, field::one_way);
+  settings.sticky_keys = json::boolean(release, field::sticky_keys);
   settings.in_place = json::enumerator<bool>(release, field::replace_mode,
                                              {{"parallel", false}, {"replace", true}});
   settings.idempotent_only_stages = json::integer(release, field::idempotent_only_stages);
--- a/src/policy/canary_quota.cpp
+++ b/src/policy/canary_quota.cpp
@@ -36,7 +36,7 @@
 }
 
 void CanaryQuota::request_answered(const std::string& key, int build) {
-  if (settings_.one_way && !key.empty() && is_canary(build))
+  if (settings_.sticky_keys && !key.empty() && is_canary(build))
     sticky_keys_[key] = build;
 }
 
@@ -54,7 +54,7 @@
 }
 
 bool CanaryQuota::answered_by_newer_build(const std::string& key, int build) const {
-  if (!settings_.one_way || key.empty())
+  if (!settings_.sticky_keys || key.empty())
     return false;
   const auto sticky = sticky_keys_.find(key);
   return sticky != sticky_keys_.end() && build < sticky->second;
--- a/tests/scenario_runner.cpp
+++ b/tests/scenario_runner.cpp
@@ -130,7 +130,7 @@
   else if (key == "by_product")
     canary_quota_settings_.by_request_class = true;
   else if (key == "one_way")
-    canary_quota_settings_.one_way = true;
+    canary_quota_settings_.sticky_keys = true;
   else if (key == "in_place")
     canary_quota_settings_.in_place = true;
   else if (key == "safe_only_stages")
