--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -33,7 +33,7 @@
   }
   void wrong_answer_reported(int endpoint) override { policy_.wrong_answer_reported(endpoint); }
   std::optional<Decision> next(TimePoint now) override { return policy_.next(now); }
-  bool knows(int request) const override { return policy_.knows(request); }
+  bool has_request(int request) const override { return policy_.has_request(request); }
 
  private:
   DecisionEngine policy_;
@@ -97,7 +97,7 @@
     voted_ = voted_ && outcome == Outcome::ok;
   }
   void wrong_answer_reported(int) override {}
-  bool knows(int request) const override { return requests_.count(request) > 0; }
+  bool has_request(int request) const override { return requests_.count(request) > 0; }
 
   std::optional<Decision> next(TimePoint now) override {
     while (!ready_.empty()) {
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -22,7 +22,7 @@
   virtual void vote_answered(Outcome outcome, TimePoint now) = 0;
   virtual void wrong_answer_reported(int endpoint) = 0;
   virtual std::optional<Decision> next(TimePoint now) = 0;
-  virtual bool knows(int request_id) const = 0;
+  virtual bool has_request(int request_id) const = 0;
 };
 
 enum class Route { module, random, round_robin, least_requests };
--- a/src/emulator/simulated_proxy.cpp
+++ b/src/emulator/simulated_proxy.cpp
@@ -362,7 +362,7 @@
 
 void SimulatedProxy::forget_if_done(int request_id) {
   const auto found = requests_.find(request_id);
-  if (found != requests_.end() && found->second.answered && !policy_->knows(request_id))
+  if (found != requests_.end() && found->second.answered && !policy_->has_request(request_id))
     requests_.erase(found);
 }
 
--- a/src/policy/decision_engine.h
+++ b/src/policy/decision_engine.h
@@ -73,7 +73,7 @@
   std::optional<Decision> next(TimePoint now);
 
   /// Whether the request still matters: false once it is done and all its attempts have ended.
-  bool knows(int request_id) const { return requests_.knows(request_id); }
+  bool has_request(int request_id) const { return requests_.has_request(request_id); }
 
  private:
   void note_wait(const Decision& forward, TimePoint now);
--- a/src/policy/request_scheduler.h
+++ b/src/policy/request_scheduler.h
@@ -50,7 +50,7 @@
   void client_disconnected(int request_id);
 
   /// Whether the request is still cared for.
-  bool knows(int request_id) const { return requests_.contains(request_id); }
+  bool has_request(int request_id) const { return requests_.contains(request_id); }
 
   /// The request, nullptr if it is not known. Valid until the next call that is not const.
   const ScheduledRequest* find(int request_id) const;
--- a/src/proxy/router_decisions.cpp
+++ b/src/proxy/router_decisions.cpp
@@ -218,7 +218,7 @@
 
 void Router::forget_if_done(int request_id) {
   const InFlightRequest* request = in_flight_.find(request_id);
-  if (request && request->answered && !engine_.knows(request_id))
+  if (request && request->answered && !engine_.has_request(request_id))
     in_flight_.forget(request_id);
 }
 
--- a/src/simulator_adapter/instance.cpp
+++ b/src/simulator_adapter/instance.cpp
@@ -111,7 +111,7 @@
 }
 
 void Instance::forget_if_done(int request_id) {
-  if (engine_.knows(request_id))
+  if (engine_.has_request(request_id))
     return;
   const auto found = request_names_.find(request_id);
   if (found == request_names_.end())
--- a/tests/request_policy_test.cpp
+++ b/tests/request_policy_test.cpp
@@ -231,7 +231,7 @@
   EXPECT_EQ(decision->request_id, 4);
   EXPECT_FALSE(scheduler_.next(start));
   scheduler_.attempt_ended(4, 0, Outcome::ok, true, start + 10ms);
-  EXPECT_FALSE(scheduler_.knows(4));
+  EXPECT_FALSE(scheduler_.has_request(4));
 }
 
 TEST_F(RequestSchedulerTest, RetriesElsewhereAndCancelsWhatIsNoLongerNeeded) {
@@ -251,9 +251,9 @@
   ASSERT_TRUE(cancel);
   EXPECT_EQ(cancel->action, Action::cancel);
   EXPECT_EQ(cancel->attempt, 0);
-  EXPECT_TRUE(scheduler_.knows(0));
+  EXPECT_TRUE(scheduler_.has_request(0));
   scheduler_.attempt_ended(0, 0, Outcome::cancelled, false, start + 210ms);
-  EXPECT_FALSE(scheduler_.knows(0));
+  EXPECT_FALSE(scheduler_.has_request(0));
 }
 
 TEST_F(RequestSchedulerTest, RejectsWithAdviceWhenAttemptsAreUsedUp) {
@@ -266,13 +266,13 @@
   ASSERT_TRUE(decision);
   EXPECT_EQ(decision->action, Action::reject);
   EXPECT_EQ(decision->duration, 2s);
-  EXPECT_FALSE(scheduler_.knows(0));
+  EXPECT_FALSE(scheduler_.has_request(0));
 }
 
 TEST_F(RequestSchedulerTest, ClientThatDisconnectsEndsItsRequest) {
   scheduler_.request_arrived(request(0));
   scheduler_.client_disconnected(0);
-  EXPECT_FALSE(scheduler_.knows(0));
+  EXPECT_FALSE(scheduler_.has_request(0));
   EXPECT_FALSE(scheduler_.next(start));
 }
 
