--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -197,7 +197,8 @@
   const Value& bounds = json::nested_object(object, field::bounds);
   settings.connect_timeout =
       json::duration_from_ms(json::number_or(bounds, field::connect_timeout_ms, 0));
-  settings.keep_idle = json::duration_from_ms(json::number_or(bounds, field::idle_timeout_ms, 0));
+  settings.endpoint_idle_timeout =
+      json::duration_from_ms(json::number_or(bounds, field::idle_timeout_ms, 0));
   decode_zones(object, settings);
   return settings;
 }
--- a/src/module_settings/module_settings.h
+++ b/src/module_settings/module_settings.h
@@ -27,7 +27,7 @@
   std::vector<std::string> tenants{};          ///< names, by index
   std::vector<std::string> zones{};            ///< names, by index
   Duration connect_timeout{};                  ///< for a connection to an endpoint to come up
-  Duration keep_idle{};  ///< after which an endpoint closes an idle connection
+  Duration endpoint_idle_timeout{};  ///< after which an endpoint closes an idle connection
 
   /// Index of the request class or zone with this name; -1: there is none.
   int request_class(std::string_view name) const;
--- a/src/platform/process.cpp
+++ b/src/platform/process.cpp
@@ -177,7 +177,7 @@
   upstream.budget = std::make_shared<http::ConnectionBudget>(endpoint_sockets);
   upstream.connect_timeout = config.module_settings.connect_timeout;
   // Before the endpoint closes it.
-  upstream.idle_timeout = config.module_settings.keep_idle * 4 / 5;
+  upstream.idle_timeout = config.module_settings.endpoint_idle_timeout * 4 / 5;
   upstream.limits = {
       .max_header_bytes = max_header, .max_body_bytes = max_response, .require_length = true};
   return settings;
--- a/src/proxy/settings.cpp
+++ b/src/proxy/settings.cpp
@@ -170,7 +170,7 @@
     result.tenants.push_back(tenant.name);
   result.zones = deployment.zones;
   result.connect_timeout = settings.upstream.connect_timeout;
-  result.keep_idle = settings.upstream.idle_timeout;
+  result.endpoint_idle_timeout = settings.upstream.idle_timeout;
   return result;
 }
 
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -73,7 +73,7 @@
   EXPECT_GE(settings.server.max_clients, 256u / 3);
   EXPECT_GT(settings.upstream.max_connections, settings.server.max_clients);
   EXPECT_LT(settings.server.max_clients + settings.upstream.max_connections, 240u);
-  EXPECT_LT(settings.upstream.idle_timeout, config.module_settings.keep_idle);
+  EXPECT_LT(settings.upstream.idle_timeout, config.module_settings.endpoint_idle_timeout);
 }
 
 // The settings of another customer: the same numbers under other names.
