--- a/src/day/record_meta.cpp
+++ b/src/day/record_meta.cpp
@@ -20,7 +20,7 @@
   meta.fall_window = d.collapse_window;
   meta.cold_for = d.warm_up_time;
   meta.answer_slack = day.answer_slack;
-  meta.free = d.free_requests;
+  meta.free = d.uncapped_attempts;
   meta.fall_multiple = d.collapse_multiple;
   meta.cold_from = d.initial_warm_up_factor;
   meta.by_request_class = d.by_request_class;
--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -78,7 +78,7 @@
 CanaryQuotaSettings canary_quota_settings(const Deployment& deployment) {
   CanaryQuotaSettings settings{};
   settings.window = deployment.quota_window;
-  settings.free_requests = deployment.free_requests;
+  settings.uncapped_attempts = deployment.uncapped_attempts;
   settings.by_request_class = deployment.by_request_class;
   settings.sticky_keys = deployment.sticky_keys;
   settings.in_place = deployment.rollout.in_place;
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -55,7 +55,7 @@
   Duration collapse_window{};         ///< over which the load of a cold endpoint is counted
   double collapse_multiple = 0;       ///< of its capacity, beyond which a cold endpoint collapses
   Duration quota_window{};            ///< over which the canary's requests are counted
-  double free_requests = 0;           ///< in that window, beside the cap
+  double uncapped_attempts = 0;       ///< in that window, beside the cap
   bool by_request_class = false;      ///< the cap holds for each request class by itself
   bool sticky_keys = false;  ///< a key once answered by the canary never goes back to older builds
   int idempotent_only_stages = 0;  ///< first stages that get idempotent requests only
--- a/src/deployment/reader.cpp
+++ b/src/deployment/reader.cpp
@@ -83,7 +83,7 @@
   deployment.collapse_multiple = form.number(key::collapse_multiple, 1, 1000);
   deployment.collapse_window = form.duration(key::collapse_window, 1ms, max_time);
   deployment.quota_window = form.duration(key::quota_window, 1ms, max_time);
-  deployment.free_requests = form.number(key::free_requests, 0, 1000);
+  deployment.uncapped_attempts = form.number(key::uncapped_attempts, 0, 1000);
   deployment.by_request_class = form.enumerator<bool>(
       key::by_request_class, {{word::count_all, false}, {word::count_by_request_class, true}},
       false);
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -135,7 +135,7 @@
 CanaryQuotaSettings decode_canary_quota(const Value& release) {
   CanaryQuotaSettings settings{};
   settings.window = positive_ms(release, field::quota_window_ms);
-  settings.free_requests = not_negative(release, field::free_requests);
+  settings.uncapped_attempts = not_negative(release, field::uncapped_attempts);
   settings.by_request_class =
       json::enumerator<bool>(release, field::quota_counts, {{"all", false}, {"each_class", true}});
   settings.sticky_keys = json::boolean(release, field::sticky_keys);
--- a/src/module_settings/wire_names.h
+++ b/src/module_settings/wire_names.h
@@ -53,7 +53,7 @@
 inline constexpr char load_report_source[] = "source";
 // family_info
 inline constexpr char quota_window_ms[] = "window_ms";
-inline constexpr char free_requests[] = "free";
+inline constexpr char uncapped_attempts[] = "free";
 inline constexpr char quota_counts[] = "counts";
 inline constexpr char sticky_keys[] = "one_way";
 inline constexpr char replace_mode[] = "replace_mode";
--- a/src/policy/canary_quota.cpp
+++ b/src/policy/canary_quota.cpp
@@ -76,7 +76,7 @@
   drop_expired(counts, now);
   const auto attempts = static_cast<double>(counts.canary_attempts.size() + 1);
   const auto requests = static_cast<double>(counts.requests.size());
-  return attempts <= settings_.free_requests + max_share * requests;
+  return attempts <= settings_.uncapped_attempts + max_share * requests;
 }
 
 }  // namespace robinhoist
--- a/src/policy/release.h
+++ b/src/policy/release.h
@@ -22,11 +22,11 @@
 
 /// How much traffic a canary may get.
 struct CanaryQuotaSettings {
-  Duration window;        ///< sliding window over which attempts are counted
-  double free_requests;   ///< attempts in a window that are allowed beside the cap
-  bool by_request_class;  ///< the cap holds for each request class by itself
-  bool sticky_keys;       ///< a key once answered by the canary never goes back to an older build
-  bool in_place;          ///< the release replaces endpoints instead of adding them beside the old
+  Duration window;           ///< sliding window over which attempts are counted
+  double uncapped_attempts;  ///< attempts in a window that are allowed beside the cap
+  bool by_request_class;     ///< the cap holds for each request class by itself
+  bool sticky_keys;  ///< a key once answered by the canary never goes back to an older build
+  bool in_place;     ///< the release replaces endpoints instead of adding them beside the old
   int idempotent_only_stages;  ///< first stages that get idempotent requests only
   std::vector<double> caps;    ///< share of requests, by stage
 };
--- a/tests/scenario_runner.cpp
+++ b/tests/scenario_runner.cpp
@@ -50,7 +50,7 @@
   endpoint_settings_.collapse_multiple = 2;
 
   canary_quota_settings_.window = milliseconds(4000);
-  canary_quota_settings_.free_requests = 1;
+  canary_quota_settings_.uncapped_attempts = 1;
   canary_quota_settings_.caps = {0.1, 0.3, 1};
 
   analysis_settings_.promotion_mode = PromotionMode::clock;
