--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -69,7 +69,7 @@
   settings.collapse_multiple = deployment.collapse_multiple;
   settings.subscribes_to_list = false;  // the list's source watches by itself
   settings.uses_sizes = deployment.uses_sizes;
-  settings.reports = deployment.load_reports;
+  settings.load_report_source = deployment.load_reports;
   settings.proxy_index = number;
   settings.proxy_count = deployment.proxies;
   return settings;
--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -124,7 +124,7 @@
       {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
   // Checked, not used.
   json::boolean(json::nested_object(object, field::bounds), field::probes);
-  settings.reports = json::enumerator<LoadReportSource>(
+  settings.load_report_source = json::enumerator<LoadReportSource>(
       json::nested_object(object, field::load_report), field::load_report_source,
       {{"piggyback", LoadReportSource::answers},
        {"pull", LoadReportSource::probes},
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -180,7 +180,7 @@
   const Outcome unsuccessful = not_started ? Outcome::rejected : Outcome::error;
   proxy::AttemptResult result{.outcome =
                                   proxy::outcome_of(how, succeeded ? Outcome::ok : unsuccessful)};
-  if (module_settings_.endpoints.reports == LoadReportSource::none)
+  if (module_settings_.endpoints.load_report_source == LoadReportSource::none)
     return result;
   const auto metrics = parse_metrics(response.headers.get(wire_names::server_load));
   if (!metrics)
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -29,7 +29,7 @@
                                   ///< what it is able to do
   bool subscribes_to_list;        ///< whether the list must be subscribed to
   bool uses_sizes;                ///< whether the endpoints' listed sizes count
-  LoadReportSource reports;
+  LoadReportSource load_report_source;
   int proxy_index = 0;  ///< this proxy's number among all, from 0
   int proxy_count = 1;
 };
