--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -41,9 +41,9 @@
   int cell;  ///< the smallest scope of request deduplication
   int build;
   EndpointPhase phase;
-  double size;              ///< capacity in usual endpoints
-  TimePoint started;        ///< zero: long ago
-  std::uint64_t order = 0;  ///< a digest of the id, the same at every proxy
+  double size;                 ///< capacity in usual endpoints
+  TimePoint started;           ///< zero: long ago
+  std::uint64_t sort_key = 0;  ///< a digest of the id, the same at every proxy
 };
 
 /// A load report; what it does not carry is absent.
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -43,7 +43,7 @@
     if (is_ready(endpoint))
       ready.push_back(endpoint);
   std::sort(ready.begin(), ready.end(), [this](int a, int b) {
-    return std::tie(endpoints_[a].order, a) < std::tie(endpoints_[b].order, b);
+    return std::tie(endpoints_[a].sort_key, a) < std::tie(endpoints_[b].sort_key, b);
   });
   newest_build_ = -1;
   for (int endpoint : ready)
--- a/src/registry/endpoint_info.cpp
+++ b/src/registry/endpoint_info.cpp
@@ -25,7 +25,7 @@
   info.phase = endpoint.phase;
   info.size = endpoint.size;
   info.started = start_of(endpoint, clock_zero);
-  info.order = order;
+  info.sort_key = order;
   return info;
 }
 
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -123,7 +123,7 @@
       json::throw_wrong_type(field::entries, "an array of objects");
     EndpointInfo info = decode_endpoint(entry);
     std::string name = json::text(entry, field::endpoint);
-    info.order = digest(name);
+    info.sort_key = digest(name);
     bank.entries.push_back(info);
     bank.names.push_back(std::move(name));
   }
--- a/tests/endpoint_policy_test.cpp
+++ b/tests/endpoint_policy_test.cpp
@@ -28,7 +28,7 @@
           .phase = EndpointPhase::ready,
           .size = 1,
           .started = started,
-          .order = static_cast<std::uint64_t>(endpoint)};
+          .sort_key = static_cast<std::uint64_t>(endpoint)};
 }
 
 EndpointSettings endpoint_settings() {
@@ -70,7 +70,7 @@
 
 TEST_F(EndpointSetTest, OrdersAGroupByTheDigestOfTheIds) {
   EndpointInfo last = endpoint_info(0, 1);
-  last.order = 9;
+  last.sort_key = 9;
   endpoints_.update(EndpointUpdateKind::complete, {last, endpoint_info(1, 1), endpoint_info(2, 1)},
                     start);
   EXPECT_THAT(endpoints_.group(BuildGroup::newest, Locality::local), ElementsAre(1, 2, 0));
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -105,7 +105,7 @@
     endpoint.build = 1;
     endpoint.size = 1;
     endpoint.phase = EndpointPhase::ready;
-    endpoint.order = static_cast<unsigned>(i);
+    endpoint.sort_key = static_cast<unsigned>(i);
     endpoints.push_back(endpoint);
   }
   return endpoints;
