--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -61,7 +61,7 @@
     if (!entry.IsObject())
       json::throw_wrong_type(field::request_classes, "an array of objects");
     settings.requests.request_classes.push_back(decode_request_class(entry));
-    settings.request_classes.push_back(json::text_or(entry, field::name, ""));
+    settings.request_class_names.push_back(json::text_or(entry, field::name, ""));
   }
   if (settings.requests.request_classes.empty())
     throw bad_setting(field::request_classes, "is empty");
@@ -75,7 +75,7 @@
     tenant.share = not_negative(entry, field::tenant_share);
     tenant.allowance_per_s = not_negative(entry, field::tenant_allowance_per_s);
     settings.requests.tenants.push_back(tenant);
-    settings.tenants.push_back(json::text_or(entry, field::name, ""));
+    settings.tenant_names.push_back(json::text_or(entry, field::name, ""));
   }
 }
 
@@ -85,7 +85,7 @@
   for (const Value& zone : json::array(object, field::zones).GetArray()) {
     if (!zone.IsString())
       json::throw_wrong_type(field::zones, "an array of names");
-    settings.zones.emplace_back(zone.GetString(), zone.GetStringLength());
+    settings.zone_names.emplace_back(zone.GetString(), zone.GetStringLength());
   }
 }
 
@@ -177,12 +177,12 @@
 
 }  // namespace
 
-int ModuleSettings::request_class(std::string_view name) const {
-  return index_of(request_classes, name);
+int ModuleSettings::request_class_index(std::string_view name) const {
+  return index_of(request_class_names, name);
 }
 
-int ModuleSettings::zone(std::string_view name) const {
-  return index_of(zones, name);
+int ModuleSettings::zone_index(std::string_view name) const {
+  return index_of(zone_names, name);
 }
 
 ModuleSettings decode(const Value& object) {
--- a/src/module_settings/module_settings.h
+++ b/src/module_settings/module_settings.h
@@ -23,15 +23,15 @@
   CanaryQuotaSettings canary_quota{};
   AnalysisSettings analysis{};
   RequestSettings requests{};
-  std::vector<std::string> request_classes{};  ///< names, by index
-  std::vector<std::string> tenants{};          ///< names, by index
-  std::vector<std::string> zones{};            ///< names, by index
-  Duration connect_timeout{};                  ///< for a connection to an endpoint to come up
+  std::vector<std::string> request_class_names{};  ///< names, by index
+  std::vector<std::string> tenant_names{};         ///< names, by index
+  std::vector<std::string> zone_names{};           ///< names, by index
+  Duration connect_timeout{};                      ///< for a connection to an endpoint to come up
   Duration endpoint_idle_timeout{};  ///< after which an endpoint closes an idle connection
 
   /// Index of the request class or zone with this name; -1: there is none.
-  int request_class(std::string_view name) const;
-  int zone(std::string_view name) const;
+  int request_class_index(std::string_view name) const;
+  int zone_index(std::string_view name) const;
 };
 
 /// Reads the settings object. Throws json::DecodeError, which names the field and what is wrong
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -120,7 +120,7 @@
   if (path.empty() || path.front() != '/')
     return proxy::Rejection{400, "the target is no path"};
   path.remove_prefix(1);
-  info.request_class = module_settings_.request_class(path.substr(0, path.find('/')));
+  info.request_class = module_settings_.request_class_index(path.substr(0, path.find('/')));
   if (info.request_class < 0)
     return proxy::Rejection{404, "no product of that name"};
   const bool is_read = class_of(info).idempotency == Idempotency::idempotent;
@@ -157,7 +157,7 @@
   const auto metrics = parse_metrics(header);
   if (!metrics)
     return;
-  const auto tenants = static_cast<double>(module_settings_.tenants.size());
+  const auto tenants = static_cast<double>(module_settings_.tenant_names.size());
   for (const Metric& metric : *metrics) {
     if (metric.name == wire_names::cost_hint_ms && metric.value > 0)
       info.cost_hint_ms = metric.value;
--- a/src/proxy/request_tracer.cpp
+++ b/src/proxy/request_tracer.cpp
@@ -66,12 +66,13 @@
     return;
   headers.set(trace_header,
               tracing::format_traceparent({request.trace->trace_id, request.trace->span_id, true}));
-  const auto& tenants = module_settings_.tenants;
+  const auto& tenants = module_settings_.tenant_names;
   request.trace->add(
       context.now, event_accepted,
       {{"method", request.forwarded.method},
        {"path", std::string(request.forwarded.path())},
-       {"product", module_settings_.request_classes[static_cast<std::size_t>(info.request_class)]},
+       {"product",
+        module_settings_.request_class_names[static_cast<std::size_t>(info.request_class)]},
        {"tenant", tenants.empty() ? "" : tenants[static_cast<std::size_t>(info.tenant)]},
        {"key", std::string(idempotency_key)},
        {"parent", parent ? parent->span_id : ""},
--- a/src/proxy/settings.cpp
+++ b/src/proxy/settings.cpp
@@ -165,10 +165,10 @@
   result.analysis = deployment::analysis_settings(deployment);
   result.requests = deployment::request_settings(deployment, clock_tick);
   for (const auto& named_class : deployment.request_classes)
-    result.request_classes.push_back(named_class.name);
+    result.request_class_names.push_back(named_class.name);
   for (const auto& tenant : deployment.tenants)
-    result.tenants.push_back(tenant.name);
-  result.zones = deployment.zones;
+    result.tenant_names.push_back(tenant.name);
+  result.zone_names = deployment.zones;
   result.connect_timeout = settings.upstream.connect_timeout;
   result.endpoint_idle_timeout = settings.upstream.idle_timeout;
   return result;
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -74,7 +74,7 @@
 
 EndpointInfo UpstreamPool::info_of(int index, const registry::Endpoint& entry) const {
   const std::uint64_t order = XXH64(entry.name.data(), entry.name.size(), 0);
-  return registry::endpoint_info(entry, index, module_settings_.zone(entry.zone), order,
+  return registry::endpoint_info(entry, index, module_settings_.zone_index(entry.zone), order,
                                  wall_start_);
 }
 
--- a/src/simulator_adapter/instance.cpp
+++ b/src/simulator_adapter/instance.cpp
@@ -17,8 +17,8 @@
 Instance::Instance(const InstanceStarted& started)
     : engine_(fold(started.salt), started.settings.endpoints, started.settings.canary_quota,
               started.settings.analysis, started.settings.requests),
-      limits_{static_cast<int>(started.settings.request_classes.size()),
-              static_cast<int>(started.settings.tenants.size())} {}
+      limits_{static_cast<int>(started.settings.request_class_names.size()),
+              static_cast<int>(started.settings.tenant_names.size())} {}
 
 void Instance::endpoints_updated(EndpointUpdateKind kind, const EndpointBank& bank, TimePoint now) {
   std::vector<EndpointInfo> entries;
