--- a/src/policy/admission_controller.cpp
+++ b/src/policy/admission_controller.cpp
@@ -12,23 +12,24 @@
 constexpr std::size_t request_window = 100;
 constexpr std::size_t tenant_window = 200;
 constexpr std::size_t answer_window = 8;
-constexpr int max_rejections = 5;  // of the request window, before it counts as rejecting
+constexpr int max_rejections = 5;  // in the request window; with more, the proxy is rejecting
 
-// Answers, by their latency over the latency objective.
+// Thresholds of an answer's latency, relative to the latency objective.
 constexpr double slow_ratio = 0.4;
 constexpr double congested_ratio = 0.75;
 
-// The AIMD update, spread over the attempts of a second.
+// The AIMD changes for one second, spread over the attempts of that second.
 constexpr double decrease_per_s = 1.25;
 constexpr double increase_per_s = 0.25;
-constexpr double min_attempts_per_s = 16;  // below, the rate rises by the clock
+constexpr double min_attempts_per_s = 16;  // below this the rate rises with time instead
 constexpr double min_admission_rate = 0.05;
-constexpr double full_admission_rate = 0.9;  // from here on nothing is shed
+constexpr double full_admission_rate = 0.9;  // at or above this nothing is shed
 
 constexpr double quota_tolerance = 1.1;
-constexpr double deprioritized_power = 3;  // on the admission rate, for those to be shed first
+// Exponent of the admission rate for requests that are shed first.
+constexpr double deprioritized_power = 3;
 
-// The longest wait, in latency objectives: the least, and what the priority weight may add.
+// The longest wait in latency objectives: its minimum, and the most that the priority weight adds.
 constexpr double min_wait_ratio = 0.45;
 constexpr double priority_wait_ratio = 0.3;
 constexpr double over_quota_wait_factor = 0.7;
@@ -53,14 +54,14 @@
     slow_answers_.push(ratio > slow_ratio);
   const bool rejected = outcome == Outcome::rejected;
   const bool congested = rejected || ratio > congested_ratio;
-  // A request that its client gave up early tells nothing, nor does one lost while those answered
-  // come quickly.
+  // Attempts that the client abandoned early are ignored, and so are timeouts while the answers
+  // that do arrive are fast: neither is evidence of congestion.
   const bool mostly_slow = 2 * slow_answers_.count() >= static_cast<int>(slow_answers_.size());
-  const bool telling_loss = congested && outcome == Outcome::timeout && mostly_slow;
-  if (outcome != Outcome::ok && !rejected && !telling_loss)
+  const bool congestion_loss = congested && outcome == Outcome::timeout && mostly_slow;
+  if (outcome != Outcome::ok && !rejected && !congestion_loss)
     return;
-  // Where answers are few the rate rises by the clock: guards against a proxy that admits little,
-  // sees few answers for it and so never recovers.
+  // With few attempts the rate rises with elapsed time. Otherwise a proxy that admits little gets
+  // few answers and never recovers.
   const double attempts_per_s = cluster_.attempts_per_s(now);
   const double step = 1 / std::max(min_attempts_per_s, attempts_per_s);
   const double rise = attempts_per_s < min_attempts_per_s
@@ -80,8 +81,8 @@
   return rejections_.count() > max_rejections;
 }
 
-// While the proxy sheds: by priority weight, and last what is beyond a tenant's quota or whose
-// client will hardly wait.
+// While requests are being shed, the chance of admission follows the priority weight. Requests over
+// their tenant's quota, or with a deadline too near to be met, have the lowest chance.
 bool AdmissionController::admits(const RequestInfo& request, TimePoint now,
                                  std::minstd_rand& random) {
   if (!is_shedding())
@@ -99,14 +100,14 @@
          std::pow(admission_rate_, deprioritized ? power * deprioritized_power : power);
 }
 
-// Whether a tenant sends a larger part of this proxy's requests than its part of all allowances;
-// only meant for an overload.
+// Whether the tenant's share of this proxy's recent requests exceeds its share of all tenants'
+// allowances. Meaningful only under overload, when allowances compete.
 bool AdmissionController::is_over_quota(int tenant) const {
   if (tenant >= static_cast<int>(settings_.tenants.size()))
     return false;
   double total_allowance = 0;
-  for (const Tenant& each : settings_.tenants)
-    total_allowance += each.allowance_per_s;
+  for (const Tenant& other : settings_.tenants)
+    total_allowance += other.allowance_per_s;
   double requests = 0;
   for (std::size_t age = 0; age < tenants_.size(); ++age)
     requests += tenants_.back(age) == tenant ? 1 : 0;
--- a/src/policy/admission_controller.h
+++ b/src/policy/admission_controller.h
@@ -1,4 +1,4 @@
-/// Admission of requests: how much is let in under overload, and whose requests are shed first.
+/// Admission control: the share of requests admitted under overload, and which are shed first.
 #pragma once
 #include <random>
 
@@ -9,13 +9,13 @@
 
 namespace robinhoist {
 
-/// Owns the admission rate, recent rejections, and whose requests came of late.
+/// Owns the admission rate and the windows of recent rejections and of recent requests by tenant.
 ///
-/// The admission rate follows the proxy's own answers, pooled over its endpoints: it falls while
-/// many come late or are rejected, and rises while they are not, by additive increase and
-/// multiplicative decrease (AIMD). Guards against congestion that no proxy can see at one endpoint,
-/// of whose work each brings a small part. It may shed for a moment when silent endpoints swallow
-/// requests.
+/// The admission rate follows the results of the proxy's own attempts, pooled over its endpoints.
+/// It falls while many are slow or rejected and rises otherwise, by additive increase and
+/// multiplicative decrease (AIMD). Pooling detects congestion that no proxy can measure at a single
+/// endpoint, since each proxy sends only a small part of an endpoint's work. Timeouts at
+/// unresponsive endpoints can cause a short phase of shedding.
 class AdmissionController {
  public:
   /// The cluster must outlive this object.
@@ -23,25 +23,26 @@
 
   void request_arrived(int tenant) { tenants_.push(tenant); }
 
-  /// Notes that a request got its first attempt.
+  /// Records that the first attempt of a request was sent.
   void first_attempt_sent() { rejections_.push(false); }
 
-  /// Notes that a request was finished without any attempt.
+  /// Records that a request was finished without any attempt.
   void request_rejected() { rejections_.push(true); }
 
-  /// Updates the admission rate after an attempt that ended.
+  /// Updates the admission rate after an attempt has ended.
   void attempt_ended(const Attempt& attempt, Outcome outcome, int request_class, TimePoint now);
 
-  /// Whether a new request is admitted. Draws from `random` only while the proxy sheds.
+  /// Whether a new request is admitted. Draws from `random` only while requests are being shed.
   bool admits(const RequestInfo& request, TimePoint now, std::minstd_rand& random);
 
-  /// The part of requests that is admitted, up to 1.
+  /// The share of requests that is admitted, up to 1.
   double admission_rate() const { return admission_rate_; }
 
   /// Whether several recent requests were rejected.
   bool is_rejecting() const;
 
-  /// The longest queue that a request may join: the lower its priority weight, the shorter.
+  /// The longest expected wait at an endpoint that this request accepts; the lower its priority
+  /// weight, the shorter.
   Duration max_wait(const RequestInfo& request, TimePoint now) const;
 
  private:
@@ -50,9 +51,9 @@
 
   RequestSettings settings_;
   UpstreamCluster& cluster_;
-  EventWindow rejections_;      // of requests without any attempt
-  EventWindow slow_answers_;    // among the latest answers
-  SlidingWindow<int> tenants_;  // of the latest requests
+  EventWindow rejections_;      // whether each recent request was finished without any attempt
+  EventWindow slow_answers_;    // whether each recent answer was slow
+  SlidingWindow<int> tenants_;  // the tenant of each recent request
   TimePoint rate_updated_at_{};
   double admission_rate_ = 1;
 };
--- a/src/policy/ageing_check.cpp
+++ b/src/policy/ageing_check.cpp
@@ -14,14 +14,14 @@
 constexpr double min_endpoint_attempts = 3;
 constexpr double min_latency_samples = 3;
 constexpr double slow_ratio = 1.6;  // latency relative to the baseline's
-constexpr int min_bad_endpoints = 2;
+constexpr int min_degraded_endpoints = 2;
 constexpr double suspicious_p_value = 0.01;
-// Endpoints of two stages start at least so far apart.
+// Endpoints of different stages start at least this far apart.
 constexpr Duration stage_start_gap = 1s;
 
 struct StartedEndpoint {
   TimePoint started;
-  bool bad;
+  bool degraded;
 };
 
 // The canary's endpoints with enough attempts, in the order in which they started.
@@ -40,22 +40,24 @@
   return by_start;
 }
 
-// The chance that the bad endpoints are by accident those started first; the least over all places
-// where one stage may end and the next begin.
+// The probability that a random selection puts as many degraded endpoints among those started
+// first; the minimum over all possible boundaries between stages.
 double ageing_p_value(const std::vector<StartedEndpoint>& by_start) {
   const int endpoints = static_cast<int>(by_start.size());
-  const int bad = static_cast<int>(
-      std::count_if(by_start.begin(), by_start.end(), [](const auto& entry) { return entry.bad; }));
-  int early_bad = 0;
+  const int degraded = static_cast<int>(std::count_if(
+      by_start.begin(), by_start.end(), [](const auto& entry) { return entry.degraded; }));
+  int early_degraded = 0;
   double p_value = 1;
   for (int index = 0; index + 1 < endpoints; ++index) {
     const int early = index + 1;
-    early_bad += by_start[index].bad ? 1 : 0;
+    early_degraded += by_start[index].degraded ? 1 : 0;
     const Duration gap = by_start[index + 1].started - by_start[index].started;
     const bool stage_boundary = gap >= stage_start_gap;
-    const bool mostly_bad = early_bad >= min_bad_endpoints && 4 * early_bad >= 3 * early;
-    if (stage_boundary && mostly_bad)
-      p_value = std::min(p_value, hypergeometric_upper_tail(endpoints, early, bad, early_bad));
+    const bool mostly_degraded =
+        early_degraded >= min_degraded_endpoints && 4 * early_degraded >= 3 * early;
+    if (stage_boundary && mostly_degraded)
+      p_value =
+          std::min(p_value, hypergeometric_upper_tail(endpoints, early, degraded, early_degraded));
   }
   return p_value;
 }
@@ -67,7 +69,7 @@
   const double p_value = ageing_p_value(endpoints_by_start(canary, build, endpoints));
   if (p_value < context.significance)
     return CheckResult::failure(AnalysisReason::ageing, p_value, context.significance);
-  return CheckResult::undecided(p_value < suspicious_p_value);
+  return CheckResult::not_failed(p_value < suspicious_p_value);
 }
 
 }  // namespace robinhoist
--- a/src/policy/ageing_check.h
+++ b/src/policy/ageing_check.h
@@ -1,4 +1,5 @@
-/// Ageing check of the canary analysis: whether just the canary's oldest endpoints have turned bad.
+/// Ageing check of the canary analysis: whether precisely the canary's oldest endpoints are
+/// degraded.
 #pragma once
 #include <vector>
 
@@ -8,10 +9,10 @@
 
 namespace robinhoist {
 
-/// A build that turns bad with age does so first on the endpoints of its earlier stages. As few as
-/// they are, each might pass for an endpoint with a fault of its own. The check compares the
-/// unhealthy or slow endpoints with those started first, and fails if chance would hardly pick
-/// just these.
+/// A build that degrades with uptime does so first on the endpoints of its earlier stages. These
+/// are few, so each one alone could be taken for a faulty endpoint. The check compares the set of
+/// unhealthy or slow endpoints with the set of those started first. It fails if a random selection
+/// is unlikely to match as well.
 CheckResult check_ageing(const CohortStatistics& canary, int build,
                          const std::vector<EndpointState>& endpoints, const CheckContext& context);
 
--- a/src/policy/answer_rate_check.cpp
+++ b/src/policy/answer_rate_check.cpp
@@ -13,12 +13,11 @@
 
 constexpr std::size_t canary_window = 600;
 constexpr std::size_t baseline_window = 800;
-// Endpoints that the canary must have been waited for at, one that is left out included.
-constexpr std::size_t min_canary_endpoints = 3;
+constexpr std::size_t min_canary_endpoints = 3;  // with attempts, excluded endpoints included
 constexpr double suspicious_p_value = 0.1;
-constexpr double min_slowness = 1.5;  // times that the canary takes, against the baseline
-// One endpoint in so many is left out, the one with most answers missing: it may have a fault.
-constexpr std::size_t endpoints_for_each_excluded = 5;
+constexpr double min_slowdown = 1.5;  // of the canary against the baseline
+// One in this many endpoints is excluded, those missing most answers first: they may be faulty.
+constexpr std::size_t endpoints_per_excluded = 5;
 
 }  // namespace
 
@@ -48,13 +47,13 @@
   std::erase_if(open_, [](const auto& entry) { return entry.second.canary; });
 }
 
-AnswerRateCheck::WaitingByEndpoint AnswerRateCheck::waiting(bool canary, TimePoint from,
-                                                            TimePoint now) const {
-  WaitingByEndpoint by_endpoint;
+AnswerRateCheck::WaitTotalsByEndpoint AnswerRateCheck::wait_totals(bool canary, TimePoint from,
+                                                                   TimePoint now) const {
+  WaitTotalsByEndpoint by_endpoint;
   const auto add = [&](const AttemptWait& wait) {
-    Waiting& waiting = by_endpoint[wait.endpoint];
-    waiting.time += wait.ended_at - std::max(wait.sent_at, from);
-    waiting.answers += wait.answered ? 1 : 0;
+    WaitTotals& totals = by_endpoint[wait.endpoint];
+    totals.time += wait.ended_at - std::max(wait.sent_at, from);
+    totals.answers += wait.answered ? 1 : 0;
   };
   const SlidingWindow<AttemptWait>& ended = canary ? canary_ : baseline_;
   for (std::size_t age = 0; age < ended.size() && ended.back(age).ended_at >= from; ++age)
@@ -68,41 +67,42 @@
 CheckResult AnswerRateCheck::run(TimePoint from, const CheckContext& context, TimePoint now) const {
   if (!many_votes_ || !context.comparable)
     return {};
-  Waiting baseline;
-  for (const auto& [endpoint, waiting] : waiting(false, from, now)) {
-    baseline.time += waiting.time;
-    baseline.answers += waiting.answers;
+  WaitTotals baseline;
+  for (const auto& [endpoint, totals] : wait_totals(false, from, now)) {
+    baseline.time += totals.time;
+    baseline.answers += totals.answers;
   }
-  const WaitingByEndpoint by_endpoint = waiting(true, from, now);
+  const WaitTotalsByEndpoint by_endpoint = wait_totals(true, from, now);
   if (baseline.answers < min_stage_attempts || by_endpoint.size() < min_canary_endpoints)
     return {};
   const double answers_per_s = baseline.answers / std::max(1e-3, to_seconds(baseline.time));
 
-  std::vector<Waiting> endpoints;
-  for (const auto& [endpoint, waiting] : by_endpoint)
-    endpoints.push_back(waiting);
-  const auto missing = [&](const Waiting& waiting) {
-    return answers_per_s * to_seconds(waiting.time) - waiting.answers;
+  std::vector<WaitTotals> endpoints;
+  for (const auto& [endpoint, totals] : by_endpoint)
+    endpoints.push_back(totals);
+  const auto missing_answers = [&](const WaitTotals& totals) {
+    return answers_per_s * to_seconds(totals.time) - totals.answers;
   };
   std::stable_sort(endpoints.begin(), endpoints.end(),
-                   [&](const Waiting& a, const Waiting& b) { return missing(a) > missing(b); });
-  const std::size_t excluded =
-      std::max<std::size_t>(1, endpoints.size() / endpoints_for_each_excluded);
-  Waiting canary;
+                   [&](const WaitTotals& a, const WaitTotals& b) {
+                     return missing_answers(a) > missing_answers(b);
+                   });
+  const std::size_t excluded = std::max<std::size_t>(1, endpoints.size() / endpoints_per_excluded);
+  WaitTotals canary;
   for (std::size_t i = excluded; i < endpoints.size(); ++i) {
     canary.time += endpoints[i].time;
     canary.answers += endpoints[i].answers;
   }
   const double expected = answers_per_s * to_seconds(canary.time);
-  if (expected < min_slowness * canary.answers)
+  if (expected < min_slowdown * canary.answers)
     return {};
-  // Endpoints differ by themselves: a few of them may be so much slower.
-  const double usual_slowness =
-      std::exp(endpoint_spread / std::sqrt(static_cast<double>(endpoints.size() - excluded)));
-  const double p_value = 1 - poisson_upper_tail(canary.answers + 1, expected / usual_slowness);
+  // Endpoints of the same build differ in latency, so a few of them may be slower by this factor.
+  const double usual_slowdown =
+      std::exp(log_latency_stddev / std::sqrt(static_cast<double>(endpoints.size() - excluded)));
+  const double p_value = 1 - poisson_upper_tail(canary.answers + 1, expected / usual_slowdown);
   if (p_value < context.significance)
     return CheckResult::failure(AnalysisReason::answer_rate, canary.answers, expected);
-  return CheckResult::undecided(p_value < suspicious_p_value);
+  return CheckResult::not_failed(p_value < suspicious_p_value);
 }
 
 }  // namespace robinhoist
--- a/src/policy/answer_rate_check.h
+++ b/src/policy/answer_rate_check.h
@@ -1,11 +1,11 @@
 /// Answer rate check of the canary analysis: whether the canary's answers come more slowly than the
 /// baseline's, attempts that are still open included.
 ///
-/// Where traffic is thin a stage is over before the slow attempts of a bad build end, and the
-/// latencies of those that did end are the short ones. An open attempt is known to take at least
-/// its age (a right-censored latency). So the check compares answers for each second of waiting: as
-/// many as the baseline gives in the time that the canary's attempts have been waited for are
-/// expected of the canary.
+/// With little traffic a stage is over before the slow attempts of a bad build end, and the
+/// latencies measured until then are biased towards short ones. An open attempt has a
+/// right-censored latency: it takes at least as long as it has been open. The check therefore
+/// compares answers per second of waiting. The canary is expected to give as many answers as the
+/// baseline does in an equal total waiting time.
 #pragma once
 #include <map>
 #include <utility>
@@ -16,50 +16,52 @@
 
 namespace robinhoist {
 
-/// Names an attempt: its request and its index in the request.
+/// Identifies an attempt by its request and its index in the request.
 using AttemptKey = std::pair<int, int>;
 
-/// The waiting for one attempt.
+/// How long one attempt was waited for.
 struct AttemptWait {
   TimePoint sent_at;
-  TimePoint ended_at;  ///< for an open attempt the time of the check
+  TimePoint ended_at;  ///< of an open attempt: the time of the check
   int endpoint;
   bool answered;
 };
 
+/// Tracks open and recently ended attempts of both cohorts and runs the check on them.
 class AnswerRateCheck {
  public:
-  /// Where a single vote rolls back, it notes nothing and always passes: one proxy's evidence of
-  /// this kind is too thin to decide alone.
+  /// Unless `many_votes` are needed to roll back, the check is disabled: it records nothing and
+  /// always passes, because one proxy's evidence of this kind is too weak to decide alone.
   explicit AnswerRateCheck(bool many_votes);
 
-  /// An attempt at a warm endpoint of the canary or the baseline was sent.
+  /// An attempt was sent to a warm endpoint of the canary or the baseline.
   void attempt_sent(AttemptKey key, bool canary, int endpoint, TimePoint now);
-  /// It ended. Attempts that were not noted as sent are ignored.
+  /// The attempt ended. Attempts without a call of attempt_sent() are ignored.
   void attempt_ended(AttemptKey key, bool answered, TimePoint now);
-  /// It ended without having been waited for: rejected, or never sent.
+  /// The attempt ended in a way that gives no waiting time, such as a rejection; it is dropped.
   void attempt_withdrawn(AttemptKey key);
-  /// What has ended at the canary tells nothing of the next stage.
+  /// Drops the canary's ended attempts, which belong to the previous stage.
   void stage_began() { canary_.clear(); }
-  /// Nothing of the canary so far belongs to the build that is offered now.
+  /// Drops all of the canary's attempts, which belong to the previous build.
   void build_offered();
 
-  /// Fails if the canary gives far fewer answers for its waiting than the baseline since `from`.
+  /// Fails if, since `from`, the canary gave far fewer answers for its waiting time than the
+  /// baseline.
   CheckResult run(TimePoint from, const CheckContext& context, TimePoint now) const;
 
  private:
-  struct Waiting {
+  struct WaitTotals {
     Duration time{};
     double answers = 0;
   };
-  using WaitingByEndpoint = std::map<int, Waiting>;
+  using WaitTotalsByEndpoint = std::map<int, WaitTotals>;
   struct OpenAttempt {
     bool canary;
     int endpoint;
     TimePoint sent_at;
   };
 
-  WaitingByEndpoint waiting(bool canary, TimePoint from, TimePoint now) const;
+  WaitTotalsByEndpoint wait_totals(bool canary, TimePoint from, TimePoint now) const;
 
   bool many_votes_;
   std::map<AttemptKey, OpenAttempt> open_{};
--- a/src/policy/canary_analysis.cpp
+++ b/src/policy/canary_analysis.cpp
@@ -15,25 +15,27 @@
 constexpr std::size_t canary_window = 600;
 constexpr std::size_t baseline_window = 800;
 constexpr double max_significance = 0.03;  // for one proxy among many
-// Part of the cap beyond which the baseline's endpoints are idle or draining.
+// At caps from here on the baseline's endpoints are idle or draining.
 constexpr double max_comparable_cap = 0.9;
 constexpr Duration observation_window = 4s;
-// Baseline endpoints that were unhealthy so lately show a fault that is not the build's.
+// Unhealthy baseline endpoints within this window indicate a fault other than the build's.
 constexpr Duration recent_baseline_window = 10s;
-// A step is near its end so long after the latest start and the step's length.
+// A step is near its end this long after the latest start plus the length of the step.
 constexpr Duration clock_lag = 500ms;
-// The longest hold, for few attempts and for suspicious ones.
+// The longest hold, for too few attempts and for suspicious evidence.
 constexpr Duration max_hold_few = 1s;
 constexpr Duration max_hold_suspicious = 4s;
-// Seconds within which a quiet proxy must reach the minimum of attempts to hold a stage.
-constexpr double soon_s = 0.5;
-// A tenant with so many failures, and so many times the others' failure rate, is excluded.
+// A proxy holds a stage for missing attempts only if it expects to get them within this time.
+constexpr double max_missing_attempts_s = 0.5;
+// A tenant with at least this many failures, and this multiple of the others' failure rate, is
+// excluded.
 constexpr double tenant_min_failures = 3;
 constexpr double tenant_failure_ratio = 3;
 constexpr double tenant_prior_attempts = 10;
 
-// Where many votes must stand, one proxy may be less sure: their number guards against a false
-// alarm. It would not if all erred alike, so there is a maximum.
+// Where a roll-back needs many votes, a single proxy may use a weaker significance level, because a
+// false alarm must then occur at many proxies. Errors of the proxies may be correlated, hence the
+// maximum.
 double vote_significance(const AnalysisSettings& settings) {
   double significance = false_alarm_rate;
   while (significance < max_significance &&
@@ -43,9 +45,9 @@
   return significance;
 }
 
-// Tenants whose requests fail at the baseline as others' do not say nothing about the canary:
-// guards against floods that fail anywhere. Rejected by full queues first, they gather at the
-// canary's endpoints.
+// Tenants whose requests fail at the baseline far more often than others' requests. Their requests
+// fail at any build and, since full queues of the baseline reject them, concentrate at the canary's
+// endpoints. They are no evidence on the canary.
 std::set<int> failing_tenants(const CohortStatistics& recent_baseline) {
   const AttemptTotals& all = recent_baseline.total;
   std::set<int> failing;
@@ -89,8 +91,8 @@
     held_since_ = long_ago;
     if (many_votes())
       standing_roll_back_ = {};  // false alarms of many proxies would add up over the stages
-    // What is too little to judge a stage by is carried into the next: else quiet proxies never see
-    // enough.
+    // Too few samples to judge a stage are carried over into the next one. Otherwise proxies with
+    // little traffic never collect enough.
     const bool next_stage = same_build && release.phase == ReleasePhase::canary;
     const bool enough = static_cast<double>(canary_samples_.size()) >= min_stage_attempts;
     if (!next_stage || !many_votes() || enough) {
@@ -115,21 +117,21 @@
 }
 
 void CanaryAnalysis::wait_ended(AttemptKey key, Outcome outcome, TimePoint now) {
-  // Errors come at once, and are counted as failures.
+  // Error answers arrive quickly and are counted by the failure check.
   if (proves_not_run(outcome) || outcome == Outcome::error)
     answer_rate_.attempt_withdrawn(key);
   else
     answer_rate_.attempt_ended(key, outcome == Outcome::ok, now);
 }
 
-bool CanaryAnalysis::judgeable() const {
+bool CanaryAnalysis::is_judgeable() const {
   if (!release_)
     return false;
   return release_->phase == ReleasePhase::canary ||
          (release_->phase == ReleasePhase::released && seen_as_canary_);
 }
 
-CheckContext CanaryAnalysis::context_of_checks() const {
+CheckContext CanaryAnalysis::check_context() const {
   const bool comparable =
       release_->phase == ReleasePhase::canary && release_->cap < max_comparable_cap;
   return {significance_, many_votes(), comparable};
@@ -137,11 +139,11 @@
 
 AnalysisResult CanaryAnalysis::judge(const std::vector<EndpointState>& endpoints,
                                      double canary_requests_per_s, double load, TimePoint now) {
-  if (!judgeable())
+  if (!is_judgeable())
     return {};
   if (standing_roll_back_.verdict == Verdict::roll_back)
     return standing_roll_back_;
-  const CheckContext context = context_of_checks();
+  const CheckContext context = check_context();
   const FleetObservation fleet{canary_samples_, baseline_samples_, load, now};
   const CheckResult fleet_slowdown = fleet_slowdown_.run(*release_, fleet, context.comparable);
   if (fleet_slowdown.failed())
@@ -172,7 +174,8 @@
   bool suspicious = false;
   for (const CheckResult& result : {ageing, failures, wrong_answers, latency, answer_rate})
     suspicious |= result.outcome == CheckOutcome::suspicious;
-  return without_failed_test(cohorts.canary.total, stage, suspicious, canary_requests_per_s, now);
+  return result_without_failure(cohorts.canary.total, stage, suspicious, canary_requests_per_s,
+                                now);
 }
 
 AnalysisResult CanaryAnalysis::roll_back(const CheckResult& failed) {
@@ -189,7 +192,7 @@
     return cohorts.excluded_tenants.count(sample.tenant) > 0;
   };
   cohorts.baseline.add(baseline_samples_, counted_from_, excluded);
-  // Too few baseline attempts in this stage: those of earlier stages do as well.
+  // With too few baseline attempts in this stage, those of earlier stages are used as well.
   if (cohorts.baseline.total.attempts < 2 * min_stage_attempts) {
     cohorts.baseline = empty;
     cohorts.baseline.add(baseline_samples_, long_ago, excluded);
@@ -198,9 +201,9 @@
   return cohorts;
 }
 
-// A fault of an endpoint is not the build's: where baseline endpoints are unhealthy too, or the
-// canary has many endpoints, a small part of its own that is unhealthy is left out. It hurts where
-// a bad build and a fault of endpoints meet.
+// Excludes a small number of unhealthy canary endpoints if baseline endpoints are unhealthy too, or
+// if the canary has many endpoints: the fault is then likely that of the endpoints and not of the
+// build. A bad build can be missed if faulty endpoints coincide with it.
 void CanaryAnalysis::exclude_unhealthy_endpoints(Cohorts& cohorts, bool comparable) const {
   const std::map<int, AttemptTotals> by_endpoint = cohorts.canary.by_endpoint;
   const long endpoints = static_cast<long>(by_endpoint.size());
@@ -233,8 +236,8 @@
       ++stage.baseline_endpoints;
     }
   }
-  // Where the clock's step is shorter than the window, the step is the window: it must be over in
-  // time.
+  // The observation window must be over before the clock moves the release on, so it is at most the
+  // clock's step.
   const Duration window = settings_.promotion_mode == PromotionMode::clock
                               ? std::min(observation_window, settings_.step)
                               : observation_window;
@@ -242,9 +245,9 @@
   return stage;
 }
 
-AnalysisResult CanaryAnalysis::without_failed_test(const AttemptTotals& canary,
-                                                   const StageProgress& stage, bool suspicious,
-                                                   double canary_requests_per_s, TimePoint now) {
+AnalysisResult CanaryAnalysis::result_without_failure(const AttemptTotals& canary,
+                                                      const StageProgress& stage, bool suspicious,
+                                                      double canary_requests_per_s, TimePoint now) {
   if (release_->phase == ReleasePhase::released)
     return {Verdict::none, AnalysisReason::released};
   if (settings_.promotion_mode != PromotionMode::clock) {
@@ -258,14 +261,15 @@
   return {Verdict::none, AnalysisReason::failures, canary.failed, canary.attempts};
 }
 
-// Under a clock: whether the step nears its end without enough evidence. A proxy too quiet to reach
-// the minimum soon does not hold the others up.
+// Under PromotionMode::clock: whether to hold the stage because its step is near the end and the
+// evidence is too little or suspicious. A proxy whose traffic is too low to reach the minimum of
+// attempts shortly does not hold, as it would delay the release for all proxies.
 bool CanaryAnalysis::must_hold(double attempts, const StageProgress& stage, bool suspicious,
                                double canary_requests_per_s, TimePoint now) {
   const double missing = min_stage_attempts - attempts;
-  const bool soon = missing <= 0 || missing < soon_s * canary_requests_per_s;
+  const bool attainable = missing <= 0 || missing < max_missing_attempts_s * canary_requests_per_s;
   const bool near_end = now >= stage.latest_start + settings_.step + clock_lag;
-  if (!near_end || !((missing > 0 && soon) || suspicious))
+  if (!near_end || !((missing > 0 && attainable) || suspicious))
     return false;
   if (held_since_ == long_ago)
     held_since_ = now;
--- a/src/policy/canary_quota.cpp
+++ b/src/policy/canary_quota.cpp
@@ -7,7 +7,7 @@
 
 void CanaryQuota::release_updated(const ReleaseUpdate& release) {
   if (release.phase == ReleasePhase::rolling_back || release.phase == ReleasePhase::rolled_back)
-    sticky_keys_.clear();
+    build_by_key_.clear();
   release_ = release;
 }
 
@@ -15,8 +15,8 @@
   return counts_[settings_.by_request_class ? request_class : 0];
 }
 
-// Attempts are counted a tick longer than requests, so that either way of reading the window's ends
-// holds.
+// Attempts are kept two ticks longer than requests, so that the cap holds wherever an observer with
+// a clock resolution of one tick places the ends of the window.
 void CanaryQuota::drop_expired(Counts& counts, TimePoint now) const {
   const TimePoint window_start = now - settings_.window;
   while (!counts.requests.empty() && counts.requests.front() <= window_start + tick_)
@@ -37,7 +37,7 @@
 
 void CanaryQuota::request_answered(const std::string& key, int build) {
   if (settings_.sticky_keys && !key.empty() && is_canary(build))
-    sticky_keys_[key] = build;
+    build_by_key_[key] = build;
 }
 
 bool CanaryQuota::is_canary(int build) const {
@@ -45,8 +45,8 @@
                       (build == release_->build && release_->phase != ReleasePhase::released));
 }
 
-// A build that no update has named counts as in the first stage; one that is rolled back gets
-// nothing.
+// A build newer than the announced one gets the cap of the first stage; a build that is being
+// rolled back gets no traffic.
 double CanaryQuota::cap(int build) const {
   if (build > release_->build)
     return settings_.caps.empty() ? 0 : settings_.caps.front();
@@ -56,8 +56,8 @@
 bool CanaryQuota::answered_by_newer_build(const std::string& key, int build) const {
   if (!settings_.sticky_keys || key.empty())
     return false;
-  const auto sticky = sticky_keys_.find(key);
-  return sticky != sticky_keys_.end() && build < sticky->second;
+  const auto sticky = build_by_key_.find(key);
+  return sticky != build_by_key_.end() && build < sticky->second;
 }
 
 bool CanaryQuota::allows(const RequestInfo& request, int build, Idempotency idempotency,
--- a/src/policy/canary_quota.h
+++ b/src/policy/canary_quota.h
@@ -1,5 +1,5 @@
-/// Canary quota: how much traffic builds newer than the released one may get, and the sticky keys
-/// that the canary has answered.
+/// Canary quota: the cap on traffic to builds newer than the released one, and the sticky keys of
+/// requests that the canary has answered.
 #pragma once
 #include <deque>
 #include <optional>
@@ -13,23 +13,24 @@
 
 namespace robinhoist {
 
-/// Counts requests and canary attempts over a sliding window and holds the release to its cap.
+/// Counts requests and canary attempts over a sliding window and limits the release to its cap.
 class CanaryQuota {
  public:
-  /// `tick` is the resolution at which the window's ends may be read.
+  /// `tick` is the clock resolution with which an observer may place the ends of the window.
   CanaryQuota(const CanaryQuotaSettings& settings, int request_classes, Duration tick);
 
   void release_updated(const ReleaseUpdate& release);
-  /// A request has arrived, for whatever build.
+  /// A request has arrived; its build is not chosen yet.
   void request_arrived(int request_class, TimePoint now);
   /// An attempt was sent to the canary.
   void canary_attempt_sent(int request_class, TimePoint now);
   /// A request with this key (empty: none) was answered by this build.
   void request_answered(const std::string& key, int build);
 
-  /// Whether the build is newer than what is released.
+  /// Whether the build is newer than the released one.
   bool is_canary(int build) const;
-  /// The share of requests that the build may get; needs a release update, as is_canary() implies.
+  /// The share of requests that the build may get. Requires a release update, which is given if
+  /// is_canary() is true.
   double cap(int build) const;
   /// Whether an attempt of this request may go to the build now.
   bool allows(const RequestInfo& request, int build, Idempotency idempotency, TimePoint now);
@@ -47,9 +48,9 @@
 
   CanaryQuotaSettings settings_;
   Duration tick_;
-  std::vector<Counts> counts_;  // by request class, or one for all
+  std::vector<Counts> counts_;  // by request class, or a single one for all classes
   std::optional<ReleaseUpdate> release_{};
-  std::unordered_map<std::string, int> sticky_keys_{};  // the build that answered, by key
+  std::unordered_map<std::string, int> build_by_key_{};  // the canary that answered each key
 };
 
 }  // namespace robinhoist
--- a/src/policy/cohort_statistics.cpp
+++ b/src/policy/cohort_statistics.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-// Outcomes of both cohorts that were sent within one slot count as being of the same time.
+// Attempts of both cohorts that were sent within one slot count as being of the same time.
 constexpr Duration time_slot = 2s;
-// Baseline outcomes that a slot needs before it is compared with.
+// Baseline samples that a slot needs for a comparison.
 constexpr double min_slot_samples = 3;
 constexpr double min_latency_ratio = 0.05;
 constexpr double max_latency_ratio = 20;
@@ -68,8 +68,8 @@
 }
 
 void CohortStatistics::add_sample(const Sample& sample, const CohortStatistics* baseline) {
-  // By when it was sent: errors come at once and answers later, so a new cohort shows its errors
-  // first.
+  // Slots are by the time of sending. Errors arrive sooner than answers, so by the time of arrival
+  // a new cohort would start with an excess of errors.
   const long slot = sample.sent_at.time_since_epoch() / time_slot;
   AttemptTotals same_time;
   if (baseline != nullptr) {
@@ -80,7 +80,7 @@
   const bool paired = baseline == nullptr || same_time.attempts >= min_slot_samples;
   const double baseline_failure_rate =
       paired ? (same_time.failed + same_time.lost) / std::max(1.0, same_time.attempts) : 0;
-  const bool timed =
+  const bool has_latency =
       sample.warm && (baseline == nullptr || same_time.latency_samples >= min_slot_samples);
   const double baseline_log_latency =
       same_time.latency_samples > 0 ? same_time.mean_log_latency() : 0;
@@ -91,7 +91,7 @@
        {&by_endpoint[sample.endpoint], &by_request_class[sample.request_class],
         &by_tenant[sample.tenant], &by_time_slot[slot], &total}) {
     totals->add_outcome(sample, paired, baseline_failure_rate);
-    if (timed)
+    if (has_latency)
       totals->add_latency(log_latency, sample.objective_ratio);
   }
   if (sample.warm)
--- a/src/policy/decision.h
+++ b/src/policy/decision.h
@@ -1,4 +1,5 @@
-/// What the decision module asks of its host, one decision at a time. Plain data.
+/// The decisions that the decision module returns to its host, the program that embeds it. Plain
+/// data.
 #pragma once
 #include <optional>
 #include <string>
@@ -9,11 +10,11 @@
 
 namespace robinhoist {
 
-/// What the host is to do.
+/// What the host must do.
 enum class Action {
   forward,    ///< send an attempt of `request_id` to `endpoint`, with a timeout of `duration`
-  reject,     ///< tell the client that it may safely retry, after `duration` if that is not zero
-  fail,       ///< tell the client that the request failed and may have run
+  reject,     ///< answer that the client may safely retry, after `duration` if that is not zero
+  fail,       ///< answer that the request failed and may have run
   cancel,     ///< cancel attempt number `attempt` of `request_id`
   probe,      ///< send a health check to `endpoint`
   close,      ///< close the connections to `endpoint`
@@ -24,19 +25,19 @@
   log         ///< write `text` to the log
 };
 
-/// One decision; which fields count follows from the action.
+/// One decision. The action determines which fields are set.
 struct Decision {
   Action action;
   int request_id = -1;
   int endpoint = -1;
   int attempt = -1;     ///< index of the attempt within its request, from 0
-  Duration duration{};  ///< forward: the timeout, zero for none; reject: the Retry-After advice,
-                        ///< zero for none; wake: the time until then
+  Duration duration{};  ///< forward: the timeout, zero for none; reject: the Retry-After delay,
+                        ///< zero for none; wake: the delay of the call
   int build = -1;
   int stage = 0;
   Verdict verdict = Verdict::none;
-  std::string text{};                      ///< log: the line
-  std::optional<AnalysisReport> report{};  ///< log: the same in typed form
+  std::string text{};                      ///< log: the line to write
+  std::optional<AnalysisReport> report{};  ///< log: the content of the line in typed form
 };
 
 }  // namespace robinhoist
--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -12,7 +12,7 @@
 constexpr Duration analysis_interval = 50ms;
 constexpr Duration max_wake_up_interval = 100ms;
 constexpr std::size_t first_request_window = 40;
-constexpr double min_capacity = 0.1;  // in endpoints; the load is per endpoint
+constexpr double min_capacity = 0.1;  // in usual endpoints; a lower bound when computing the load
 }  // namespace
 
 DecisionEngine::DecisionEngine(unsigned seed, const EndpointSettings& endpoints,
@@ -49,23 +49,25 @@
   const Attempt attempt = request->attempts[index];
   analysis_.wait_ended({request_id, index}, outcome, now);
   const RequestInfo info = request->info;
-  // What another endpoint has failed already tells nothing of this one or its build: guards against
-  // requests that fail anywhere, which as retries would gather at the endpoints with capacity left.
+  // An error answer to a request that has already failed at another endpoint is no evidence on this
+  // endpoint or its build. Requests that fail everywhere are retried, and their retries concentrate
+  // at the endpoints with spare capacity.
   const bool failed_before = std::any_of(request->attempts.begin(), request->attempts.end(),
-                                         [](const Attempt& each) { return each.failed; });
+                                         [](const Attempt& other) { return other.failed; });
   const Outcome evidence = failed_before && outcome == Outcome::error ? Outcome::obsolete : outcome;
   cluster_.attempt_ended(attempt, evidence, info, now);
   cluster_.load_reported(attempt.endpoint, load, now);
   record_sample(attempt, evidence, info, now);
   if (outcome == Outcome::ok) {
-    analysis_.answer_passed_on(attempt.build);
+    analysis_.answer_forwarded(attempt.build);
     canary_quota_.request_answered(info.key, attempt.build);
   }
   requests_.attempt_ended(request_id, index, outcome, succeeded, now);
 }
 
-// Answers are waited for from now on. Those of endpoints that warm up tell nothing of their build.
-void DecisionEngine::note_wait(const Decision& forward, TimePoint now) {
+// Starts the waiting time of a forwarded attempt in the canary analysis. Endpoints that are warming
+// up are left out, because their latency is no evidence on their build.
+void DecisionEngine::record_sent_attempt(const Decision& forward, TimePoint now) {
   const ScheduledRequest* request = requests_.find(forward.request_id);
   if (!request || !cluster_.endpoints().is_warm(forward.endpoint, now))
     return;
@@ -74,17 +76,17 @@
                          forward.endpoint, now);
 }
 
-// Hands an ended attempt to the canary analysis and the latency model, if it tells something about
-// its build. What an endpoint loses once it stops answering counts as one failure of the build.
-// Late answers of endpoints that warm up, or from another zone, tell nothing.
+// Passes an ended attempt to the canary analysis and the latency model if it is evidence on its
+// build. When an endpoint stops answering, only the first lost attempt counts. Lost attempts at
+// endpoints that are warming up or in another zone are no evidence.
 void DecisionEngine::record_sample(const Attempt& attempt, Outcome evidence,
                                    const RequestInfo& request, TimePoint now) {
   const EndpointSet& endpoints = cluster_.endpoints();
   const bool warm = endpoints.is_warm(attempt.endpoint, attempt.sent);
-  const bool telling_loss = lost(evidence) &&
-                            cluster_.health().consecutive_losses(attempt.endpoint) <= 1 && warm &&
-                            endpoints.is_local(attempt.endpoint);
-  if (evidence != Outcome::ok && evidence != Outcome::error && !telling_loss)
+  const bool loss_counts = is_lost(evidence) &&
+                           cluster_.health().consecutive_losses(attempt.endpoint) <= 1 && warm &&
+                           endpoints.is_local(attempt.endpoint);
+  if (evidence != Outcome::ok && evidence != Outcome::error && !loss_counts)
     return;
   if (endpoints[attempt.endpoint].build != attempt.build)
     return;
@@ -93,7 +95,7 @@
   analysis_.attempt_ended(
       attempt.build,
       {now, attempt.sent, attempt.endpoint, request.request_class, request.tenant,
-       evidence == Outcome::error, lost(evidence), warm,
+       evidence == Outcome::error, is_lost(evidence), warm,
        latency_model.latency_ratio(request.request_class, latency, request.cost_hint_ms),
        latency_model.objective_ratio(request.request_class, latency)});
   if (evidence == Outcome::ok && warm && !analysis_.under_analysis(attempt.build))
@@ -120,13 +122,13 @@
     return decision;
   if (auto decision = requests_.next(now)) {
     if (decision->action == Action::forward)
-      note_wait(*decision, now);
+      record_sent_attempt(*decision, now);
     return decision;
   }
   return next_wake_up(now);
 }
 
-// Judges the release and passes the verdict on.
+// Judges the release, passes the verdict to the vote scheduler and logs changes of it.
 void DecisionEngine::analyze(TimePoint now) {
   analyzed_at_ = now;
   const double requests_per_s = rate_of(first_requests_, now);
@@ -141,7 +143,7 @@
   last_report_ = report;
 }
 
-// Asks for a wake-up unless one is under way that comes early enough.
+// Requests a wake-up unless one that is early enough has already been requested.
 std::optional<Decision> DecisionEngine::next_wake_up(TimePoint now) {
   TimePoint due = now + max_wake_up_interval;
   if (const auto check_at = requests_.next_check_at())
--- a/src/policy/decision_engine.h
+++ b/src/policy/decision_engine.h
@@ -1,8 +1,9 @@
-/// The decision module's interface: one DecisionEngine is one proxy instance.
+/// The interface of the decision module: one DecisionEngine decides for one proxy instance.
 ///
-/// A host tells it what happens through the input functions, which only note what is known; then it
-/// calls next(now) until that returns nothing, and carries out each decision. The module has no I/O
-/// and no clock of its own, and throws nothing: a host checks what it passes in.
+/// The host, which is the program that embeds the module, reports events through the input
+/// functions; these only update state. It then calls next(now) until that returns nothing, and
+/// carries out each decision. The module does no I/O, reads no clock and throws no exceptions; the
+/// host must validate what it passes in.
 #pragma once
 #include <deque>
 #include <optional>
@@ -19,19 +20,19 @@
 
 namespace robinhoist {
 
-/// Owns the parts of the module and passes each event to those that it concerns. Requests,
-/// endpoints, builds, request classes and tenants are named by small numbers from 0 that the host
-/// gives them.
+/// Owns the components of the module and passes each event to those that handle it. The host
+/// identifies requests, endpoints, builds, request classes and tenants by numbers from 0. Those of
+/// endpoints, request classes and tenants are indices and should be small.
 class DecisionEngine {
  public:
-  /// `seed` starts the module's random generator.
+  /// `seed` initialises the random number generator.
   DecisionEngine(unsigned seed, const EndpointSettings& endpoints,
                  const CanaryQuotaSettings& canary_quota, const AnalysisSettings& analysis,
                  const RequestSettings& requests);
   DecisionEngine(const DecisionEngine&) = delete;
   DecisionEngine& operator=(const DecisionEngine&) = delete;
 
-  /// The endpoint list has changed, or a poll of it has failed; then `entries` are ignored.
+  /// The endpoint list was updated, or an update has failed; then `entries` are ignored.
   void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries,
                          TimePoint now);
 
@@ -41,9 +42,9 @@
   /// The answer to a request has begun to stream to its client.
   void stream_began(int request_id) { requests_.stream_began(request_id); }
 
-  /// An attempt, by its index in the request, has ended. `succeeded` tells that with it the client
-  /// has its answer; `load` is the report that came along, empty if none did. Unknown requests and
-  /// attempts are ignored.
+  /// An attempt, given by its index in the request, has ended. `succeeded` means that the client
+  /// has got its answer; `load` is the load report received with the answer, empty if there was
+  /// none. Unknown requests and attempts are ignored.
   void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded,
                      const LoadReport& load, TimePoint now);
 
@@ -53,12 +54,12 @@
   /// The release has changed its stage, phase or cap.
   void release_updated(const ReleaseUpdate& release, TimePoint now);
 
-  /// The vote sent last has been answered.
+  /// The last vote was answered.
   void vote_answered(Outcome outcome, TimePoint now) {
     vote_scheduler_.vote_answered(outcome, now);
   }
 
-  /// An answer given by this endpoint has been reported as wrong.
+  /// A client has reported an answer of this endpoint as wrong.
   void wrong_answer_reported(int endpoint) {
     analysis_.wrong_answer_reported(cluster_.endpoints()[endpoint].build);
   }
@@ -68,15 +69,15 @@
     cluster_.load_reported(endpoint, load, now);
   }
 
-  /// The next decision, until there is none. To be called again after each input, and when the
-  /// wake-up is due that it asked for.
+  /// The next decision, or nothing if none is due. Must be called after each input, and at the time
+  /// requested by the last Action::wake.
   std::optional<Decision> next(TimePoint now);
 
-  /// Whether the request still matters: false once it is done and all its attempts have ended.
+  /// Whether the request is still tracked: false once it is done and all its attempts have ended.
   bool has_request(int request_id) const { return requests_.has_request(request_id); }
 
  private:
-  void note_wait(const Decision& forward, TimePoint now);
+  void record_sent_attempt(const Decision& forward, TimePoint now);
   void record_sample(const Attempt& attempt, Outcome evidence, const RequestInfo& request,
                      TimePoint now);
   void analyze(TimePoint now);
@@ -89,9 +90,9 @@
   CanaryAnalysis analysis_;
   VoteScheduler vote_scheduler_;
   RequestScheduler requests_;
-  SlidingWindow<TimePoint> first_requests_;  // when requests arrived that are no client's retries
+  SlidingWindow<TimePoint> first_requests_;  // arrivals, without those of clients' retries
   TimePoint analyzed_at_ = long_ago;
-  TimePoint wake_up_at_ = long_ago;  // asked for last
+  TimePoint wake_up_at_ = long_ago;  // as last requested from the host
   std::optional<AnalysisReport> last_report_{};
   std::deque<AnalysisReport> reports_to_log_{};
 };
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -1,5 +1,4 @@
-/// Endpoints as their registry lists them, the load that they report, and the settings that concern
-/// them. Plain data.
+/// Endpoints as listed by the registry, their load reports, and the settings for them. Plain data.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -8,50 +7,51 @@
 
 namespace robinhoist {
 
-/// What the endpoint list says of an endpoint: it takes requests, it finishes those it has, or it
-/// is gone.
+/// The phase of an endpoint in the list: it accepts requests, it only finishes those in flight, or
+/// it has been removed.
 enum class EndpointPhase { ready, draining, removed };
 
-/// How an endpoint list update is to be read: changed entries only, the whole list, the whole list
-/// out of the proxy's endpoint cache, or a poll that failed and brings no entries.
+/// The kind of an endpoint list update: changed entries only, the whole list, the whole list as
+/// read from the proxy's endpoint cache, or a failure without entries.
 enum class EndpointUpdateKind { incremental, complete, cached, failed };
 
-/// Where load reports come from: nowhere, with each answer, or with health checks.
+/// The source of load reports: there are none, they arrive with answers, or with health checks.
 enum class LoadReportSource { none, answers, probes };
 
-/// What a deployment says about its endpoints, and this proxy's place among the proxies.
+/// The deployment's settings for endpoints, and this proxy's position among the proxies.
 struct EndpointSettings {
   int zone;                       ///< the proxy's own zone
   Duration warm_up_time;          ///< from an endpoint's start until it is warm
-  Duration collapse_window;       ///< rule 4 counts the requests of this time
-  double initial_warm_up_factor;  ///< of the warm capacity, at the start; in (0, 1]
-  double collapse_multiple;       ///< rule 4: a cold endpoint falls over beyond this multiple of
-                                  ///< what it is able to do
-  bool subscribes_to_list;        ///< whether the list must be subscribed to
-  bool uses_sizes;                ///< whether the endpoints' listed sizes count
+  Duration collapse_window;       ///< over which the requests to a cold endpoint are counted
+  double initial_warm_up_factor;  ///< capacity at the start, as part of the warm one; in (0, 1]
+  double collapse_multiple;  ///< a cold endpoint collapses if all proxies together send it more
+                             ///< than this multiple of its present capacity (rule 4 of
+                             ///< audit/rules.h)
+  bool subscribes_to_list;   ///< whether the proxy must subscribe to get the list
+  bool uses_sizes;           ///< whether listed sizes are used; otherwise all sizes are 1
   LoadReportSource load_report_source;
-  int proxy_index = 0;  ///< this proxy's number among all, from 0
+  int proxy_index = 0;  ///< this proxy's number among all proxies, from 0
   int proxy_count = 1;
 };
 
-/// An endpoint as the list gives it.
+/// An entry of the endpoint list.
 struct EndpointInfo {
-  int endpoint;  ///< its number, an index from 0
+  int endpoint;  ///< the endpoint's number, an index from 0
   int zone;
   int cell;  ///< the smallest scope of request deduplication
   int build;
   EndpointPhase phase;
-  double size;                 ///< capacity in usual endpoints
+  double size;                 ///< capacity relative to a usual endpoint
   TimePoint started;           ///< zero: long ago
-  std::uint64_t sort_key = 0;  ///< a digest of the id, the same at every proxy
+  std::uint64_t sort_key = 0;  ///< a hash of the endpoint's id, identical at all proxies
 };
 
-/// A load report; what it does not carry is absent.
+/// A load report of an endpoint; values that it does not contain are absent.
 struct LoadReport {
-  std::optional<double> in_flight{};     ///< requests that the endpoint works on, of all proxies
-  std::optional<double> queued{};        ///< requests waiting there; not used
-  std::optional<double> utilization{};   ///< 0 idle, 1 busy
-  std::optional<double> service_ms{};    ///< time of one request; not used
+  std::optional<double> in_flight{};     ///< requests in progress, from all proxies
+  std::optional<double> queued{};        ///< requests waiting at the endpoint; not used
+  std::optional<double> utilization{};   ///< from 0, idle, to 1, fully busy
+  std::optional<double> service_ms{};    ///< time to serve one request; not used
   std::optional<double> served_per_s{};  ///< not used
   std::optional<double> failed_per_s{};  ///< not used
 };
--- a/src/policy/endpoint_health.cpp
+++ b/src/policy/endpoint_health.cpp
@@ -9,21 +9,22 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t result_window = 16;   // results kept of each endpoint
+constexpr std::size_t result_window = 16;   // results kept for each endpoint
 constexpr Duration max_result_age = 5s;     // older results are not recent
-constexpr int losses_to_eject = 2;          // in a row
+constexpr int losses_to_eject = 2;          // consecutive
 constexpr Duration first_ejection = 500ms;  // doubles with each further loss
 constexpr int max_ejection_doublings = 3;
 constexpr Duration first_rejection_pause = 100ms;  // doubles with each further rejection
 constexpr int max_rejection_doublings = 4;
 constexpr Duration failure_pause = 2s;  // after the last failure of an endpoint that fails often
 constexpr std::size_t min_failures = 3;
-constexpr std::size_t unhealthy_one_in = 4;  // fails often: this part of the recent results
-constexpr double min_latency_ratio = 0.3;    // bounds for one result's say in the sums
+constexpr std::size_t unhealthy_one_in = 4;  // an endpoint fails often if one in this many failed
+constexpr double min_latency_ratio = 0.3;    // bounds of a single result's contribution to the sum
 constexpr double max_latency_ratio = 8.0;
 constexpr Duration max_load_age = 1s;
-constexpr Duration max_single_answer_age = 1s;  // a wait known from few answers is soon out of date
-constexpr double few_concurrent = 4;            // sum of the concurrency of few answers
+// Results with a lower sum of concurrencies are few; a wait computed from them soon expires.
+constexpr double min_concurrency_sum = 4;
+constexpr Duration max_age_of_few_results = 1s;
 }  // namespace
 
 EndpointHealth::State::State() : results(result_window) {}
@@ -53,16 +54,16 @@
     in_flight.erase(sent);
 }
 
-bool EndpointHealth::is_silent_since(const Attempt& attempt, TimePoint now) {
+bool EndpointHealth::is_unresponsive_since(const Attempt& attempt, TimePoint now) {
   return endpoints_[attempt.endpoint].last_answer_at < attempt.sent &&
          now - attempt.sent > latency_.response_timeout();
 }
 
-// A connection that broke is no silence: something there has ended it. A dead process refuses the
-// next connection.
+// A reset connection does not count as a loss: it was closed at the endpoint, so the host is
+// reachable. If the process has died, the next connection attempt fails.
 bool EndpointHealth::record_reachability(const Attempt& attempt, Outcome outcome, TimePoint now) {
   State& state = endpoints_[attempt.endpoint];
-  if (lost(outcome) || outcome == Outcome::cancelled) {
+  if (is_lost(outcome) || outcome == Outcome::cancelled) {
     if (state.last_answer_at < attempt.sent && outcome != Outcome::reset) {
       ++state.consecutive_losses;
       state.last_loss_at = now;
@@ -85,7 +86,7 @@
   }
   state.consecutive_rejections = 0;
   const Duration latency = now - attempt.sent;
-  // A late answer of an endpoint that answers others is a matter of load, not of health.
+  // A timeout while the endpoint answers other requests is caused by load, not by a fault.
   const bool late_only = outcome == Outcome::timeout && state.last_answer_at >= attempt.sent;
   state.results.push({.at = now,
                       .healthy = outcome == Outcome::ok || late_only,
@@ -93,7 +94,7 @@
                                                               request.cost_hint_ms),
                       .latency = latency,
                       .concurrency = attempt.concurrency,
-                      .timed = outcome != Outcome::error});
+                      .has_latency = outcome != Outcome::error});
   state.recent.reset();
 }
 
@@ -140,11 +141,12 @@
       break;
     ++recent.count;
     recent.valid_until = result.at + max_result_age;
-    // A quick error is no sign of speed.
+    // Errors may arrive quickly, so their latency must not make the endpoint look fast.
     recent.latency_ratios +=
-        result.timed ? std::clamp(result.latency_ratio, min_latency_ratio, max_latency_ratio) : 1;
-    recent.latency_s += result.timed ? to_seconds(result.latency) : 0;
-    recent.concurrency += result.timed ? result.concurrency : 0;
+        result.has_latency ? std::clamp(result.latency_ratio, min_latency_ratio, max_latency_ratio)
+                           : 1;
+    recent.latency_s += result.has_latency ? to_seconds(result.latency) : 0;
+    recent.concurrency += result.has_latency ? result.concurrency : 0;
     if (result.healthy)
       continue;
     ++recent.failed;
@@ -158,13 +160,14 @@
   return now < state.load_at + max_load_age ? state.load : LoadReport{};
 }
 
-// By Little's law: own requests in flight over the recent throughput. Guards against queues that no
-// answer survives, whatever fills them. It may shed too early on few answers.
+// By Little's law: own attempts in flight over the recent throughput. The limit on this wait keeps
+// attempts out of queues in which they would time out, whatever the cause of the queue. With few
+// results the estimate can be too high and cause premature shedding.
 Duration EndpointHealth::expected_wait(int endpoint, TimePoint now) {
   const State& state = endpoints_[endpoint];
   const RecentResults& recent = recent_results(endpoint, now);
-  if (recent.concurrency < few_concurrent &&
-      (recent.concurrency == 0 || state.results.back(0).at < now - max_single_answer_age))
+  if (recent.concurrency < min_concurrency_sum &&
+      (recent.concurrency == 0 || state.results.back(0).at < now - max_age_of_few_results))
     return Duration{};
   const double queued = static_cast<double>(state.in_flight.size() + 1);
   return from_millis(1e3 * queued * recent.latency_s / recent.concurrency);
--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -7,11 +7,11 @@
 namespace robinhoist {
 
 namespace {
-constexpr std::size_t min_subset_to_sample = 64;  // smaller subsets are scanned instead
+constexpr std::size_t min_subset_to_sample = 64;  // subsets up to this size are scanned instead
 constexpr std::size_t max_samples = 16;
 constexpr std::size_t max_unhealthy_samples = 2;
-constexpr double remote_penalty = 1.3;  // another zone must be better by this factor
-constexpr double slow_tolerance = 1.3;  // an endpoint this much slower than typical is not slow yet
+constexpr double remote_penalty = 1.3;  // an endpoint of another zone must be better by this factor
+constexpr double slow_tolerance = 1.3;  // latencies up to this multiple of the typical are not slow
 constexpr double prior_results = 3;     // results at typical latency, added to the recent ones
 
 int random_element(const std::vector<int>& values, std::minstd_rand& random) {
@@ -33,7 +33,7 @@
 int EndpointPicker::pick(const EndpointRequirements& requirements, TimePoint now,
                          std::minstd_rand& random) {
   const Candidates candidates = find_candidates(requirements, now, random);
-  if (candidates.unhealthy.size() > 2 * candidates.usable)
+  if (candidates.unhealthy.size() > 2 * candidates.healthy)
     return better_of_two(candidates.unhealthy, now, random);
   const int local = better_of_two(candidates.local, now, random);
   const int remote = better_of_two(candidates.remote, now, random);
@@ -54,7 +54,7 @@
     std::vector<int>& found = locality == Locality::local ? candidates.local : candidates.remote;
     found = sample_two(group, requirements, subset_size, now, random);
     if (found.size() == 2) {
-      candidates.usable += group.size();
+      candidates.healthy += group.size();
       continue;
     }
     found.clear();
@@ -63,15 +63,15 @@
   return candidates;
 }
 
-// All proxies see a group in the same order and begin at points spread evenly, so that their
-// subsets load all endpoints alike.
+// All proxies sort a group in the same order, and their subsets start at evenly spread points, so
+// that every endpoint belongs to about the same number of subsets.
 std::size_t EndpointPicker::subset_start(const std::vector<int>& group) const {
   return static_cast<std::size_t>(golden_ratio_point(proxy_index_) *
                                   static_cast<double>(group.size()));
 }
 
-// Draws from a large subset until two endpoints will do: the same choice as a scan's, at a cost
-// that does not grow with the fleet. Fewer than two: it gave up.
+// Samples a large subset until two suitable endpoints are found. The result is distributed as that
+// of a scan, but the cost does not grow with the fleet. Returns fewer than two if it gives up.
 std::vector<int> EndpointPicker::sample_two(const std::vector<int>& group,
                                             const EndpointRequirements& requirements,
                                             std::size_t subset_size, TimePoint now,
@@ -88,7 +88,7 @@
     const int endpoint = group[(start + offset) % group.size()];
     if (!may_receive(endpoint, requirements, subset_size, now))
       continue;
-    if (!is_trusted(endpoint, requirements, now))
+    if (!is_healthy_for(endpoint, requirements, now))
       ++unhealthy;
     else if (health_.expected_wait(endpoint, now) <= requirements.max_wait &&
              (found.empty() || found.front() != endpoint))
@@ -99,7 +99,7 @@
   return found;
 }
 
-// Steps through a group from the subset's start until the subset is full of healthy endpoints.
+// Scans a group from the start of the subset until the subset has its size in healthy endpoints.
 void EndpointPicker::scan(const std::vector<int>& group, const EndpointRequirements& requirements,
                           std::size_t subset_size, TimePoint now, std::vector<int>& found,
                           Candidates& candidates) {
@@ -109,7 +109,7 @@
     const int endpoint = group[(start + i) % group.size()];
     if (!may_receive(endpoint, requirements, subset_size, now))
       continue;
-    if (!is_trusted(endpoint, requirements, now)) {
+    if (!is_healthy_for(endpoint, requirements, now)) {
       candidates.unhealthy.push_back(endpoint);
       continue;
     }
@@ -117,7 +117,7 @@
     if (health_.expected_wait(endpoint, now) <= requirements.max_wait)
       found.push_back(endpoint);
   }
-  candidates.usable += healthy;
+  candidates.healthy += healthy;
 }
 
 bool EndpointPicker::may_receive(int endpoint, const EndpointRequirements& requirements,
@@ -126,10 +126,10 @@
          !health_.is_ejected(endpoint, now);
 }
 
-bool EndpointPicker::is_trusted(int endpoint, const EndpointRequirements& requirements,
-                                TimePoint now) {
+bool EndpointPicker::is_healthy_for(int endpoint, const EndpointRequirements& requirements,
+                                    TimePoint now) {
   return health_.is_healthy(endpoint, now) &&
-         !(requirements.avoid_suspects && health_.consecutive_losses(endpoint) > 0);
+         !(requirements.avoid_recent_losses && health_.consecutive_losses(endpoint) > 0);
 }
 
 int EndpointPicker::better_of_two(const std::vector<int>& endpoints, TimePoint now,
@@ -145,15 +145,14 @@
   return load_score(second, now) < load_score(first, now) ? second : first;
 }
 
-// Own requests in flight, weighted by size, warm-up and how slow the endpoint's recent answers
-// were.
+// Own attempts in flight, weighted by the endpoint's size, warm-up and recent latencies.
 double EndpointPicker::load_score(int endpoint, TimePoint now) {
   const RecentResults& recent = health_.recent_results(endpoint, now);
   double slowness =
       std::max(1.0, (prior_results + recent.latency_ratios) /
                         (prior_results + static_cast<double>(recent.count)) / slow_tolerance);
-  // A load report tells of other proxies' work there. Half of it counts, as all proxies see the
-  // same reports, and late.
+  // A load report includes other proxies' requests. Only half of them are counted, because the
+  // report is delayed and all proxies would react to it alike.
   const auto own = static_cast<double>(health_.in_flight(endpoint));
   const LoadReport load = health_.fresh_load(endpoint, now);
   const double others = std::max(0.0, load.in_flight.value_or(own) - own) / 2;
--- a/src/policy/endpoint_picker.h
+++ b/src/policy/endpoint_picker.h
@@ -1,5 +1,6 @@
-/// The choice of an endpoint for an attempt: power of two choices by load score, within the proxy's
-/// subset of the endpoints, in its own zone unless another is clearly better.
+/// Load balancing: picks the endpoint for an attempt by power of two choices on a load score,
+/// within the proxy's subset of the endpoints, and in its own zone unless another is clearly
+/// better.
 #pragma once
 #include <functional>
 #include <random>
@@ -13,22 +14,23 @@
 
 namespace robinhoist {
 
-/// What an attempt asks of an endpoint.
+/// The requirements of an attempt on an endpoint.
 struct EndpointRequirements {
   BuildGroup build;
-  const std::function<bool(int)>& may_use;  ///< rules of the request itself, by endpoint number
-  bool avoid_suspects;                      ///< whether a single recent loss counts as unhealthy
-  Duration max_wait;                        ///< the longest queue that the request may join
+  const std::function<bool(int)>& may_use;  ///< the request's own rules, by endpoint number
+  bool avoid_recent_losses;                 ///< whether a single recent loss counts as unhealthy
+  Duration max_wait;                        ///< the longest expected wait that is accepted
 };
 
-/// Picks endpoints. Owns nothing but its settings; the objects it reads must outlive it.
+/// Picks endpoints. Stateless; the objects passed to the constructor must outlive it.
 class EndpointPicker {
  public:
   EndpointPicker(int proxy_index, const EndpointSet& endpoints, EndpointHealth& health,
                  SlowStartLimiter& slow_start, const SubsetSize& subset_size);
 
-  /// The endpoint to send to, -1 if none will do. When most endpoints are unhealthy, these are used
-  /// all the same. Draws from `random` as often as it compares.
+  /// The endpoint to send to, -1 if there is none. If more than two thirds of the candidates are
+  /// unhealthy, one of these is picked. The number of draws from `random` depends on the
+  /// candidates.
   int pick(const EndpointRequirements& requirements, TimePoint now, std::minstd_rand& random);
 
  private:
@@ -36,7 +38,7 @@
     std::vector<int> local{};
     std::vector<int> remote{};
     std::vector<int> unhealthy{};
-    std::size_t usable = 0;  // healthy endpoints in reach
+    std::size_t healthy = 0;  // endpoints that may receive the attempt
   };
   Candidates find_candidates(const EndpointRequirements& requirements, TimePoint now,
                              std::minstd_rand& random);
@@ -49,7 +51,7 @@
   std::size_t subset_start(const std::vector<int>& group) const;
   bool may_receive(int endpoint, const EndpointRequirements& requirements, std::size_t subset_size,
                    TimePoint now);
-  bool is_trusted(int endpoint, const EndpointRequirements& requirements, TimePoint now);
+  bool is_healthy_for(int endpoint, const EndpointRequirements& requirements, TimePoint now);
   int better_of_two(const std::vector<int>& endpoints, TimePoint now, std::minstd_rand& random);
   double load_score(int endpoint, TimePoint now);
 
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -58,9 +58,9 @@
   return endpoints_[endpoint].listed && endpoints_[endpoint].phase == EndpointPhase::ready;
 }
 
-// An endpoint that answers again after it was lost has probably been restarted, whatever the list
-// still says: guards against overloading servers whose restart is listed late. After a mere network
-// cut it costs some seconds of slow start.
+// An endpoint that answers again after its ejection has probably been restarted, even if the list
+// does not show the restart yet. Treating it as just started avoids overloading a cold server. If
+// only the network was interrupted, the cost is a few seconds of slow start.
 double EndpointSet::warm_up_factor(int number, TimePoint now) const {
   const EndpointState& endpoint = endpoints_[number];
   const TimePoint listed_start = endpoint.started == TimePoint{} ? long_ago : endpoint.started;
--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -1,4 +1,4 @@
-/// The endpoints that this proxy knows: what the list says of each, and how warm each is.
+/// The known endpoints: their entries in the list, their groups, and their warm-up.
 #pragma once
 #include <vector>
 
@@ -7,31 +7,32 @@
 
 namespace robinhoist {
 
-/// What is known of an endpoint from the list and from its recoveries.
+/// An endpoint's entry in the list and its last recovery.
 struct EndpointState : EndpointInfo {
-  bool listed = false;                ///< false: a number that no update has named yet
+  bool listed = false;                ///< false for a number that no update has contained yet
   TimePoint listed_at = long_ago;     ///< when its present process was first listed
-  TimePoint recovered_at = long_ago;  ///< when it answered again after it had seemed lost
+  TimePoint recovered_at = long_ago;  ///< when it answered again after its ejection
 };
 
-/// Whether an endpoint runs the newest of the builds that take requests.
+/// Whether an endpoint runs the newest build among the ready endpoints.
 enum class BuildGroup { older, newest };
 
 /// Whether an endpoint is in the proxy's own zone.
 enum class Locality { remote, local };
 
-/// Owns the list of endpoints. An endpoint's number is its index everywhere in the module; numbers
-/// are never reused for another endpoint, and removed endpoints stay known.
+/// Owns the list of endpoints. Throughout the module an endpoint's number is its index. Numbers are
+/// never reused for another endpoint, and removed endpoints keep their entry.
 class EndpointSet {
  public:
   explicit EndpointSet(const EndpointSettings& settings);
 
-  /// Applies a list update other than a failed one. Returns the endpoints that are another process
-  /// than before (another start or build): what was known of the old one says nothing any more.
+  /// Applies a list update other than a failed one. Returns the endpoints that are new or have been
+  /// replaced by another process, with another start or build. Observations of the old process do
+  /// not apply to the new one.
   std::vector<int> update(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries,
                           TimePoint now);
 
-  /// Notes that an endpoint answered again after it had seemed lost. It counts as just started.
+  /// Records that an endpoint answered again after its ejection. It then counts as just started.
   void mark_recovered(int endpoint, TimePoint now) { endpoints_[endpoint].recovered_at = now; }
 
   /// All endpoints, by number.
@@ -41,23 +42,23 @@
 
   int size() const { return static_cast<int>(endpoints_.size()); }
 
-  /// Whether the list says that the endpoint takes requests.
+  /// Whether the endpoint is listed as accepting requests.
   bool is_ready(int endpoint) const;
 
   bool is_local(int endpoint) const { return endpoints_[endpoint].zone == zone_; }
 
-  /// What part of its warm capacity the endpoint has, up to 1.
+  /// The endpoint's present capacity as part of its warm capacity, up to 1.
   double warm_up_factor(int endpoint, TimePoint now) const;
 
   bool is_warm(int endpoint, TimePoint now) const { return warm_up_factor(endpoint, now) >= 1; }
 
-  /// The newest build with a ready endpoint, -1 for none.
+  /// The newest build among the ready endpoints, -1 if there are none.
   int newest_build() const { return newest_build_; }
 
-  /// Whether any ready endpoint runs another build than the newest.
+  /// Whether any ready endpoint runs an older build than the newest.
   bool has_older_build() const;
 
-  /// The ready endpoints of a group, in an order that is the same at every proxy.
+  /// The ready endpoints of a group, in the same order at all proxies.
   const std::vector<int>& group(BuildGroup build, Locality locality) const;
 
   /// The group that a ready endpoint belongs to.
--- a/src/policy/failure_check.cpp
+++ b/src/policy/failure_check.cpp
@@ -8,33 +8,34 @@
 
 namespace {
 
-// A flood of errors speaks without a baseline to compare with.
-constexpr double flood_threshold = 0.2;
-constexpr double flood_min_failures = 8;
+// Thresholds without a comparable baseline: only very many failures are evidence then.
+constexpr double unpaired_failure_threshold = 0.2;
+constexpr double unpaired_min_failures = 8;
 constexpr double min_failures = 3;
 constexpr double suspicious_failures = 2;
 constexpr double suspicious_p_value = 0.03;
-// Floor and prior of the baseline's failure rate.
+// Lower bound and prior of the baseline's failure rate.
 constexpr double min_baseline_rate = 0.01;
 constexpr double prior_failures = 0.5;
 constexpr double prior_attempts = 25;
 
-// Whether failures are spread over more than 30% of the canary's endpoints. A few endpoints fail by
-// themselves.
+// Whether failures are spread over more than 30% of the canary's endpoints. Failures of fewer
+// endpoints can be faults of these endpoints.
 bool failures_widespread(const CohortStatistics& canary) {
   const long failing = std::count_if(canary.by_endpoint.begin(), canary.by_endpoint.end(),
                                      [](const auto& entry) { return entry.second.failed > 0; });
   return 10 * failing > 3 * static_cast<long>(canary.by_endpoint.size());
 }
 
-// Whether there are enough failures to speak of. Without a baseline beside it only a flood on many
-// endpoints counts: overload and cut links lose answers too.
+// Whether there are enough failures to be evidence. Unless the canary's attempts are paired with
+// those of the baseline, many failures on many endpoints are required, because overload and network
+// partitions cause failures too.
 bool enough_failures(double failed, double attempts, bool paired, bool widespread,
                      const CheckContext& context) {
   if (paired)
     return failed >= min_failures && failed > failure_threshold * attempts;
-  const double threshold = flood_threshold / (context.many_votes ? 2 : 1);
-  return widespread && failed >= flood_min_failures && failed > threshold * attempts;
+  const double threshold = unpaired_failure_threshold / (context.many_votes ? 2 : 1);
+  return widespread && failed >= unpaired_min_failures && failed > threshold * attempts;
 }
 
 CheckOutcome judge_failures(const AttemptTotals& canary, const AttemptTotals& baseline,
@@ -47,8 +48,8 @@
   const double expected =
       std::max(baseline_rate * canary.attempts, paired ? canary.expected_failures : 0);
   const double p_value = poisson_upper_tail(failed, expected);
-  // Before the minimum only failures far beyond chance: the routing would soon leave such a build
-  // alone.
+  // Below the minimum of attempts only very improbable failures count. They must count, because
+  // load balancing soon avoids such endpoints and the minimum might never be reached.
   const double significance =
       canary.attempts >= min_stage_attempts ? context.significance : context.significance / 10;
   if (enough_failures(failed, canary.attempts, paired, widespread, context) &&
@@ -77,7 +78,7 @@
                                   totals.failed + totals.lost, totals.attempts);
     suspicious |= outcome == CheckOutcome::suspicious;
   }
-  return CheckResult::undecided(suspicious);
+  return CheckResult::not_failed(suspicious);
 }
 
 }  // namespace robinhoist
--- a/src/policy/fleet_slowdown_check.cpp
+++ b/src/policy/fleet_slowdown_check.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-// Answers that make up a window, and the part of them that many proxies need each.
+// Answers in a window, and the part of them that a proxy needs if many votes are needed.
 constexpr std::size_t window_answers = 30;
 constexpr double many_votes_share = 0.6;
 constexpr Duration min_window = 1500ms;
 constexpr Duration max_window = 8s;
 constexpr Duration min_slowdown = 2 * min_window;
 constexpr double slowdown_ratio = 1.7;
-// Beyond this load, relative to the reference, slowness is the load's.
+// Above this load, relative to the reference, a slowdown is attributed to the load.
 constexpr double max_load_ratio = 1.3;
-// A fleet slower than this before the canary had much traffic has another fault.
+// A slowdown above this before the canary gets much traffic has another cause than the release.
 constexpr double max_early_slowdown = 1.4;
 constexpr double min_endpoint_samples = 2;
 
@@ -31,8 +31,8 @@
   reference_due_ = false;
   const bool enough = static_cast<double>(fleet.canary.size()) >= min_stage_attempts / 2;
   if (!enough || !(comparable || many_votes_) || !slower_than_reference(release, fleet, comparable))
-    healthy_at_ = fleet.now;
-  if (fleet.now - healthy_at_ >= min_slowdown)
+    last_healthy_at_ = fleet.now;
+  if (fleet.now - last_healthy_at_ >= min_slowdown)
     return CheckResult::failure(AnalysisReason::fleet_slowdown, fleet.load, reference_->load);
   return {};
 }
@@ -64,25 +64,27 @@
   const double load_ratio = std::max(1.0, fleet.load / reference_->load);
   if (load_ratio > max_load_ratio)
     return false;
-  // Queues grow faster than the load: so much more is asked of the slowness.
-  const double slowdown = std::log(slowdown_ratio * load_ratio * load_ratio);
-  const double usual = reference_->mean_log_objective_ratio;
+  // Queues grow faster than the load, so the required slowdown grows with the square of the load.
+  const double min_slowdown_log = std::log(slowdown_ratio * load_ratio * load_ratio);
+  const double reference_log = reference_->mean_log_objective_ratio;
   int slow = 0;
-  int seen = 0;
+  int measured = 0;
   for (const auto& [endpoint, totals] : now.by_endpoint) {
     if (totals.latency_samples < min_endpoint_samples)
       continue;
-    ++seen;
-    slow += totals.mean_log_objective_ratio() > usual + slowdown / 2 ? 1 : 0;
+    ++measured;
+    slow += totals.mean_log_objective_ratio() > reference_log + min_slowdown_log / 2 ? 1 : 0;
   }
-  return now.total.mean_log_objective_ratio() > usual + slowdown && 5 * slow >= 4 * seen;
+  return now.total.mean_log_objective_ratio() > reference_log + min_slowdown_log &&
+         5 * slow >= 4 * measured;
 }
 
 double FleetSlowdownCheck::min_answers() const {
   return window_answers * (many_votes_ ? many_votes_share : 1);
 }
 
-// The window is short, or longer where answers are few.
+// The start of the observation window. It is short, but where many votes are needed it is extended
+// until it contains enough answers.
 TimePoint FleetSlowdownCheck::window_start(const SlidingWindow<Sample>& samples,
                                            TimePoint now) const {
   TimePoint start = now;
--- a/src/policy/fleet_slowdown_check.h
+++ b/src/policy/fleet_slowdown_check.h
@@ -1,5 +1,5 @@
-/// Fleet slowdown check of the canary analysis: whether a release harms the whole fleet, the
-/// baseline included.
+/// Fleet slowdown check of the canary analysis: whether a release slows the whole fleet, including
+/// the baseline.
 #pragma once
 #include <optional>
 
@@ -10,33 +10,35 @@
 
 namespace robinhoist {
 
-/// The samples that the test looks at, and the load under which they were taken.
+/// The samples that the check uses, and the load under which they were taken.
 struct FleetObservation {
   const SlidingWindow<Sample>& canary;
   const SlidingWindow<Sample>& baseline;
-  double load;  ///< attempts per second for each endpoint's worth of capacity
+  double load;  ///< requests per second per endpoint of usual size
   TimePoint now;
 };
 
-/// A release that slows the whole fleet looks healthy beside the baseline. The check compares the
-/// fleet with itself before the offer: it fails if nearly all endpoints answer much slower for some
-/// seconds, though no more requests arrive. It errs where other proxies' traffic jumps during a
-/// canary and this one's does not.
+/// A release that slows the whole fleet looks healthy in comparison with the baseline. This check
+/// compares the fleet with its own state before the build was offered. It fails if nearly all
+/// endpoints answer much more slowly for some seconds and the load does not explain it. Only this
+/// proxy's load is known, so a rise of other proxies' traffic during a canary can cause a false
+/// alarm.
 class FleetSlowdownCheck {
  public:
   FleetSlowdownCheck(bool many_votes, int request_classes)
       : many_votes_(many_votes), request_classes_(request_classes) {}
 
-  /// A new build is offered: what is known of the fleet before the last one is dropped.
+  /// A new build is offered: drops the reference taken for the previous one.
   void build_offered() { reference_.reset(); }
-  /// A stage or phase of the release has begun: the next run may take the fleet as the reference.
+  /// A stage or phase of the release has begun: the next run may take or check the reference.
   void stage_began() { reference_due_ = true; }
 
-  /// Call at every analysis of a release; a slowdown must last between the calls.
+  /// Must be called at every analysis of a release. It fails only once a slowdown has persisted
+  /// over several calls.
   CheckResult run(const ReleaseUpdate& release, const FleetObservation& fleet, bool comparable);
 
  private:
-  /// The fleet before the offer.
+  /// The state of the fleet before the build was offered.
   struct Reference {
     double load;
     double mean_log_objective_ratio;
@@ -52,7 +54,7 @@
   int request_classes_;
   bool reference_due_ = false;
   std::optional<Reference> reference_{};
-  TimePoint healthy_at_ = long_ago;  // when the fleet was last not slower
+  TimePoint last_healthy_at_ = long_ago;  // the last run in which the fleet was not slower
 };
 
 }  // namespace robinhoist
--- a/src/policy/latency_model.cpp
+++ b/src/policy/latency_model.cpp
@@ -7,7 +7,7 @@
 namespace robinhoist {
 
 namespace {
-constexpr std::size_t latency_window = 64;  // answers of each request class
+constexpr std::size_t latency_window = 64;  // answers kept for each request class
 }  // namespace
 
 LatencyModel::LatencyModel(const std::vector<RequestClass>& request_classes)
--- a/src/policy/list_subscription.h
+++ b/src/policy/list_subscription.h
@@ -1,4 +1,4 @@
-/// When to subscribe to the endpoint list, in deployments where it does not come by itself.
+/// Subscription to the endpoint list, for deployments where updates are sent only to subscribers.
 #pragma once
 #include <optional>
 #include <random>
@@ -9,16 +9,16 @@
 
 namespace robinhoist {
 
-/// Subscribes at once, and after a failure again with growing, randomised backoff.
+/// Subscribes immediately, and again after failures with exponential backoff and jitter.
 class ListSubscription {
  public:
-  /// With `needed` false it never subscribes.
+  /// If `needed` is false, it never subscribes.
   explicit ListSubscription(bool needed);
 
-  /// Notes what the subscription brought: a failure, or an update of the list.
+  /// The list was updated, or the subscription has failed.
   void updated(EndpointUpdateKind kind, TimePoint now);
 
-  /// The decision to subscribe, if it is due.
+  /// The decision to subscribe, if one is due.
   std::optional<Decision> next(TimePoint now, std::minstd_rand& random);
 
  private:
--- a/src/policy/request_scheduler.cpp
+++ b/src/policy/request_scheduler.cpp
@@ -10,11 +10,11 @@
 namespace robinhoist {
 
 namespace {
-// A hedged request is due when the attempt takes longer than all but this part of answers do, and
-// than this part of the latency objective.
+// A hedged request is due when the first attempt has taken longer than this quantile of recent
+// latencies and than this part of the latency objective.
 constexpr double hedge_quantile = 0.95;
 constexpr double hedge_objective_ratio = 0.35;
-constexpr double min_retry_time = 0.5;  // left before the deadline, in typical latencies
+constexpr double min_retry_time = 0.5;  // time left for a retry, in typical latencies
 
 bool any_in_flight(const ScheduledRequest& request) {
   return std::any_of(request.attempts.begin(), request.attempts.end(),
@@ -128,7 +128,7 @@
     const AttemptId cancelled = to_cancel_.front();
     to_cancel_.pop_front();
     const ScheduledRequest* request = find(cancelled.request_id);
-    // The attempt may have ended in the meantime.
+    // The attempt may have ended since it was queued for cancellation.
     if (request && request->attempts[cancelled.attempt].in_flight)
       return Decision{.action = Action::cancel,
                       .request_id = cancelled.request_id,
@@ -168,7 +168,8 @@
   return send(request, endpoint, now);
 }
 
-// First attempts are admitted, retries are rationed: in an overload they would feed it.
+// First attempts are subject to admission control. Retries are limited by a budget, because they
+// would amplify an overload.
 bool RequestScheduler::may_send(const ScheduledRequest& request, TimePoint now) {
   const bool attempts_left = static_cast<int>(request.attempts.size()) < settings_.max_attempts;
   if (request.attempts.empty())
@@ -181,7 +182,8 @@
   return in_time && attempts_left;
 }
 
-// A hedged request guards against a silent or slow endpoint. It is waste, so it is rationed.
+// A hedged request protects against an unresponsive or slow endpoint. It duplicates work, so it is
+// limited by a budget.
 std::optional<Decision> RequestScheduler::consider_hedge(ScheduledRequest& request, TimePoint now) {
   const RequestClass& request_class = class_of(request);
   if (!settings_.hedging || request_class.idempotency == Idempotency::non_idempotent ||
@@ -204,21 +206,21 @@
   return send(request, endpoint, now);
 }
 
-// An endpoint that goes on answering others works on the request: a hedged one would only do long
-// work twice.
+// While the endpoint keeps answering other requests it is assumed to be working on this one, and
+// the hedged request is postponed: it would only duplicate a long computation.
 TimePoint RequestScheduler::hedge_due_at(const ScheduledRequest& request) {
   const Attempt& attempt = request.attempts.back();
-  const Duration late = from_millis(
+  const Duration delay = from_millis(
       std::max(cluster_.latency().typical_ms(request.info.request_class, hedge_quantile),
                hedge_objective_ratio * to_millis(class_of(request).latency_objective)));
   const TimePoint answered_at = cluster_.health().last_answer_at(attempt.endpoint);
   if (answered_at <= attempt.sent)
-    return attempt.sent + late;
-  return std::max(attempt.sent + late, answered_at + late / 2);
+    return attempt.sent + delay;
+  return std::max(attempt.sent + delay, answered_at + delay / 2);
 }
 
 int RequestScheduler::pick_endpoint(const ScheduledRequest& request, TimePoint now) {
-  // A retry goes to the older build where there is one: the canary's quota is for first attempts.
+  // Retries prefer the older build, because the canary's quota is reserved for first attempts.
   const bool prefers_newest =
       request.attempts.empty() && uniform_sample(random_) < newest_build_share(now);
   if (prefers_newest) {
@@ -226,8 +228,8 @@
     return endpoint >= 0 ? endpoint : pick_endpoint_in(BuildGroup::older, request, now);
   }
   const int endpoint = pick_endpoint_in(BuildGroup::older, request, now);
-  // What the older build has no capacity for must not go to a canary: its overloaded endpoints
-  // would read as a slow build.
+  // Traffic that exceeds the older build's capacity must not overflow to a canary. It would
+  // overload the canary's endpoints, and the analysis would take the canary for a slow build.
   if (endpoint >= 0 || canary_quota_.is_canary(cluster_.endpoints().newest_build()))
     return endpoint;
   return pick_endpoint_in(BuildGroup::newest, request, now);
@@ -242,7 +244,7 @@
   const EndpointRequirements requirements{
       .build = build,
       .may_use = [&](int endpoint) { return may_use(endpoint, build, request, now); },
-      .avoid_suspects = idempotency == Idempotency::non_idempotent,
+      .avoid_recent_losses = idempotency == Idempotency::non_idempotent,
       .max_wait = admission_.max_wait(request.info, now)};
   return cluster_.pick(requirements, now, random_);
 }
@@ -280,8 +282,8 @@
   return Decision{.action = Action::forward, .request_id = request_id, .endpoint = endpoint};
 }
 
-// A rejection tells the client that it may safely retry, so it needs rule 2; else the request
-// fails.
+// A rejection tells the client that a retry is safe. If client_may_retry() does not allow that, the
+// request fails instead.
 Decision RequestScheduler::finish(ScheduledRequest& request, Duration retry_after, TimePoint now) {
   const int request_id = request.info.request_id;
   const bool reject =
--- a/src/policy/request_scheduler.h
+++ b/src/policy/request_scheduler.h
@@ -1,4 +1,4 @@
-/// The life of a request: attempts, retries, hedged requests, rejection and the final answer.
+/// The lifecycle of requests: attempts, retries, hedged requests, rejection and completion.
 #pragma once
 #include <deque>
 #include <functional>
@@ -19,20 +19,20 @@
 
 namespace robinhoist {
 
-/// A request that the scheduler still has to care for.
+/// A request that the scheduler tracks.
 struct ScheduledRequest {
   RequestInfo info;
   TimePoint next_check_at{};  ///< the earliest timer set for it; zero: none
   std::vector<Attempt> attempts{};
-  bool done = false;       ///< it is answered, finished or its client has disconnected
-  bool streaming = false;  ///< its answer has begun to stream: no more attempts
+  bool done = false;       ///< it was answered, rejected or failed, or its client has disconnected
+  bool streaming = false;  ///< its answer is being streamed; no more attempts are sent
 };
 
 /// Owns the requests from their arrival until they are done and all their attempts have ended.
-/// Input functions only note what happened; next() decides.
+/// The input functions only update state; next() decides.
 class RequestScheduler {
  public:
-  /// What is passed by reference must outlive this object.
+  /// The objects passed by reference must outlive this object.
   RequestScheduler(const RequestSettings& settings, UpstreamCluster& cluster,
                    CanaryQuota& canary_quota, std::minstd_rand& random);
 
@@ -42,26 +42,26 @@
   /// The answer to a request has begun to stream to its client.
   void stream_began(int request_id);
 
-  /// An attempt, by its index in the request, has ended; `succeeded` tells that with it the client
-  /// has its answer. Unknown requests and attempts are ignored.
+  /// An attempt, given by its index in the request, has ended; `succeeded` means that the client
+  /// has got its answer. Unknown requests and attempts are ignored.
   void attempt_ended(int request_id, int attempt, Outcome outcome, bool succeeded, TimePoint now);
 
   /// The client of a request has disconnected.
   void client_disconnected(int request_id);
 
-  /// Whether the request is still cared for.
+  /// Whether the request is still tracked.
   bool has_request(int request_id) const { return requests_.contains(request_id); }
 
-  /// The request, nullptr if it is not known. Valid until the next call that is not const.
+  /// The request, nullptr if it is not tracked. Valid until the next call that is not const.
   const ScheduledRequest* find(int request_id) const;
 
   /// The next decision, if any is due.
   std::optional<Decision> next(TimePoint now);
 
-  /// When next() has to be called again, if nothing happens before.
+  /// When next() must be called again if there is no event before.
   std::optional<TimePoint> next_check_at() const;
 
-  /// The share of first attempts that the newest build is to get; see newest_build_share().
+  /// The share of first attempts to send to the newest build; see newest_build_share().
   double newest_build_share(TimePoint now);
 
  private:
@@ -98,7 +98,7 @@
   AdmissionController admission_;
   RetryBudget retry_budget_;
   std::unordered_map<int, ScheduledRequest> requests_{};
-  std::deque<int> undecided_{};        // requests to decide on, in this order
+  std::deque<int> undecided_{};        // requests that next() must decide on, in this order
   std::deque<AttemptId> to_cancel_{};  // attempts no longer needed
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_{};
 };
--- a/src/policy/retry_budget.cpp
+++ b/src/policy/retry_budget.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 constexpr std::size_t attempt_window = 100;
-constexpr int max_repeats_to_hedge = 8;   // of the latest attempts
-constexpr int max_repeats_to_retry = 20;  // of the latest attempts
+constexpr int max_repeats_to_hedge = 8;   // in the window
+constexpr int max_repeats_to_retry = 20;  // in the window, at full admission rate
 }  // namespace
 
 RetryBudget::RetryBudget() : repeats_(attempt_window) {}
--- a/src/policy/retry_rules.cpp
+++ b/src/policy/retry_rules.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-bool key_is_known(DedupScope scope, const EndpointState& before, const EndpointState& endpoint) {
+// Whether `endpoint` shares its idempotency keys with the endpoint of an earlier attempt.
+bool shares_keys(DedupScope scope, const EndpointState& earlier, const EndpointState& endpoint) {
   switch (scope) {
     case DedupScope::zone:
-      return endpoint.zone == before.zone;
+      return endpoint.zone == earlier.zone;
     case DedupScope::cell:
-      return endpoint.cell == before.cell;
+      return endpoint.cell == earlier.cell;
     case DedupScope::all:
       break;
   }
@@ -31,8 +32,7 @@
     if (request_class.idempotency == Idempotency::non_idempotent ||
         now + tick >= attempt.sent + request_class.dedup_window)
       return false;
-    return key_is_known(request_class.dedup_scope, endpoints[attempt.endpoint],
-                        endpoints[endpoint]);
+    return shares_keys(request_class.dedup_scope, endpoints[attempt.endpoint], endpoints[endpoint]);
   };
   return std::all_of(attempts.begin(), attempts.end(), permits);
 }
--- a/src/policy/retry_rules.h
+++ b/src/policy/retry_rules.h
@@ -1,5 +1,5 @@
-/// Rule 2: where a request that may already have run can go again, and whether its client may retry
-/// it. Free functions.
+/// Retry safety: to which endpoints a request that may already have run can be sent again, and
+/// whether its client may retry it. Implements rule 2 of audit/rules.h.
 #pragma once
 #include <vector>
 
@@ -10,12 +10,13 @@
 namespace robinhoist {
 
 /// Whether a request with these attempts may be sent to `endpoint`. `tick` is the clock's
-/// resolution: a deduplication window that ends within it counts as over.
+/// resolution; a deduplication window that ends within one tick counts as over.
 bool may_retry_at(int endpoint, const RequestClass& request_class,
                   const std::vector<Attempt>& attempts, const EndpointSet& endpoints, Duration tick,
                   TimePoint now);
 
-/// Whether the client may safely retry a request with these attempts, wherever the retry goes.
+/// Whether the client may safely retry a request with these attempts, whichever endpoint serves the
+/// retry.
 bool client_may_retry(const RequestClass& request_class, const std::vector<Attempt>& attempts);
 
 }  // namespace robinhoist
--- a/src/policy/slow_start_limiter.cpp
+++ b/src/policy/slow_start_limiter.cpp
@@ -8,8 +8,8 @@
 namespace robinhoist {
 
 namespace {
-constexpr double safety_margin = 0.6;      // of what may be sent
-constexpr double min_window_requests = 8;  // of all proxies together
+constexpr double safety_factor = 0.6;      // part of the permitted requests that is used
+constexpr double min_window_requests = 8;  // requests per window allowed to all proxies together
 }  // namespace
 
 SlowStartLimiter::SlowStartLimiter(const EndpointSettings& settings, const EndpointSet& endpoints)
@@ -44,8 +44,8 @@
   count_warm_as_of_ = now;
 }
 
-// How many endpoints were warm when the last answer came. Those that have gone since count too:
-// else a fleet that is being swapped looks far more capable than it is.
+// The number of warm endpoints as of the last success. Endpoints removed since then are included:
+// otherwise the throughput per endpoint would be overestimated while a fleet is being replaced.
 int SlowStartLimiter::warm_endpoints() {
   if (!count_warm_as_of_)
     return warm_endpoints_;
@@ -58,18 +58,19 @@
   return warm_endpoints_;
 }
 
-// Requests that this proxy may send to the endpoint in one window, where this part of the proxies
-// reaches it.
-double SlowStartLimiter::allowance(int number, double reached_by, TimePoint now) {
+// The number of requests that this proxy may send to the endpoint in one window, if this share of
+// the proxies sends requests to it.
+double SlowStartLimiter::allowance(int number, double proxy_share, TimePoint now) {
   const EndpointState& endpoint = endpoints_[number];
-  const double certain_factor = endpoints_.warm_up_factor(
+  // The lowest warm-up factor within half a window.
+  const double lowest_factor = endpoints_.warm_up_factor(
       number,
       std::max({endpoint.started, endpoint.recovered_at, now - settings_.collapse_window / 2}));
-  const double by_warm_endpoints = safety_margin * settings_.collapse_multiple * certain_factor *
-                                   endpoint.size * static_cast<double>(successes_.size()) /
-                                   (std::max(1, warm_endpoints()) * reached_by);
-  const double least = std::min(1.0, min_window_requests / (settings_.proxy_count * reached_by));
-  return std::max(by_warm_endpoints, least);
+  const double by_throughput = safety_factor * settings_.collapse_multiple * lowest_factor *
+                               endpoint.size * static_cast<double>(successes_.size()) /
+                               (std::max(1, warm_endpoints()) * proxy_share);
+  const double minimum = std::min(1.0, min_window_requests / (settings_.proxy_count * proxy_share));
+  return std::max(by_throughput, minimum);
 }
 
 bool SlowStartLimiter::allows(int endpoint, std::size_t subset_size, TimePoint now) {
@@ -78,15 +79,15 @@
   State& state = states_[endpoint];
   while (!state.sent.empty() && state.sent.front() < now - settings_.collapse_window)
     state.sent.pop_front();
-  // An endpoint of a small group is reached by more of the proxies than one of a large group.
+  // An endpoint of a small group is in the subsets of more proxies than one of a large group.
   const auto group_size = static_cast<double>(endpoints_.group_of(endpoint).size());
-  const double reached_by =
+  const double proxy_share =
       std::min(1.0, static_cast<double>(subset_size) / std::max(1.0, group_size));
-  const double max_requests = allowance(endpoint, reached_by, now);
+  const double max_requests = allowance(endpoint, proxy_share, now);
   if (max_requests >= 1)
     return static_cast<double>(state.sent.size() + 1) <= max_requests;
-  // The first request waits for a point in time of the proxy's own: guards against the sum of many
-  // small allowances.
+  // The first request is delayed by an offset that differs between proxies. Otherwise all of them
+  // could send one request at the same time, which together exceeds the permitted load.
   const Duration gap = from_millis(to_millis(settings_.collapse_window) / max_requests);
   const Duration offset =
       from_millis(to_millis(gap) * golden_ratio_point(settings_.proxy_index + endpoint));
--- a/src/policy/slow_start_limiter.h
+++ b/src/policy/slow_start_limiter.h
@@ -1,4 +1,5 @@
-/// Rule 4: how many requests this proxy may send to an endpoint that is still warming up.
+/// Slow start: limits the requests that this proxy sends to an endpoint that is warming up.
+/// Implements rule 4 of audit/rules.h.
 #pragma once
 #include <deque>
 #include <optional>
@@ -9,12 +10,13 @@
 
 namespace robinhoist {
 
-/// Owns what was sent to warming endpoints and what the warm ones have answered of late.
+/// Owns the times of attempts sent to endpoints that are warming up, and the recent successes of
+/// warm endpoints.
 ///
-/// An endpoint that warms up falls over when all proxies together send it more than a multiple of
-/// what it is able to do. Each proxy keeps to its own part: what its warm endpoints carry, times
-/// what a warming one may be sent. Where that is less than one request a window, it waits longer
-/// between two.
+/// An endpoint that is warming up collapses if all proxies together send it more than a multiple of
+/// its present capacity. Each proxy limits itself to its own part of that: the recent throughput of
+/// its warm endpoints, scaled to the permitted load of a cold one. If that is less than one request
+/// per window, the proxy waits correspondingly longer between two requests.
 class SlowStartLimiter {
  public:
   /// The endpoint set must outlive this object.
@@ -23,33 +25,33 @@
   /// Makes room for this many endpoints.
   void resize(int endpoint_count);
 
-  /// Forgets when the endpoint was last sent to: it is another process now.
+  /// Clears the time of the last attempt at the endpoint, because it is a new process now.
   void reset(int endpoint);
 
-  /// To be called before the endpoint list changes: what the warm endpoints have answered so far
-  /// counts by the list as it was then.
+  /// Must be called before the endpoint list changes: the successes so far are attributed to the
+  /// endpoints of the old list.
   void list_changing();
 
   void attempt_sent(int endpoint, TimePoint now);
 
-  /// Notes an answer of an endpoint that was warm when the attempt was sent.
+  /// Records a success of an endpoint that was warm when the attempt was sent.
   void attempt_succeeded(int endpoint, TimePoint now);
 
-  /// Whether one more request may be sent to the endpoint now; `subset_size` is how many endpoints
-  /// of a group each proxy uses.
+  /// Whether one more request may be sent to the endpoint now; `subset_size` is the number of
+  /// endpoints of a group that each proxy uses.
   bool allows(int endpoint, std::size_t subset_size, TimePoint now);
 
  private:
   struct State {
-    std::deque<TimePoint> sent{};       // while warming up, within the window
-    TimePoint last_sent_at = long_ago;  // while warming up
-    int successes = 0;                  // while warm, within the window
+    std::deque<TimePoint> sent{};       // attempts sent during warm-up, within the window
+    TimePoint last_sent_at = long_ago;  // the last attempt during warm-up
+    int successes = 0;                  // when warm, within the window
   };
   struct Success {
     TimePoint at;
     int endpoint;
   };
-  double allowance(int endpoint, double reached_by, TimePoint now);
+  double allowance(int endpoint, double proxy_share, TimePoint now);
   int warm_endpoints();
 
   EndpointSettings settings_;
@@ -57,7 +59,7 @@
   std::vector<State> states_{};                  // by endpoint
   std::deque<Success> successes_{};              // of all warm endpoints, within the window
   int warm_endpoints_ = 0;                       // as last counted
-  std::optional<TimePoint> count_warm_as_of_{};  // set when that count is out of date
+  std::optional<TimePoint> count_warm_as_of_{};  // set when that count is outdated
 };
 
 }  // namespace robinhoist
--- a/src/policy/subset_size.h
+++ b/src/policy/subset_size.h
@@ -1,4 +1,4 @@
-/// Over how many endpoints this proxy spreads its requests.
+/// Subsetting: the number of endpoints over which this proxy spreads its requests.
 #pragma once
 #include <cstddef>
 
@@ -7,30 +7,30 @@
 
 namespace robinhoist {
 
-/// Owns the proxy's recent rate of attempts and of refused connections.
+/// Owns the windows of the proxy's recent attempts and of their failed connections.
 ///
-/// One of many proxies that sent to every endpoint would know nothing recent of any of them, and
-/// open a connection for nearly every request. So each keeps to a subset, the larger the more it
-/// sends. Where many connections are refused, endpoints take only so many proxies, and the subset
-/// is smaller.
+/// If each of many proxies sent to every endpoint, it would have no recent results of any of them,
+/// and nearly every request would need a new connection. Therefore each proxy uses a subset, whose
+/// size grows with its request rate. If many connections fail, the endpoints are assumed to be at
+/// their connection limits, and the subset is made smaller.
 class SubsetSize {
  public:
   SubsetSize();
 
   void attempt_sent(TimePoint now) { attempts_.push(now); }
 
-  /// Notes how an attempt ended: whether its connection was refused.
-  void attempt_ended(bool connection_refused);
+  /// Records the end of an attempt and whether its connection could not be established.
+  void attempt_ended(bool connection_failed);
 
-  /// The proxy's own recent attempts per second.
+  /// This proxy's recent attempts per second.
   double attempts_per_s(TimePoint now) const;
 
-  /// How many endpoints of a group to use, at least two.
+  /// The number of endpoints of a group to use, at least two.
   std::size_t endpoints(TimePoint now) const;
 
  private:
   SlidingWindow<TimePoint> attempts_;
-  EventWindow refused_connections_;
+  EventWindow failed_connections_;
   bool connections_scarce_ = false;
 };
 
--- a/src/policy/traffic_split.cpp
+++ b/src/policy/traffic_split.cpp
@@ -5,12 +5,12 @@
 namespace robinhoist {
 
 namespace {
-constexpr double cap_utilization = 0.9;    // part of the cap that first attempts fill
+constexpr double cap_utilization = 0.9;    // part of the cap used by first attempts
 constexpr double max_relative_load = 1.0;  // a canary endpoint's load over an older endpoint's
 
-/// Sizes of the ready endpoints, in usual endpoints.
+// Sums of the sizes of ready endpoints.
 struct Capacity {
-  double newest = 0;  // of the healthy ones, as far as they have warmed up
+  double newest = 0;  // of healthy endpoints only, weighted by their warm-up
   double older = 0;
   double all = 0;
 };
@@ -39,16 +39,16 @@
   if (!cluster.endpoints().has_older_build())
     return 1;
   const Capacity capacity = ready_capacity(cluster, now);
-  // While requests are rejected all endpoints share alike: full ones would look slow beside idle
-  // ones.
+  // While requests are rejected, the load is balanced over all endpoints. Otherwise the fully
+  // loaded endpoints of one build would look slow in comparison with idle ones of the other.
   const double total = canary_quota.in_place() || is_rejecting
                            ? capacity.all
                            : std::max(capacity.older, capacity.newest);
-  const double able = std::min(1.0, max_relative_load * capacity.newest / total);
+  const double capacity_share = std::min(1.0, max_relative_load * capacity.newest / total);
   const int newest = cluster.endpoints().newest_build();
   if (!canary_quota.is_canary(newest))
-    return able;
-  return std::min(cap_utilization * canary_quota.cap(newest), able);
+    return capacity_share;
+  return std::min(cap_utilization * canary_quota.cap(newest), capacity_share);
 }
 
 }  // namespace robinhoist
--- a/src/policy/traffic_split.h
+++ b/src/policy/traffic_split.h
@@ -1,4 +1,4 @@
-/// How first attempts are split between the newest build and the older ones.
+/// The split of first attempts between the newest build and older builds.
 #pragma once
 #include "policy/canary_quota.h"
 #include "policy/upstream_cluster.h"
@@ -6,9 +6,9 @@
 
 namespace robinhoist {
 
-/// The share of first attempts (0 to 1) that the newest build is to get: most of the canary's cap,
-/// but no more than its endpoints can carry without working harder than the others. `is_rejecting`
-/// tells whether this proxy rejects requests at present: then all endpoints share alike.
+/// The share of first attempts (0 to 1) to send to the newest build: most of the canary's cap, but
+/// not more than puts the same load on its endpoints as on the others. `is_rejecting` means that
+/// this proxy is rejecting requests; the load is then balanced over the endpoints of all builds.
 double newest_build_share(UpstreamCluster& cluster, const CanaryQuota& canary_quota,
                           bool is_rejecting, TimePoint now);
 
--- a/src/policy/upstream_cluster.cpp
+++ b/src/policy/upstream_cluster.cpp
@@ -31,8 +31,8 @@
 void UpstreamCluster::attempt_ended(const Attempt& attempt, Outcome outcome,
                                     const RequestInfo& request, TimePoint now) {
   health_.remove_in_flight(attempt);
-  const bool silent = health_.is_silent_since(attempt, now);
-  if (outcome == Outcome::obsolete || (outcome == Outcome::cancelled && !silent))
+  const bool unresponsive = health_.is_unresponsive_since(attempt, now);
+  if (outcome == Outcome::obsolete || (outcome == Outcome::cancelled && !unresponsive))
     return;
   if (health_.record_reachability(attempt, outcome, now))
     endpoints_.mark_recovered(attempt.endpoint, now);
--- a/src/policy/upstream_cluster.h
+++ b/src/policy/upstream_cluster.h
@@ -1,5 +1,5 @@
-/// The upstream endpoints as one: their list, health, slow start, latencies and the choice among
-/// them.
+/// The upstream endpoints as one component: their list, health, latencies, slow start and load
+/// balancing.
 #pragma once
 #include <random>
 #include <vector>
@@ -16,8 +16,8 @@
 
 namespace robinhoist {
 
-/// Owns the parts that know about endpoints, and passes each event to those that it concerns, in
-/// the order that they need. Readers ask the parts.
+/// Owns the components that handle endpoints, and passes each event to them in the required order.
+/// State is read from the components directly.
 class UpstreamCluster {
  public:
   UpstreamCluster(const EndpointSettings& settings,
@@ -32,24 +32,25 @@
   /// An attempt is being sent to the endpoint.
   void attempt_sent(int endpoint, TimePoint now);
 
-  /// An attempt has ended; `outcome` is what it tells about the endpoint.
+  /// An attempt has ended. `outcome` is the one to use for the endpoint's health, which is
+  /// Outcome::obsolete if the attempt is no evidence on the endpoint.
   void attempt_ended(const Attempt& attempt, Outcome outcome, const RequestInfo& request,
                      TimePoint now);
 
-  /// A load report has come.
+  /// A load report was received.
   void load_reported(int endpoint, const LoadReport& load, TimePoint now);
 
-  /// Picks an endpoint for an attempt, -1 for none; see EndpointPicker.
+  /// Picks an endpoint for an attempt, -1 if there is none; see EndpointPicker.
   int pick(const EndpointRequirements& requirements, TimePoint now, std::minstd_rand& random);
 
-  /// What the ready endpoints are able to do, in warm endpoints of usual size.
+  /// The capacity of the ready endpoints that are not ejected, in warm endpoints of usual size.
   double capacity(TimePoint now) const;
 
   const EndpointSet& endpoints() const { return endpoints_; }
   EndpointHealth& health() { return health_; }
   LatencyModel& latency() { return latency_; }
 
-  /// The proxy's own recent attempts per second.
+  /// This proxy's recent attempts per second.
   double attempts_per_s(TimePoint now) const { return subset_size_.attempts_per_s(now); }
 
  private:
--- a/src/policy/vote_scheduler.cpp
+++ b/src/policy/vote_scheduler.cpp
@@ -40,8 +40,8 @@
   return 0;
 }
 
-// The time is drawn from what twice the votes needed take at the quota; a vote is taken away at
-// once.
+// The delay is uniform over the time that twice the needed votes take at the rate limit. The
+// withdrawal of a vote is not delayed, since it needs no votes.
 void VoteScheduler::set_verdict(Verdict verdict, TimePoint now, std::minstd_rand& random) {
   if (verdict == wanted_)
     return;
@@ -67,7 +67,7 @@
 }
 
 std::optional<Decision> VoteScheduler::next(TimePoint now, std::minstd_rand& random) {
-  // An answer that never came: twice the longest wait is enough.
+  // If no answer arrives, the vote is given up after twice the call timeout.
   if (awaiting_answer_ && now < sent_at_ + 2 * settings_.call_timeout)
     return {};
   if (now >= expires_at_)
@@ -76,10 +76,11 @@
     return {};
   if (now < not_before_ || now < retry_at_)
     return {};
-  // Where the quota does not suffice for all proxies, each votes with the chance that it allows.
-  const double chance =
+  // If the rate limit does not suffice for votes of all proxies, each votes with the probability
+  // that the limit allows.
+  const double probability =
       settings_.votes_per_s * to_seconds(settings_.vote_lifetime) / std::max(1, settings_.proxies);
-  if (wanted_ != Verdict::none && chance < 1 && uniform_sample(random) >= chance) {
+  if (wanted_ != Verdict::none && probability < 1 && uniform_sample(random) >= probability) {
     not_before_ = now + settings_.vote_lifetime;
     return {};
   }
--- a/src/policy/vote_scheduler.h
+++ b/src/policy/vote_scheduler.h
@@ -1,5 +1,5 @@
-/// Vote scheduler: when this proxy votes on a release. It keeps to the quota of votes, renews a
-/// vote before it expires, and votes again after a failure.
+/// Vote scheduler: decides when this proxy votes on a release. It observes the rate limit on votes,
+/// renews a vote before it expires, and retries a vote that failed.
 #pragma once
 #include <optional>
 #include <random>
@@ -11,19 +11,19 @@
 
 namespace robinhoist {
 
-/// The vote of this proxy that stands, the one that it wants, and the one that is on its way.
+/// Owns this proxy's current vote, the vote it should have, and the vote awaiting an answer.
 class VoteScheduler {
  public:
   explicit VoteScheduler(const AnalysisSettings& settings);
 
-  /// A new build, stage or phase takes the standing vote away.
+  /// The release has changed. A new build, stage or phase invalidates the current vote.
   void release_updated(const ReleaseUpdate& release);
-  /// The verdict to vote for from now on. A change of verdict draws the time of the vote, so that
-  /// proxies which decide alike do not vote all at once.
+  /// Sets the verdict to vote for from now on. A change of the verdict schedules the vote after a
+  /// random delay, so that proxies with the same verdict do not all vote at once.
   void set_verdict(Verdict verdict, TimePoint now, std::minstd_rand& random);
-  /// The answer to the last vote that next() returned.
+  /// The last vote returned by next() was answered.
   void vote_answered(Outcome outcome, TimePoint now);
-  /// The vote to send now, if one is due. At most one is on its way.
+  /// The vote to send now, if one is due. At most one vote awaits an answer at a time.
   std::optional<Decision> next(TimePoint now, std::minstd_rand& random);
 
  private:
@@ -35,7 +35,7 @@
   int stage_ = -1;
   ReleasePhase phase_ = ReleasePhase::released;
   Verdict wanted_ = Verdict::none;
-  Verdict standing_ = Verdict::none;
+  Verdict standing_ = Verdict::none;  // the vote that the controller has accepted
   Verdict sent_ = Verdict::none;
   TimePoint expires_at_ = long_ago;  // of the standing vote
   TimePoint sent_at_ = long_ago;
--- a/src/policy/wrong_answer_check.cpp
+++ b/src/policy/wrong_answer_check.cpp
@@ -12,9 +12,9 @@
 constexpr double prior_answers = 250;
 constexpr double suspicious_p_value = 0.1;
 constexpr double min_significance = 0.002;
-// Reports that one proxy needs, where its vote alone rolls back and where many must agree.
-constexpr double min_reports_alone = 3;
-constexpr double min_reports_among_many = 1;
+// Reports that a proxy needs if its vote alone rolls back, and if many votes are needed.
+constexpr double min_reports_single_vote = 3;
+constexpr double min_reports_many_votes = 1;
 
 }  // namespace
 
@@ -26,18 +26,18 @@
       canary = answers;
     if (answered_by >= build)
       continue;
-    earlier.given += answers.given;
+    earlier.forwarded += answers.forwarded;
     earlier.wrong += answers.wrong;
   }
   const double expected =
-      canary.given * (earlier.wrong + prior_reports) / (earlier.given + prior_answers);
+      canary.forwarded * (earlier.wrong + prior_reports) / (earlier.forwarded + prior_answers);
   const double p_value = poisson_upper_tail(canary.wrong, expected);
-  const double min_reports = context.many_votes ? min_reports_among_many : min_reports_alone;
-  const bool many = canary.wrong >= min_reports &&
-                    canary.wrong > 0.5 * failure_threshold * report_share_ * canary.given;
-  if (many && p_value < std::max(min_significance, context.significance))
-    return CheckResult::failure(AnalysisReason::wrong_answers, canary.wrong, canary.given);
-  return CheckResult::undecided(canary.wrong >= 1 && p_value < suspicious_p_value);
+  const double min_reports = context.many_votes ? min_reports_many_votes : min_reports_single_vote;
+  const bool enough = canary.wrong >= min_reports &&
+                      canary.wrong > 0.5 * failure_threshold * report_share_ * canary.forwarded;
+  if (enough && p_value < std::max(min_significance, context.significance))
+    return CheckResult::failure(AnalysisReason::wrong_answers, canary.wrong, canary.forwarded);
+  return CheckResult::not_failed(canary.wrong >= 1 && p_value < suspicious_p_value);
 }
 
 }  // namespace robinhoist
--- a/src/policy/wrong_answer_check.h
+++ b/src/policy/wrong_answer_check.h
@@ -1,5 +1,5 @@
-/// Wrong answer check of the canary analysis: whether clients report more wrong answers of the
-/// canary than of the builds before it.
+/// Wrong answer check of the canary analysis: whether clients report wrong answers of the canary
+/// more often than of earlier builds.
 #pragma once
 #include <map>
 
@@ -7,14 +7,14 @@
 
 namespace robinhoist {
 
-/// Counts answers and reports by build. Reports come seconds after the answer, so the counts are
-/// kept over the stages of a release.
+/// Counts answers and reports by build. Reports arrive seconds after the answer, so the counts are
+/// kept across the stages of a release.
 class WrongAnswerCheck {
  public:
-  /// `report_share` is the part of wrong answers that clients report.
+  /// `report_share` is the share of wrong answers that clients report.
   explicit WrongAnswerCheck(double report_share) : report_share_(report_share) {}
 
-  void answer_passed_on(int build) { by_build_[build].given += 1; }
+  void answer_forwarded(int build) { by_build_[build].forwarded += 1; }
   void wrong_answer_reported(int build) { by_build_[build].wrong += 1; }
 
   /// Judges `build` against all earlier builds.
@@ -22,8 +22,8 @@
 
  private:
   struct Answers {
-    double given = 0;
-    double wrong = 0;
+    double forwarded = 0;
+    double wrong = 0;  // as reported
   };
 
   double report_share_;
--- a/tests/endpoint_policy_test.cpp
+++ b/tests/endpoint_policy_test.cpp
@@ -166,7 +166,7 @@
   int pick(TimePoint now) {
     return cluster_.pick({.build = BuildGroup::newest,
                           .may_use = [](int) { return true; },
-                          .avoid_suspects = false,
+                          .avoid_recent_losses = false,
                           .max_wait = 1s},
                          now, random_);
   }
