--- a/src/module_settings/module_settings.cpp
+++ b/src/module_settings/module_settings.cpp
@@ -11,21 +11,21 @@
 using json::DecodeError;
 using json::Value;
 
-DecodeError bad_setting(const char* name, const char* problem) {
+DecodeError invalid_setting(const char* name, const char* problem) {
   return DecodeError(std::string("setting ") + name + " " + problem);
 }
 
 double positive(const Value& object, const char* name) {
   const double value = json::number(object, name);
   if (!(value > 0))
-    throw bad_setting(name, "must be above 0");
+    throw invalid_setting(name, "must be above 0");
   return value;
 }
 
-double not_negative(const Value& object, const char* name) {
+double non_negative(const Value& object, const char* name) {
   const double value = json::number(object, name);
   if (!(value >= 0))
-    throw bad_setting(name, "must not be below 0");
+    throw invalid_setting(name, "must not be negative");
   return value;
 }
 
@@ -33,15 +33,15 @@
   return json::duration_from_ms(positive(object, name));
 }
 
-Duration not_negative_ms(const Value& object, const char* name) {
-  return json::duration_from_ms(not_negative(object, name));
+Duration non_negative_ms(const Value& object, const char* name) {
+  return json::duration_from_ms(non_negative(object, name));
 }
 
 RequestClass decode_request_class(const Value& entry) {
   RequestClass request_class{};
   request_class.latency_objective = positive_ms(entry, field::latency_objective_ms);
   request_class.deadline = positive_ms(entry, field::deadline_ms);
-  request_class.dedup_window = not_negative_ms(entry, field::dedup_window_ms);
+  request_class.dedup_window = non_negative_ms(entry, field::dedup_window_ms);
   request_class.idempotency =
       json::enumerator<Idempotency>(entry, field::idempotency,
                                     {{"free", Idempotency::idempotent},
@@ -50,8 +50,8 @@
   request_class.dedup_scope = json::enumerator<DedupScope>(
       entry, field::dedup_scope,
       {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
-  request_class.priority_weight = not_negative(entry, field::priority_weight);
-  request_class.late_weight_share = not_negative(entry, field::late_weight_share);
+  request_class.priority_weight = non_negative(entry, field::priority_weight);
+  request_class.late_weight_share = non_negative(entry, field::late_weight_share);
   request_class.stream = json::boolean(entry, field::stream);
   return request_class;
 }
@@ -64,7 +64,7 @@
     settings.request_class_names.push_back(json::text_or(entry, field::name, ""));
   }
   if (settings.requests.request_classes.empty())
-    throw bad_setting(field::request_classes, "is empty");
+    throw invalid_setting(field::request_classes, "is empty");
 }
 
 void decode_tenants(const Value& object, ModuleSettings& settings) {
@@ -72,8 +72,8 @@
     if (!entry.IsObject())
       json::throw_wrong_type(field::tenants, "an array of objects");
     Tenant tenant{};
-    tenant.share = not_negative(entry, field::tenant_share);
-    tenant.allowance_per_s = not_negative(entry, field::tenant_allowance_per_s);
+    tenant.share = non_negative(entry, field::tenant_share);
+    tenant.allowance_per_s = non_negative(entry, field::tenant_allowance_per_s);
     settings.requests.tenants.push_back(tenant);
     settings.tenant_names.push_back(json::text_or(entry, field::name, ""));
   }
@@ -89,19 +89,20 @@
   }
 }
 
-// All but the request classes and tenants.
+// Decodes the request settings other than the request classes and tenants.
 void decode_request_limits(const Value& object, RequestSettings& settings) {
   const Value& bounds = json::nested_object(object, field::bounds);
   settings.max_attempts = json::integer(bounds, field::max_attempts, 1);
-  json::integer(object, field::proxies, 1);  // checked in this order, used by the endpoint settings
+  // Used by the endpoint settings; validated here because the first invalid field is reported.
+  json::integer(object, field::proxies, 1);
   settings.hedging = json::boolean(bounds, field::hedging);
   settings.cancelling = json::boolean(bounds, field::cancelling);
   settings.retry_after = json::boolean(bounds, field::retry_after);
-  settings.retry_delay = not_negative_ms(bounds, field::max_retry_after_ms);
-  // Checked, not used.
-  not_negative(json::nested_object(object, field::safety), field::answer_slack_ms);
+  settings.retry_delay = non_negative_ms(bounds, field::max_retry_after_ms);
+  // Validated but not used.
+  non_negative(json::nested_object(object, field::safety), field::answer_slack_ms);
   settings.tick = positive_ms(object, field::tick_ms);
-  not_negative(object, field::over_quota_weight);  // checked, not used
+  non_negative(object, field::over_quota_weight);  // validated but not used
 }
 
 EndpointSettings decode_endpoint_settings(const Value& object) {
@@ -112,17 +113,17 @@
   settings.proxy_count = json::integer(object, field::proxies, 1);
   settings.warm_up_time = json::duration(safety, field::warm_up_time_ms);
   settings.collapse_window = positive_ms(safety, field::collapse_window_ms);
-  not_negative(safety, field::poll_within_ms);  // checked, not used
+  non_negative(safety, field::poll_within_ms);  // validated but not used
   settings.initial_warm_up_factor = positive(safety, field::initial_warm_up_factor);
   if (settings.initial_warm_up_factor > 1)
-    throw bad_setting(field::initial_warm_up_factor, "must not be above 1");
+    throw invalid_setting(field::initial_warm_up_factor, "must not be above 1");
   settings.collapse_multiple = positive(safety, field::collapse_multiple);
   settings.subscribes_to_list =
       json::enumerator<bool>(object, field::list_mode, {{"automatic", false}, {"subscribe", true}});
   settings.uses_sizes = json::enumerator<bool>(
       object, field::sizes,
       {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", true}});
-  // Checked, not used.
+  // Validated but not used.
   json::boolean(json::nested_object(object, field::bounds), field::probes);
   settings.load_report_source = json::enumerator<LoadReportSource>(
       json::nested_object(object, field::load_report), field::load_report_source,
@@ -135,7 +136,7 @@
 CanaryQuotaSettings decode_canary_quota(const Value& release) {
   CanaryQuotaSettings settings{};
   settings.window = positive_ms(release, field::quota_window_ms);
-  settings.uncapped_attempts = not_negative(release, field::uncapped_attempts);
+  settings.uncapped_attempts = non_negative(release, field::uncapped_attempts);
   settings.by_request_class =
       json::enumerator<bool>(release, field::quota_counts, {{"all", false}, {"each_class", true}});
   settings.sticky_keys = json::boolean(release, field::sticky_keys);
@@ -144,7 +145,7 @@
   settings.idempotent_only_stages = json::integer(release, field::idempotent_only_stages);
   for (const Value& cap : json::array(release, field::caps).GetArray()) {
     if (!cap.IsNumber() || cap.GetDouble() < 0)
-      json::throw_wrong_type(field::caps, "an array of numbers from 0");
+      json::throw_wrong_type(field::caps, "an array of non-negative numbers");
     settings.caps.push_back(cap.GetDouble());
   }
   return settings;
@@ -157,12 +158,12 @@
                                       {{"first_voice", PromotionMode::first_vote},
                                        {"by_count", PromotionMode::count},
                                        {"automatic", PromotionMode::clock}});
-  settings.bake = not_negative_ms(release, field::bake_ms);
-  settings.step = not_negative_ms(release, field::step_ms);
+  settings.bake = non_negative_ms(release, field::bake_ms);
+  settings.step = non_negative_ms(release, field::step_ms);
   settings.vote_lifetime = positive_ms(release, field::vote_lifetime_ms);
   settings.call_timeout = positive_ms(release, field::call_timeout_ms);
-  settings.votes_per_s = not_negative(release, field::votes_per_s);
-  settings.wrong_answer_report_share = not_negative(release, field::wrong_answer_report_share);
+  settings.votes_per_s = non_negative(release, field::votes_per_s);
+  settings.wrong_answer_report_share = non_negative(release, field::wrong_answer_report_share);
   settings.proxies = json::integer(object, field::proxies, 1);
   settings.votes_to_promote = json::integer(release, field::votes_to_promote);
   settings.votes_to_hold = json::integer(release, field::votes_to_hold);
--- a/src/module_settings/module_settings.h
+++ b/src/module_settings/module_settings.h
@@ -1,8 +1,8 @@
-/// What a proxy instance is told about its deployment at its start: the decision module's settings,
-/// and the names behind its indices.
+/// The settings that a proxy instance gets at its start: those of the decision module, and the
+/// names that belong to its indices.
 ///
-/// One decoder reads the operators' settings object, for their simulator's wire and for their
-/// platform alike.
+/// One decoder reads the operators' settings object, which their simulator and their platform
+/// share.
 #pragma once
 #include <optional>
 #include <string>
@@ -26,20 +26,18 @@
   std::vector<std::string> request_class_names{};  ///< names, by index
   std::vector<std::string> tenant_names{};         ///< names, by index
   std::vector<std::string> zone_names{};           ///< names, by index
-  Duration connect_timeout{};                      ///< for a connection to an endpoint to come up
+  Duration connect_timeout{};                      ///< for establishing a connection to an endpoint
   Duration endpoint_idle_timeout{};  ///< after which an endpoint closes an idle connection
 
-  /// Index of the request class or zone with this name; -1: there is none.
+  /// The index of the request class or zone with this name, -1 if there is none.
   int request_class_index(std::string_view name) const;
   int zone_index(std::string_view name) const;
 };
 
-/// Reads the settings object. Throws json::DecodeError, which names the field and what is wrong
-/// with it.
+/// Decodes the settings object. Throws json::DecodeError, which names the field and the problem.
 ModuleSettings decode(const json::Value& object);
 
-/// The value of a load report with this name, to be read or set; null: no value has that name. The
-/// pointer is into `report`.
+/// A pointer to the value of `report` that has this name on the wire; null if no value has it.
 std::optional<double>* load_field(LoadReport& report, std::string_view name);
 
 }  // namespace robinhoist::module_settings
--- a/src/module_settings/wire_names.h
+++ b/src/module_settings/wire_names.h
@@ -1,12 +1,13 @@
-/// Names in the operators' settings object for one proxy instance, which comes over their
-/// simulator's wire and from their platform alike. They stand nowhere else in the code.
+/// Names in the operators' settings object for one proxy instance, which their simulator and their
+/// platform share. The rest of the code uses these constants. The names of enumerated values are in
+/// module_settings.cpp.
 #pragma once
 
 namespace robinhoist::module_settings {
 
-/// Fields.
+/// Names of fields.
 namespace field {
-// The object itself.
+// The settings object itself.
 inline constexpr char request_classes[] = "classes";
 inline constexpr char tenants[] = "tenants";
 inline constexpr char zones[] = "failure_domains";
@@ -21,7 +22,7 @@
 inline constexpr char safety[] = "safety";
 inline constexpr char load_report[] = "load_report";
 inline constexpr char release[] = "family_info";
-// An entry of request_classes or tenants.
+// Entries of "classes" and "tenants".
 inline constexpr char name[] = "name";
 inline constexpr char latency_objective_ms[] = "goal_time_ms";
 inline constexpr char deadline_ms[] = "deadline_ms";
@@ -71,7 +72,7 @@
 inline constexpr char votes_to_roll_back[] = "votes_to_revert";
 }  // namespace field
 
-/// Values of load reports, by the names that reports carry.
+/// Names of the values in load reports.
 namespace load {
 inline constexpr char in_flight[] = "busy_reqs";
 inline constexpr char queued[] = "pending";
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -17,31 +17,31 @@
   rapidjson::Document document;
   document.Parse(line.data(), line.size());
   if (document.HasParseError() || !document.IsObject() || document.MemberCount() != 1)
-    throw DecodeError("not a message: one JSON object with one key was expected");
+    throw DecodeError("not a message: expected a JSON object with exactly one key");
   const auto& member = *document.MemberBegin();
   const std::string name(member.name.GetString(), member.name.GetStringLength());
   if (!member.value.IsObject())
-    throw DecodeError(name + ": its fields are not an object");
+    throw DecodeError(name + ": the value is not an object");
   try {
     if (name == message::batch_begins) {
       begin_batch(member.value);
       return std::nullopt;
     }
     if (!batch_open_)
-      throw DecodeError("no batch is open");
+      throw DecodeError("message outside a batch");
     if (name != message::batch_ends) {
       handle(name, member.value);
       return std::nullopt;
     }
-  } catch (const DecodeError& bad) {
-    throw DecodeError(name + ": " + bad.what());
+  } catch (const DecodeError& error) {
+    throw DecodeError(name + ": " + error.what());
   }
   return end_batch();
 }
 
 void Adapter::begin_batch(const Value& fields) {
   if (batch_open_)
-    throw DecodeError("a batch is still open");
+    throw DecodeError("the previous batch has not ended");
   now_ = TimePoint(json::duration(fields, field::time_ms));
   batch_open_ = true;
 }
@@ -110,8 +110,8 @@
 Instance& Adapter::find_instance(const std::string& name) {
   const auto found = instances_.find(name);
   if (found == instances_.end())
-    throw DecodeError(std::string("field ") + field::instance + " names an instance without a " +
-                      message::instance_started);
+    throw DecodeError(std::string("field ") + field::instance +
+                      " names an instance that has not been started");
   return *found->second.instance;
 }
 
@@ -144,7 +144,7 @@
   instance.client_disconnected(json::text(fields, field::request));
 }
 
-// The time alone makes the engine look at its timers.
+// Only validated: the engine checks its timers at the end of the batch, by the time alone.
 void Adapter::timer_expired(Instance& /*instance*/, const Value& fields) {
   json::number(fields, field::timer);
 }
@@ -155,7 +155,7 @@
   instance.probe_ended(endpoint, decode_load_report(fields), now_);
 }
 
-// Not used; read for its form only.
+// Only validated; the decision module does not use it.
 void Adapter::gossip(Instance& /*instance*/, const Value& fields) {
   json::text(fields, field::raw);
 }
--- a/src/simulator_adapter/adapter.h
+++ b/src/simulator_adapter/adapter.h
@@ -1,8 +1,8 @@
 /// Adapter between the operators' simulator and the decision module.
 ///
-/// The simulator sends one JSON object a line. A batch opens with a message that carries the time,
-/// goes on with events for proxy instances, and closes with a message that asks for the reply: the
-/// decisions of all instances that had an event in the batch.
+/// The simulator sends one JSON object per line. A batch starts with a message that carries the
+/// time, continues with events for proxy instances, and ends with a message that requests the
+/// reply: the decisions of all instances that had an event in the batch.
 #pragma once
 #include <array>
 #include <memory>
@@ -17,12 +17,12 @@
 
 namespace robinhoist::simulator_adapter {
 
-/// Reads messages line by line and gathers the reply of a batch.
+/// Reads messages line by line and collects the reply to each batch.
 class Adapter {
  public:
-  /// Reads one line. Returns the reply, of one or more lines, when this line closed a batch. Throws
-  /// json::DecodeError, which names the message and the field, for a line that cannot be read; the
-  /// adapter is of no use after that.
+  /// Reads one line. Returns the reply, of one or more lines, if this line ended a batch. Throws
+  /// json::DecodeError, which names the message and the field, if the line is not valid; the
+  /// adapter must not be used after that.
   std::optional<std::string> read(const std::string& line);
 
  private:
@@ -59,7 +59,7 @@
   bool batch_open_ = false;
   TimePoint now_{};
   std::unordered_map<std::string, Slot> instances_{};  // by name
-  std::vector<std::string> reply_order_{};  // instances by their first event in the batch
+  std::vector<std::string> reply_order_{};  // instances, ordered by first event in the batch
   std::array<EndpointBank, bank_count> banks_{};
 };
 
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -19,8 +19,8 @@
 // Values of the field `reason` of a release update.
 constexpr int reason_vote_answered = 1;
 
-// Digest of an endpoint's name, the same at every proxy (FNV-1a).
-std::uint64_t digest(const std::string& name) {
+// FNV-1a hash of an endpoint's name, identical at all proxies.
+std::uint64_t fnv1a(const std::string& name) {
   constexpr std::uint64_t offset_basis = 14695981039346656037U;
   constexpr std::uint64_t prime = 1099511628211U;
   std::uint64_t hash = offset_basis;
@@ -78,8 +78,8 @@
   return "";
 }
 
-// What is peculiar to the action.
-void put_details(json::Writer& out, const Decision& decision) {
+// Writes the fields that are specific to the action.
+void put_action_fields(json::Writer& out, const Decision& decision) {
   switch (decision.action) {
     case Action::forward:
       out.put_ms(field::timeout_ms, decision.duration);
@@ -123,7 +123,7 @@
       json::throw_wrong_type(field::entries, "an array of objects");
     EndpointInfo info = decode_endpoint(entry);
     std::string name = json::text(entry, field::endpoint);
-    info.sort_key = digest(name);
+    info.sort_key = fnv1a(name);
     bank.entries.push_back(info);
     bank.names.push_back(std::move(name));
   }
@@ -180,7 +180,7 @@
   ReleaseMessage message{};
   message.outcome = decode_outcome(fields);
   message.answers_vote = json::integer(fields, field::reason, 0, 1) == reason_vote_answered;
-  // A vote that failed brings no release, or only part of it.
+  // The answer to a failed vote may contain no release, or only some of its fields.
   if (message.outcome != Outcome::ok && !has_release(fields))
     return message;
   ReleaseUpdate release{};
@@ -222,9 +222,9 @@
     std::optional<double>* value = module_settings::load_field(load, name);
     if (value == nullptr)
       continue;
-    const double given = json::number_or(report, name, -1);
-    if (given >= 0)
-      *value = given;
+    const double number = json::number_or(report, name, -1);
+    if (number >= 0)
+      *value = number;
   }
   return load;
 }
@@ -247,7 +247,7 @@
     out.put(field::request, *names.request);
   if (names.endpoint)
     out.put(field::endpoint, *names.endpoint);
-  put_details(out, decision);
+  put_action_fields(out, decision);
   out.end_object();
   out.end_object();
   return out.text() + "\n";
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -1,6 +1,7 @@
-/// Codec of the simulator's wire: JSON objects to typed messages, decisions to JSON lines.
+/// Codec of the simulator's wire protocol: decodes JSON objects to typed messages and encodes
+/// decisions as JSON lines.
 ///
-/// The decoders throw json::DecodeError, which names the field and what is wrong with it.
+/// The decoders throw json::DecodeError, which names the field and the problem.
 #pragma once
 #include <optional>
 #include <string>
@@ -15,27 +16,28 @@
 EndpointBank decode_endpoint_bank(const json::Value& fields);
 EndpointsUpdated decode_endpoints_updated(const json::Value& fields);
 InstanceStarted decode_instance_started(const json::Value& fields);
-/// Request class and tenant must lie within the limits.
+/// The request class and the tenant must be within the limits.
 RequestArrived decode_request_arrived(const json::Value& fields, const RequestLimits& limits);
 AttemptEnded decode_attempt_ended(const json::Value& fields);
 ReleaseMessage decode_release(const json::Value& fields);
-/// An outcome with an unknown name is Outcome::unknown: the attempt may have run.
+/// Returns Outcome::unknown for an unknown name: the attempt may have run.
 Outcome decode_outcome(const json::Value& fields);
-/// Empty where there is none; values with unknown names or below zero are left out.
+/// Empty if the message has no load report. Values with unknown names and negative values are
+/// ignored.
 LoadReport decode_load_report(const json::Value& fields);
-/// Checks a message of metrics, which the decision module does not use (docs/design.md says why).
+/// Validates a metrics message. The decision module does not use it (docs/design.md says why).
 void check_metrics(const json::Value& fields, int request_classes);
 
-/// Names that a decision carries on the wire.
+/// The wire's names of the objects that a decision refers to.
 struct DecisionNames {
   std::string_view instance;
-  std::optional<std::string_view> request;   ///< absent: the decision is about none
-  std::optional<std::string_view> endpoint;  ///< absent: the decision is about none
+  std::optional<std::string_view> request;   ///< absent if the decision refers to no request
+  std::optional<std::string_view> endpoint;  ///< absent if the decision refers to no endpoint
 };
 
-/// One line with its line end.
+/// One line, including the line feed.
 std::string encode(const Decision& decision, const DecisionNames& names);
-/// The line that closes a batch of decisions.
+/// The line that ends a batch of decisions.
 std::string encode_end_of_reply();
 
 }  // namespace robinhoist::simulator_adapter
--- a/src/simulator_adapter/instance.cpp
+++ b/src/simulator_adapter/instance.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The engine's salt has half as many bits as the wire's.
+// The engine's seed, which has half as many bits as the salt on the wire.
 unsigned fold(std::uint64_t salt) {
   return static_cast<unsigned>(salt ^ (salt >> 32));
 }
@@ -47,7 +47,7 @@
   if (!id)
     return;
   engine_.attempt_ended(*id, ended.attempt, ended.outcome, ended.succeeded, ended.load, now);
-  forget_if_done(*id);
+  remove_if_done(*id);
 }
 
 void Instance::client_disconnected(const std::string& request) {
@@ -55,7 +55,7 @@
   if (!id)
     return;
   engine_.client_disconnected(*id);
-  forget_if_done(*id);
+  remove_if_done(*id);
 }
 
 void Instance::release_updated(const ReleaseMessage& message, TimePoint now) {
@@ -77,7 +77,7 @@
   const auto found = endpoint_indices_.find(name);
   if (found == endpoint_indices_.end())
     throw json::DecodeError(std::string("field ") + wire::field::endpoint +
-                            " names a box that was never listed");
+                            " names an endpoint that was never listed");
   return found->second;
 }
 
@@ -91,7 +91,7 @@
       names.endpoint = endpoint_names_.at(decision->endpoint);
     reply += encode(*decision, names);
     if (decision->request_id >= 0)
-      forget_if_done(decision->request_id);
+      remove_if_done(decision->request_id);
   }
 }
 
@@ -110,7 +110,7 @@
   return entry->second;
 }
 
-void Instance::forget_if_done(int request_id) {
+void Instance::remove_if_done(int request_id) {
   if (engine_.has_request(request_id))
     return;
   const auto found = request_names_.find(request_id);
--- a/src/simulator_adapter/instance.h
+++ b/src/simulator_adapter/instance.h
@@ -1,5 +1,5 @@
-/// One simulated proxy instance: its decision engine, and the simulator's names behind the indices
-/// that the engine works with.
+/// One simulated proxy instance: its decision engine, and the mapping between the simulator's names
+/// and the engine's indices.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,36 +11,36 @@
 
 namespace robinhoist::simulator_adapter {
 
-/// Maps names to indices and hands typed messages to the engine. Lives from the message that starts
-/// the instance to the one that stops it or starts it anew.
+/// Maps names to indices and passes typed messages to the engine. Exists from the message that
+/// starts the instance until the one that stops or restarts it.
 class Instance {
  public:
   explicit Instance(const InstanceStarted& started);
 
-  /// What the instance's requests must lie within.
+  /// The limits for the instance's requests.
   const RequestLimits& limits() const { return limits_; }
 
-  /// `bank` holds the entries, unless the update failed.
+  /// `bank` contains the entries; it is ignored if the update failed.
   void endpoints_updated(EndpointUpdateKind kind, const EndpointBank& bank, TimePoint now);
   void request_arrived(const RequestArrived& arrived, TimePoint now);
-  /// The next three ignore a request that is not known any more.
+  /// The next three functions ignore a request that is no longer tracked.
   void stream_began(const std::string& request);
   void attempt_ended(const AttemptEnded& ended, TimePoint now);
   void client_disconnected(const std::string& request);
   void release_updated(const ReleaseMessage& message, TimePoint now);
-  /// `endpoint` as endpoint_index() returned it.
+  /// `endpoint` is an index from endpoint_index(), also in the next function.
   void probe_ended(int endpoint, const LoadReport& load, TimePoint now);
   void wrong_answer_reported(int endpoint);
-  /// Index of a listed endpoint; throws json::DecodeError for one that was never listed.
+  /// The index of an endpoint. Throws json::DecodeError for one that was never listed.
   int endpoint_index(const std::string& name) const;
 
-  /// Appends all decisions that are due to `reply`, one line each, under this instance's name.
+  /// Appends all due decisions to `reply`, one line each, under this instance's name.
   void append_decisions(const std::string& instance_name, TimePoint now, std::string& reply);
 
  private:
   std::optional<int> request_id(const std::string& name) const;
   int add_endpoint(const std::string& name);
-  void forget_if_done(int request_id);
+  void remove_if_done(int request_id);
 
   DecisionEngine engine_;
   RequestLimits limits_;
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,6 +1,6 @@
-/// robinhoist_benchlink: plays the decision module in the operators' simulator, with batches of
-/// messages on standard input and replies on standard output. Bad input ends it with a message on
-/// standard error and exit status 2.
+/// robinhoist_benchlink: connects the decision module to the operators' simulator. It reads batches
+/// of messages from standard input and writes replies to standard output. On invalid input it
+/// prints a message to standard error and exits with status 2.
 #include <iostream>
 #include <string>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int exit_bad_input = 2;
+constexpr int exit_invalid_input = 2;
 
 bool is_blank(const std::string& line) {
   return line.find_first_not_of(" \t\r") == std::string::npos;
@@ -26,9 +26,9 @@
     try {
       if (const auto reply = adapter.read(line))
         std::cout << *reply << std::flush;
-    } catch (const robinhoist::json::DecodeError& bad) {
-      std::cerr << "line " << number << ": " << bad.what() << std::endl;
-      return exit_bad_input;
+    } catch (const robinhoist::json::DecodeError& error) {
+      std::cerr << "line " << number << ": " << error.what() << std::endl;
+      return exit_invalid_input;
     }
   }
   return 0;
--- a/src/simulator_adapter/messages.h
+++ b/src/simulator_adapter/messages.h
@@ -1,5 +1,5 @@
-/// Messages of the simulator's wire in typed form, as far as they are more than one value. Names
-/// are still the simulator's; the adapter maps them to indices.
+/// Typed forms of those messages of the simulator that have more than one value. They contain the
+/// simulator's names; Instance maps these to indices.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,20 +13,20 @@
 
 namespace robinhoist::simulator_adapter {
 
-/// Number of the banks that hold endpoint lists.
+/// Number of banks. A bank is a numbered slot for an endpoint list, to which updates refer.
 inline constexpr int bank_count = 16;
 
-/// Endpoints with their names; the index in `info` is not set yet.
+/// The endpoints in a bank and their names. EndpointInfo::endpoint is not set yet.
 struct EndpointBank {
   int number;
   std::vector<EndpointInfo> entries;
   std::vector<std::string> names;  ///< by position in `entries`
 };
 
-/// An endpoint list update; its entries are those of a bank.
+/// An endpoint list update; its entries are in a bank.
 struct EndpointsUpdated {
   EndpointUpdateKind kind;
-  int bank;  ///< counts unless the update failed
+  int bank;  ///< not set if the update failed
 };
 
 /// A proxy instance starts.
@@ -35,13 +35,13 @@
   module_settings::ModuleSettings settings;
 };
 
-/// A request comes in; the id in `info` is not set yet.
+/// A request arrives. RequestInfo::request_id is not set yet.
 struct RequestArrived {
   std::string name;
   RequestInfo info;
 };
 
-/// How many request classes and tenants an instance knows.
+/// The numbers of request classes and tenants in an instance's settings.
 struct RequestLimits {
   int request_classes = 0;
   int tenants = 0;
@@ -56,11 +56,11 @@
   LoadReport load;
 };
 
-/// News of the release, or the answer to a vote, or both.
+/// An update of the release, the answer to a vote, or both.
 struct ReleaseMessage {
   Outcome outcome;
   bool answers_vote;
-  std::optional<ReleaseUpdate> release;  ///< absent where a failed vote brings none
+  std::optional<ReleaseUpdate> release;  ///< may be absent in the answer to a failed vote
 };
 
 }  // namespace robinhoist::simulator_adapter
--- a/src/simulator_adapter/wire_names.h
+++ b/src/simulator_adapter/wire_names.h
@@ -1,5 +1,5 @@
-/// The words of the simulator's wire: names of messages, of their fields and of their values. They
-/// are the operators' and stand nowhere else in the code.
+/// Names of messages and fields in the simulator's wire protocol. The operators define them; the
+/// rest of the code uses these constants. The names of enumerated values are in codec.cpp.
 #pragma once
 
 namespace robinhoist::simulator_adapter::wire {
