--- a/tests/endpoint_policy_test.cpp
+++ b/tests/endpoint_policy_test.cpp
@@ -1,4 +1,4 @@
-/// The endpoint side of the decision module, part by part.
+/// Unit tests of the decision module's components that handle endpoints.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -68,7 +68,7 @@
   EXPECT_THAT(endpoints_.group(BuildGroup::older, Locality::remote), ElementsAre(2));
 }
 
-TEST_F(EndpointSetTest, OrdersAGroupByTheDigestOfTheIds) {
+TEST_F(EndpointSetTest, OrdersAGroupBySortKey) {
   EndpointInfo last = endpoint_info(0, 1);
   last.sort_key = 9;
   endpoints_.update(EndpointUpdateKind::complete, {last, endpoint_info(1, 1), endpoint_info(2, 1)},
@@ -76,7 +76,7 @@
   EXPECT_THAT(endpoints_.group(BuildGroup::newest, Locality::local), ElementsAre(1, 2, 0));
 }
 
-TEST_F(EndpointSetTest, CompleteListRemovesWhatItDoesNotName) {
+TEST_F(EndpointSetTest, CompleteListRemovesEndpointsItDoesNotContain) {
   endpoints_.update(EndpointUpdateKind::complete, {endpoint_info(0, 1), endpoint_info(1, 1)},
                     start);
   endpoints_.update(EndpointUpdateKind::incremental, {endpoint_info(1, 1)}, start);
@@ -86,7 +86,7 @@
   EXPECT_TRUE(endpoints_.is_ready(1));
 }
 
-TEST_F(EndpointSetTest, UpdateReturnsEndpointsThatAreAnotherProcess) {
+TEST_F(EndpointSetTest, UpdateReturnsNewAndReplacedEndpoints) {
   EXPECT_THAT(endpoints_.update(EndpointUpdateKind::complete, {endpoint_info(0, 1)}, start),
               ElementsAre(0));
   EXPECT_THAT(endpoints_.update(EndpointUpdateKind::incremental, {endpoint_info(0, 1)}, start),
@@ -105,7 +105,7 @@
   EXPECT_DOUBLE_EQ(endpoints_.warm_up_factor(0, start + 10s), 0.2);
 }
 
-TEST(LatencyModelTest, GuessesFromTheObjectiveUntilAnswersCome) {
+TEST(LatencyModelTest, DerivesLatenciesFromTheObjectiveBeforeTheFirstAnswer) {
   LatencyModel model({request_class()});
   EXPECT_DOUBLE_EQ(model.typical_ms(0, 0.5), 100);
   EXPECT_EQ(model.response_timeout(), 200ms);
@@ -113,7 +113,7 @@
   EXPECT_DOUBLE_EQ(model.objective_ratio(0, 800ms), 2);
 }
 
-TEST(LatencyModelTest, LearnsFromAnswersByHintedCost) {
+TEST(LatencyModelTest, UsesRecordedLatenciesAndCostHints) {
   LatencyModel model({request_class()});
   model.record(0, 300ms, 30);
   EXPECT_DOUBLE_EQ(model.typical_ms(0, 0.5), 300);
@@ -134,7 +134,7 @@
   EXPECT_TRUE(subscription.next(start + 3s, random));
 }
 
-TEST(ListSubscriptionTest, NeverSubscribesWhereTheListComesByItself) {
+TEST(ListSubscriptionTest, NeverSubscribesIfNotNeeded) {
   std::minstd_rand random(1);
   EXPECT_FALSE(ListSubscription(false).next(start, random));
 }
@@ -176,7 +176,7 @@
   std::minstd_rand random_{3};
 };
 
-TEST_F(UpstreamClusterTest, EjectsAfterTwoLossesAndLetsOneAttemptTryAgain) {
+TEST_F(UpstreamClusterTest, EjectsAfterTwoLossesThenAllowsOneAttempt) {
   send_and_end(0, Outcome::connect_failure, start);
   EXPECT_FALSE(cluster_.health().is_ejected(0, start + 20ms));
   send_and_end(0, Outcome::connect_failure, start + 20ms);
@@ -210,7 +210,7 @@
   EXPECT_TRUE(cluster_.health().is_healthy(0, start + 3s));
 }
 
-TEST_F(UpstreamClusterTest, AnotherProcessStartsWithoutAPast) {
+TEST_F(UpstreamClusterTest, ReplacedProcessHasNoHistory) {
   send_and_end(0, Outcome::connect_failure, start);
   send_and_end(0, Outcome::connect_failure, start + 20ms);
   cluster_.list_updated(EndpointUpdateKind::incremental, {endpoint_info(0, 1, start + 30ms)},
@@ -225,14 +225,14 @@
     EXPECT_EQ(pick(start), 1);
 }
 
-TEST_F(UpstreamClusterTest, LoadReportsWeighForASecond) {
+TEST_F(UpstreamClusterTest, LoadReportsExpireAfterASecond) {
   cluster_.load_reported(0, {.in_flight = 20}, start);
   for (int i = 0; i < 10; ++i)
     EXPECT_EQ(pick(start + 500ms), 1);
   EXPECT_FALSE(cluster_.health().fresh_load(0, start + 1s).in_flight);
 }
 
-TEST_F(UpstreamClusterTest, WarmingEndpointGetsOneRequestAWindowWhileLittleIsKnown) {
+TEST_F(UpstreamClusterTest, WarmingEndpointGetsOneRequestPerWindowBeforeAnySuccess) {
   cluster_.list_updated(EndpointUpdateKind::complete, {endpoint_info(0, 1, start)}, start);
   EXPECT_EQ(pick(start), 0);
   cluster_.attempt_sent(0, start);
--- a/tests/request_policy_test.cpp
+++ b/tests/request_policy_test.cpp
@@ -1,4 +1,4 @@
-/// The request side of the decision module, part by part, and the windows that it counts in.
+/// Unit tests of the decision module's components that handle requests, and of sliding windows.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -49,7 +49,7 @@
           .is_retry = false};
 }
 
-TEST(SlidingWindowTest, KeepsTheLatestNewestFirst) {
+TEST(SlidingWindowTest, KeepsTheLatestSamplesNewestFirst) {
   SlidingWindow<int> window(3);
   for (int i = 1; i <= 5; ++i)
     window.push(i);
@@ -60,7 +60,7 @@
   EXPECT_EQ(window.size(), 0u);
 }
 
-TEST(EventWindowTest, CountsWhatHappenedOfLate) {
+TEST(EventWindowTest, CountsRecentEvents) {
   EventWindow window(3);
   for (bool happened : {true, true, false, true})
     window.push(happened);
@@ -68,7 +68,7 @@
   EXPECT_EQ(window.count(), 2);
 }
 
-TEST(QuantileWindowTest, GivesTheValueBelowWhichAFractionLies) {
+TEST(QuantileWindowTest, ReturnsQuantiles) {
   QuantileWindow window(8);
   EXPECT_TRUE(window.empty());
   for (int i = 1; i <= 8; ++i)
@@ -77,7 +77,7 @@
   EXPECT_DOUBLE_EQ(window.at(1), 8);
 }
 
-TEST(RetryBudgetTest, HedgesAndRetriesAreAPartOfTheLatestAttempts) {
+TEST(RetryBudgetTest, LimitsHedgesAndRetriesAmongRecentAttempts) {
   RetryBudget budget;
   for (int i = 0; i < 7; ++i)
     budget.attempt_sent(true);
@@ -106,12 +106,12 @@
   std::vector<Attempt> attempts_{{.endpoint = 0, .build = 1, .sent = start, .concurrency = 1}};
 };
 
-TEST_F(RetryRulesTest, IdempotentRequestsMayRunAnywhereAgain) {
+TEST_F(RetryRulesTest, IdempotentRequestsMayBeRetriedAnywhere) {
   EXPECT_TRUE(may_retry(2, class_with(Idempotency::idempotent), start + 1h));
   EXPECT_TRUE(client_may_retry(class_with(Idempotency::idempotent), attempts_));
 }
 
-TEST_F(RetryRulesTest, NonIdempotentRequestsMayNotUnlessTheyHaveNotRun) {
+TEST_F(RetryRulesTest, NonIdempotentRequestsMayBeRetriedOnlyIfTheyHaveNotRun) {
   const RequestClass request_class = class_with(Idempotency::non_idempotent);
   EXPECT_FALSE(may_retry(1, request_class));
   EXPECT_FALSE(client_may_retry(request_class, attempts_));
@@ -120,7 +120,7 @@
   EXPECT_TRUE(client_may_retry(request_class, attempts_));
 }
 
-TEST_F(RetryRulesTest, KeysAreKnownWithinTheirScopeOnly) {
+TEST_F(RetryRulesTest, KeysAreSharedWithinTheirScopeOnly) {
   const RequestClass by_zone = class_with(Idempotency::idempotent_with_key, DedupScope::zone);
   const RequestClass by_cell = class_with(Idempotency::idempotent_with_key, DedupScope::cell);
   EXPECT_TRUE(may_retry(1, by_zone));
@@ -130,7 +130,7 @@
   EXPECT_FALSE(client_may_retry(by_zone, attempts_));
 }
 
-TEST_F(RetryRulesTest, KeysAreForgottenATickBeforeTheWindowEnds) {
+TEST_F(RetryRulesTest, KeysExpireATickBeforeTheWindowEnds) {
   const RequestClass request_class = class_with(Idempotency::idempotent_with_key);
   EXPECT_TRUE(may_retry(1, request_class, start + 1994ms));
   EXPECT_FALSE(may_retry(1, request_class, start + 1995ms));
@@ -162,7 +162,7 @@
   TimePoint now_ = start;
 };
 
-TEST_F(AdmissionControllerTest, RateFallsWithLateAnswersAndRisesWithQuickOnes) {
+TEST_F(AdmissionControllerTest, RateFallsWithSlowAnswersAndRisesWithFastOnes) {
   EXPECT_DOUBLE_EQ(admission_.admission_rate(), 1);
   for (int i = 0; i < 20; ++i)
     end_attempt(Outcome::ok, 500ms);
@@ -173,19 +173,19 @@
   EXPECT_GT(admission_.admission_rate(), congested);
 }
 
-TEST_F(AdmissionControllerTest, CancelledAttemptsTellNothing) {
+TEST_F(AdmissionControllerTest, CancelledAttemptsAreIgnored) {
   for (int i = 0; i < 20; ++i)
     end_attempt(Outcome::cancelled, 500ms);
   EXPECT_DOUBLE_EQ(admission_.admission_rate(), 1);
 }
 
-TEST_F(AdmissionControllerTest, AdmitsAllWithoutDrawingWhileNothingIsShed) {
+TEST_F(AdmissionControllerTest, AdmitsAllWithoutRandomDrawsUnlessShedding) {
   const std::minstd_rand before = random_;
   EXPECT_TRUE(admission_.admits(request_info(0, 0, now_ + 1s), now_, random_));
   EXPECT_EQ(random_, before);
 }
 
-TEST_F(AdmissionControllerTest, WhileRejectingATenantBeyondItsQuotaJoinsShorterQueues) {
+TEST_F(AdmissionControllerTest, WhileRejectingATenantOverItsQuotaHasAShorterMaxWait) {
   for (int i = 0; i < 10; ++i)
     admission_.request_arrived(0);
   const RequestInfo first_tenant = request_info(0, 0, now_ + 10s);
@@ -223,7 +223,7 @@
   RequestScheduler scheduler_{settings_, cluster_, quota_, random_};
 };
 
-TEST_F(RequestSchedulerTest, ForwardsARequestAndForgetsItOnceAnswered) {
+TEST_F(RequestSchedulerTest, ForwardsARequestAndRemovesItOnceAnswered) {
   scheduler_.request_arrived(request(4));
   const auto decision = scheduler_.next(start);
   ASSERT_TRUE(decision);
@@ -234,7 +234,7 @@
   EXPECT_FALSE(scheduler_.has_request(4));
 }
 
-TEST_F(RequestSchedulerTest, RetriesElsewhereAndCancelsWhatIsNoLongerNeeded) {
+TEST_F(RequestSchedulerTest, HedgesAtAnotherEndpointAndCancelsTheFirstAttempt) {
   scheduler_.request_arrived(request(0));
   const auto first = scheduler_.next(start);
   ASSERT_TRUE(first);
@@ -256,7 +256,7 @@
   EXPECT_FALSE(scheduler_.has_request(0));
 }
 
-TEST_F(RequestSchedulerTest, RejectsWithAdviceWhenAttemptsAreUsedUp) {
+TEST_F(RequestSchedulerTest, RejectsWithRetryAfterWhenAttemptsAreExhausted) {
   scheduler_.request_arrived(request(0));
   for (int attempt = 0; attempt < 2; ++attempt) {
     ASSERT_TRUE(scheduler_.next(start));
@@ -269,7 +269,7 @@
   EXPECT_FALSE(scheduler_.has_request(0));
 }
 
-TEST_F(RequestSchedulerTest, ClientThatDisconnectsEndsItsRequest) {
+TEST_F(RequestSchedulerTest, ClientDisconnectEndsItsRequest) {
   scheduler_.request_arrived(request(0));
   scheduler_.client_disconnected(0);
   EXPECT_FALSE(scheduler_.has_request(0));
--- a/tests/scenario_names.h
+++ b/tests/scenario_names.h
@@ -1,4 +1,4 @@
-/// Names of enumerators in the notation of tests/scenarios (see README.md there).
+/// The names of enumerators in the notation of tests/scenarios (see README.md there).
 #pragma once
 #include <map>
 #include <stdexcept>
@@ -10,7 +10,7 @@
 
 namespace robinhoist {
 
-/// The notation's names of an enumeration.
+/// The enumerators of one enumeration by their names in the notation.
 template <class T>
 using Names = std::map<std::string, T>;
 
@@ -19,7 +19,7 @@
 T enumerator(const std::string& name, const Names<T>& names) {
   const auto found = names.find(name);
   if (found == names.end())
-    throw std::runtime_error("unknown word " + name);
+    throw std::runtime_error("unknown name " + name);
   return found->second;
 }
 
--- a/tests/scenario_runner.cpp
+++ b/tests/scenario_runner.cpp
@@ -16,7 +16,7 @@
 constexpr double default_deadline_ms = 750;
 constexpr unsigned engine_seed = 7;
 
-// Events of the notation that never may occur.
+// Events that must never occur.
 const char* const forwarded_after_end = "sent after end";
 const char* const ended_twice = "ended twice";
 
@@ -24,12 +24,12 @@
   return Duration(static_cast<long long>(value * 1e3));
 }
 
-// The word at this place as a number; 0 where the line has none.
+// The word at this index as a number; 0 if the line is shorter.
 double number_at(const ScenarioRunner::Words& words, std::size_t index) {
   return words.size() > index ? std::atof(words[index].c_str()) : 0;
 }
 
-int whole_at(const ScenarioRunner::Words& words, std::size_t index) {
+int integer_at(const ScenarioRunner::Words& words, std::size_t index) {
   return static_cast<int>(number_at(words, index));
 }
 
@@ -90,7 +90,7 @@
       {"answer", &ScenarioRunner::end_named_attempt},
       {"votes", &ScenarioRunner::set_vote_outcome},
       {"flag", &ScenarioRunner::report_wrong_answers},
-      {"mark", &ScenarioRunner::forget_counts},
+      {"mark", &ScenarioRunner::reset_counts},
       {"expect", &ScenarioRunner::check_expectation}};
   const auto setting = settings.find(words.at(0));
   if (setting != settings.end()) {
@@ -178,12 +178,12 @@
   if (is_new)
     builds_.push_back(0);
   const int endpoint = entry->second;
-  builds_[endpoint] = whole_at(words, 2);
+  builds_[endpoint] = integer_at(words, 2);
   const bool has_age = words.size() > 4 && words[4] != "-";
   EndpointInfo info{};
   info.endpoint = endpoint;
-  info.zone = whole_at(words, 5);
-  info.cell = whole_at(words, 6);
+  info.zone = integer_at(words, 5);
+  info.cell = integer_at(words, 6);
   info.build = builds_[endpoint];
   info.phase = enumerator(words.at(3), endpoint_phase_names);
   info.size = 1;
@@ -199,8 +199,8 @@
 // release BUILD STAGE trial|back|released|withdrawn CAP
 void ScenarioRunner::update_release(const Words& words) {
   ReleaseUpdate release{};
-  release.build = whole_at(words, 1);
-  release.stage = whole_at(words, 2);
+  release.build = integer_at(words, 1);
+  release.stage = integer_at(words, 2);
   release.phase = enumerator(words.at(3), release_phase_names);
   release.cap = number_at(words, 4);
   engine_->release_updated(release, now_);
@@ -215,11 +215,11 @@
     rule.outcome = enumerator(words.at(3), outcome_names);
   }
   if (words.size() > 4)
-    rule.every = whole_at(words, 4);
+    rule.every = integer_at(words, 4);
   reply_rules_[words.at(1)] = rule;
 }
 
-// traffic PRODUCT EVERY_MS [TENANT]; 0 ends it
+// traffic PRODUCT EVERY_MS [TENANT]; an interval of 0 stops the traffic
 void ScenarioRunner::replace_traffic(const Words& words) {
   traffic_.clear();
   add_traffic(words);
@@ -229,7 +229,7 @@
 void ScenarioRunner::add_traffic(const Words& words) {
   const double interval_ms = number_at(words, 2);
   if (interval_ms > 0)
-    traffic_.push_back({whole_at(words, 1), whole_at(words, 3), interval_ms, now_});
+    traffic_.push_back({integer_at(words, 1), integer_at(words, 3), interval_ms, now_});
 }
 
 // run MS
@@ -264,7 +264,7 @@
 void ScenarioRunner::send_request(const Words& words) {
   ScenarioRequest request{};
   request.name = words.at(1);
-  request.request_class = whole_at(words, 2);
+  request.request_class = integer_at(words, 2);
   request.deadline_ms = words.size() > 3 ? number_at(words, 3) : default_deadline_ms;
   request.key = words.size() > 4 ? words[4] : "";
   request_arrives(request);
@@ -286,7 +286,7 @@
 
 // answer NAME SUBMISSION OUTCOME
 void ScenarioRunner::end_named_attempt(const Words& words) {
-  end_attempt(request_ids_.at(words.at(1)), whole_at(words, 2),
+  end_attempt(request_ids_.at(words.at(1)), integer_at(words, 2),
               enumerator(words.at(3), outcome_names));
   carry_out_decisions();
 }
@@ -310,7 +310,7 @@
 }
 
 // mark
-void ScenarioRunner::forget_counts(const Words& /*words*/) {
+void ScenarioRunner::reset_counts(const Words& /*words*/) {
   counts_.clear();
 }
 
@@ -320,12 +320,12 @@
   for (std::size_t index = 2; index + 2 < words.size(); ++index)
     event += " " + words[index];
   const std::string& comparison = words[words.size() - 2];
-  const double wanted = std::atof(words.back().c_str());
-  const double seen = counts_[event];
-  const bool met = comparison == "="   ? seen == wanted
-                   : comparison == "<" ? seen < wanted
-                                       : seen > wanted;
-  EXPECT_TRUE(met) << event << " is " << seen << ", wanted " << comparison << " " << wanted;
+  const double expected = std::atof(words.back().c_str());
+  const double actual = counts_[event];
+  const bool met = comparison == "="   ? actual == expected
+                   : comparison == "<" ? actual < expected
+                                       : actual > expected;
+  EXPECT_TRUE(met) << event << " is " << actual << ", expected " << comparison << " " << expected;
 }
 
 void ScenarioRunner::carry_out_decisions() {
@@ -385,7 +385,7 @@
     count("advice");
 }
 
-// The tenant's rule goes before the endpoint's, and that before the build's.
+// The tenant's rule takes precedence over the endpoint's, and that over the build's.
 ScenarioRunner::ReplyRule* ScenarioRunner::reply_rule(const Decision& decision) {
   const std::string keys[] = {"tenant" + std::to_string(tenant_of_[decision.request_id]),
                               endpoint_name(decision.endpoint),
--- a/tests/scenario_runner.h
+++ b/tests/scenario_runner.h
@@ -1,7 +1,7 @@
 /// Runs one scenario of tests/scenarios against the decision engine, line by line.
 ///
-/// The notation is described in tests/scenarios/README.md. The runner stands in for the host: it
-/// hands requests, endpoint lists and release updates in, carries out the engine's decisions and
+/// The notation is described in tests/scenarios/README.md. The runner acts as the engine's host: it
+/// passes in requests, endpoint lists and release updates, carries out the engine's decisions and
 /// counts them for the `expect` lines.
 #pragma once
 #include <map>
@@ -14,18 +14,18 @@
 
 namespace robinhoist {
 
-/// State of one scenario. Time is simulated, in ticks of 5 ms.
+/// The state of one scenario. Time is simulated in ticks of 5 ms.
 class ScenarioRunner {
  public:
   using Words = std::vector<std::string>;
 
   ScenarioRunner();
 
-  /// Carries out one line, split into words. An `expect` line that is not met fails the test;
-  /// throws std::runtime_error or std::out_of_range for a line that cannot be read.
+  /// Executes one line, split into words. An `expect` line that is not met fails the test. Throws
+  /// std::runtime_error or std::out_of_range for an invalid line.
   void execute(const Words& words);
 
-  /// How often a request was forwarded after it had ended, or ended twice: never right.
+  /// The number of times that a request was forwarded after its end, or ended twice. Must be 0.
   double protocol_violations() const;
 
  private:
@@ -33,7 +33,7 @@
   struct ReplyRule {
     double after_ms = 0;
     Outcome outcome = Outcome::ok;
-    int every = 1;  // each so-manyth attempt ends like that, the others succeed
+    int every = 1;  // every n-th attempt has this outcome, the others succeed
     int attempts = 0;
     bool never = false;
   };
@@ -73,7 +73,7 @@
   void end_named_attempt(const Words& words);
   void set_vote_outcome(const Words& words);
   void report_wrong_answers(const Words& words);
-  void forget_counts(const Words& words);
+  void reset_counts(const Words& words);
   void check_expectation(const Words& words);
 
   void start_engine();
@@ -94,13 +94,13 @@
   CanaryQuotaSettings canary_quota_settings_{};
   AnalysisSettings analysis_settings_{};
   RequestSettings request_settings_{};
-  std::unique_ptr<DecisionEngine> engine_{};  // started by the first line that is not a setting
+  std::unique_ptr<DecisionEngine> engine_{};  // created by the first line that is not a setting
 
   TimePoint now_;
   std::map<std::string, int> endpoints_{};  // index by name
   std::vector<int> builds_{};               // by endpoint
   std::map<std::string, int> request_ids_{};
-  std::map<int, int> attempts_{};   // how many, by request
+  std::map<int, int> attempts_{};   // number of attempts, by request
   std::map<int, int> tenant_of_{};  // by request
   std::set<int> ended_requests_{};
   int next_request_id_ = 0;
@@ -108,7 +108,7 @@
   std::vector<PendingReply> pending_replies_{};
   std::vector<TrafficStream> traffic_{};
   Outcome vote_outcome_ = Outcome::ok;
-  std::map<std::string, double> counts_{};  // by event, as `expect` names it
+  std::map<std::string, double> counts_{};  // by event, under its name in `expect` lines
 };
 
 }  // namespace robinhoist
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -1,4 +1,4 @@
-/// Runs every file in tests/scenarios: *.txt against the decision engine, *.wire against the
+/// Runs every file in tests/scenarios: *.txt files with the decision engine, *.wire files with the
 /// simulator adapter. The notation is described in tests/scenarios/README.md.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   return lines;
 }
 
-// The words of a line; # opens a comment.
+// The words of a line, without its comment, which starts with #.
 ScenarioRunner::Words split_words(const std::string& line) {
   std::istringstream in(line.substr(0, line.find('#')));
   return {std::istream_iterator<std::string>(in), {}};
@@ -65,11 +65,11 @@
 INSTANTIATE_TEST_SUITE_P(All, ScenarioTest, testing::ValuesIn(scenario_names(".txt")),
                          scenario_name);
 
-// What the first line of a *.wire file says must come of the rest: 'refuse LINE WORD' or
-// 'accept COUNT TEXT'.
+// The expected result of a *.wire file, given by its first line: 'refuse LINE WORD' or 'accept
+// COUNT TEXT'.
 struct AdapterExpectation {
   bool refused;
-  int number;  // of the refused line, or of the times that the text stands in the replies
+  int number;  // of the refused line, or of the occurrences of the text in the replies
   std::string text;
 };
 
@@ -91,7 +91,7 @@
     return expectation;
   }
 
-  // Feeds the adapter all lines but the first. @hello stands for the message kept in hello.json.
+  // Runs the adapter on all lines but the first. @hello is replaced by the message in hello.json.
   AdapterRun run_adapter() const {
     const fs::path input = fs::path(testing::TempDir()) / (GetParam() + ".in");
     std::ofstream out(input);
