--- a/src/policy/release.h
+++ b/src/policy/release.h
@@ -27,8 +27,7 @@
   bool by_request_class;     ///< the cap applies to each request class separately
   bool sticky_keys;          ///< a key that the canary has answered is never sent to an older build
   bool in_place;             ///< the release replaces endpoints instead of adding new ones
-  int idempotent_only_stages;  ///< the first stages, in which the canary gets idempotent requests
-                               ///< only
+  int idempotent_only_stages;  ///< number of first stages restricted to idempotent requests
   std::vector<double> caps;    ///< share of requests, by stage
 };
 
