--- a/src/deployment/deployment.cpp
+++ b/src/deployment/deployment.cpp
@@ -67,9 +67,9 @@
   settings.collapse_window = deployment.collapse_window;
   settings.initial_warm_up_factor = deployment.initial_warm_up_factor;
   settings.collapse_multiple = deployment.collapse_multiple;
-  settings.polls_list = false;  // the endpoint source watches the list itself
+  settings.subscribes_to_list = false;  // the endpoint source watches the list itself
   settings.uses_sizes = deployment.uses_sizes;
-  settings.reports = deployment.load_reports;
+  settings.load_report_source = deployment.load_reports;
   settings.proxy_index = proxy_index;
   settings.proxy_count = deployment.proxies;
   return settings;
@@ -78,11 +78,11 @@
 CanaryQuotaSettings canary_quota_settings(const Deployment& deployment) {
   CanaryQuotaSettings settings{};
   settings.window = deployment.quota_window;
-  settings.free_requests = deployment.free_requests;
+  settings.uncapped_attempts = deployment.uncapped_attempts;
   settings.by_request_class = deployment.by_request_class;
-  settings.one_way = deployment.one_way;
+  settings.sticky_keys = deployment.sticky_keys;
   settings.in_place = deployment.rollout.in_place;
-  settings.safe_only_stages = deployment.safe_only_stages;
+  settings.idempotent_only_stages = deployment.idempotent_only_stages;
   settings.caps = deployment.rollout.caps;
   return settings;
 }
--- a/src/deployment/deployment.h
+++ b/src/deployment/deployment.h
@@ -55,11 +55,11 @@
   Duration collapse_window{};         ///< window in which the load of a cold endpoint is counted
   double collapse_multiple = 0;   ///< a cold endpoint collapses above this multiple of its capacity
   Duration quota_window{};        ///< window in which the canary's requests are counted
-  double free_requests = 0;       ///< requests per window that are allowed in addition to the cap
+  double uncapped_attempts = 0;   ///< requests per window that are allowed in addition to the cap
   bool by_request_class = false;  ///< whether the cap applies to each request class separately
   /// Whether a key that was once answered by the canary is never sent to older builds again.
-  bool one_way = false;
-  int safe_only_stages = 0;  ///< number of first stages with idempotent requests only
+  bool sticky_keys = false;
+  int idempotent_only_stages = 0;  ///< number of first stages with idempotent requests only
 
   // Behaviour of proxies.
   int max_attempts = 0;                  ///< per request
--- a/src/deployment/reader.cpp
+++ b/src/deployment/reader.cpp
@@ -84,12 +84,12 @@
   deployment.collapse_multiple = form.number(key::collapse_multiple, 1, 1000);
   deployment.collapse_window = form.duration(key::collapse_window, 1ms, max_time);
   deployment.quota_window = form.duration(key::quota_window, 1ms, max_time);
-  deployment.free_requests = form.number(key::free_requests, 0, 1000);
+  deployment.uncapped_attempts = form.number(key::uncapped_attempts, 0, 1000);
   deployment.by_request_class = form.enumerator<bool>(
       key::by_request_class, {{value::count_all, false}, {value::count_by_request_class, true}},
       false);
-  deployment.one_way = form.boolean(key::one_way, false);
-  deployment.safe_only_stages = form.integer(key::safe_only_stages, 0, 100, 0);
+  deployment.sticky_keys = form.boolean(key::sticky_keys, false);
+  deployment.idempotent_only_stages = form.integer(key::idempotent_only_stages, 0, 100, 0);
   deployment.max_attempts = form.integer(key::max_attempts, 1, 100, 5);
   deployment.hedging = form.boolean(key::hedging, true);
   deployment.retry_after = form.boolean(key::retry_after, true);
--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -31,9 +31,9 @@
   void vote_answered(Outcome outcome, TimePoint now) override {
     policy_.vote_answered(outcome, now);
   }
-  void answer_found_wrong(int endpoint) override { policy_.answer_found_wrong(endpoint); }
+  void wrong_answer_reported(int endpoint) override { policy_.wrong_answer_reported(endpoint); }
   std::optional<Decision> next(TimePoint now) override { return policy_.next(now); }
-  bool knows(int request) const override { return policy_.knows(request); }
+  bool has_request(int request) const override { return policy_.has_request(request); }
 
  private:
   DecisionEngine policy_;
@@ -96,8 +96,8 @@
   void vote_answered(Outcome outcome, TimePoint) override {
     voted_ = voted_ && outcome == Outcome::ok;
   }
-  void answer_found_wrong(int) override {}
-  bool knows(int request) const override { return requests_.count(request) > 0; }
+  void wrong_answer_reported(int) override {}
+  bool has_request(int request) const override { return requests_.count(request) > 0; }
 
   std::optional<Decision> next(TimePoint now) override {
     while (!ready_.empty()) {
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -73,7 +73,7 @@
   EXPECT_GE(settings.server.max_clients, 256u / 3);
   EXPECT_GT(settings.upstream.max_connections, settings.server.max_clients);
   EXPECT_LT(settings.server.max_clients + settings.upstream.max_connections, 240u);
-  EXPECT_LT(settings.upstream.idle_timeout, config.module_settings.keep_idle);
+  EXPECT_LT(settings.upstream.idle_timeout, config.module_settings.endpoint_idle_timeout);
 }
 
 // The settings of a different customer: the same values with other names.
@@ -105,7 +105,7 @@
     endpoint.build = 1;
     endpoint.size = 1;
     endpoint.phase = EndpointPhase::ready;
-    endpoint.order = static_cast<unsigned>(i);
+    endpoint.sort_key = static_cast<unsigned>(i);
     endpoints.push_back(endpoint);
   }
   return endpoints;
