--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -48,7 +48,7 @@
   std::ifstream in(words.file, std::ios::binary);
   std::ostringstream text;
   text << in.rdbuf();
-  const day::Day base = day::read(settings::SexpReader::from_text(text.str(), words.file));
+  const day::Scenario base = day::read(settings::SexpReader::from_text(text.str(), words.file));
   if (const std::string why = emulator::why_not(base); !why.empty())
     throw std::runtime_error(words.file + ": can't be emulated: " + why);
   settings.jobs = words.jobs;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -63,7 +63,7 @@
 // The same in simulated time.
 int emulate(const std::string& file, long seed, std::string folder, bool no_record) {
   namespace rh = robinhoist;
-  const rh::day::Day day = rh::day::read(SexpReader::from_file(file));
+  const rh::day::Scenario day = rh::day::read(SexpReader::from_file(file));
   if (folder.empty())
     folder = "found/emulated-" + std::to_string(seed);
   if (no_record)
@@ -101,7 +101,7 @@
 
 int play(const std::string& file, long seed, std::string folder) {
   namespace rh = robinhoist;
-  const rh::day::Day day = rh::day::read(SexpReader::from_file(file));
+  const rh::day::Scenario day = rh::day::read(SexpReader::from_file(file));
   if (folder.empty())
     folder = "found/day-" + std::to_string(seed);
   std::cout << file << ", seed " << seed << ": " << day.deployment.proxies << " umpires, "
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -16,7 +16,7 @@
 }
 }  // namespace
 
-Clients::Clients(net::Loop& loop, const Day& day, unsigned salt,
+Clients::Clients(net::Loop& loop, const Scenario& day, unsigned salt,
                  const std::vector<ProxyPorts>& proxies, record::Writer& record)
     : loop_(loop), day_(day), load_(day.load, salt), random_(salt + 1), record_(record) {
   for (const ProxyPorts& ports : proxies) {
--- a/src/day/clients.h
+++ b/src/day/clients.h
@@ -17,8 +17,8 @@
 
 class Clients {
  public:
-  Clients(net::Loop& loop, const Day& day, unsigned salt, const std::vector<ProxyPorts>& proxies,
-          record::Writer& record);
+  Clients(net::Loop& loop, const Scenario& day, unsigned salt,
+          const std::vector<ProxyPorts>& proxies, record::Writer& record);
   void begin(TimePoint from);
   bool over() const { return load_.over(); }
   std::size_t open() const { return load_.open(); }
@@ -37,7 +37,7 @@
   TimePoint loop_time(TimePoint day_time) const { return from_ + day_time.time_since_epoch(); }
 
   net::Loop& loop_;
-  const Day& day_;
+  const Scenario& day_;
   load::Load load_;
   std::minstd_rand random_;
   record::Writer& record_;
--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -55,7 +55,7 @@
   return {read.front(), read.back()};
 }
 
-Trouble read_trouble(SexpReader form, const Day& day) {
+Trouble read_trouble(SexpReader form, const Scenario& day) {
   Trouble trouble{};
   const std::string name = form.positional(0, "a kind");
   bool known = false;
@@ -126,7 +126,7 @@
   return trouble;
 }
 
-void read_load(SexpReader form, Day& day) {
+void read_load(SexpReader form, Scenario& day) {
   load::Settings& to = day.load;
   to.rate = form.number("rate", 0.1, 1e6);
   to.shape = form.enumerator<load::Shape>("shape",
@@ -206,8 +206,8 @@
   return "?";
 }
 
-Day read(SexpReader root) {
-  Day day;
+Scenario read(SexpReader root) {
+  Scenario day;
   day.deployment = deployment::read(root.child("deployment"));
   day.deployment_text = root.to_text("deployment");
   SexpReader form = root.child("day");
--- a/src/day/notation.h
+++ b/src/day/notation.h
@@ -49,7 +49,7 @@
   std::vector<std::string> steps{};  // their ids, in order
 };
 
-struct Day {
+struct Scenario {
   deployment::Deployment deployment{};
   std::string deployment_text{};  // where it came from, for the proxies' own files
   Duration length{};
@@ -74,7 +74,7 @@
   std::vector<Trouble> troubles{};
 };
 
-Day read(settings::SexpReader root);
+Scenario read(settings::SexpReader root);
 const char* to_string(Kind kind);
 
 }  // namespace robinhoist::day
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -126,7 +126,7 @@
 
 }  // namespace
 
-Played play(const Day& day, long seed, const std::string& folder, const std::string& program) {
+Played play(const Scenario& day, long seed, const std::string& folder, const std::string& program) {
   fs::create_directories(folder);
   const std::string dir = fs::absolute(folder).string();
   rlimit files{};
--- a/src/day/play.h
+++ b/src/day/play.h
@@ -14,6 +14,6 @@
 
 // `program` is the file to start proxies from. Throws std::runtime_error when the day can't be
 // played.
-Played play(const Day& day, long seed, const std::string& folder, const std::string& program);
+Played play(const Scenario& day, long seed, const std::string& folder, const std::string& program);
 
 }  // namespace robinhoist::day
--- a/src/day/record_meta.cpp
+++ b/src/day/record_meta.cpp
@@ -2,7 +2,7 @@
 
 namespace robinhoist::day {
 
-record::Meta meta_of(const Day& day, long seed) {
+record::Meta meta_of(const Scenario& day, long seed) {
   record::Meta meta;
   const auto& d = day.deployment;
   for (auto& request_class : d.request_classes)
--- a/src/day/record_meta.h
+++ b/src/day/record_meta.h
@@ -5,6 +5,6 @@
 
 namespace robinhoist::day {
 
-record::Meta meta_of(const Day& day, long seed);
+record::Meta meta_of(const Scenario& day, long seed);
 
 }  // namespace robinhoist::day
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -18,11 +18,11 @@
 }
 }  // namespace
 
-std::string zone_of(const Day& day, int proxy) {
+std::string zone_of(const Scenario& day, int proxy) {
   return day.deployment.zones[proxy % day.deployment.zones.size()];
 }
 
-World::World(net::Loop& loop, net::Loop& database_loop, const Day& day, unsigned salt,
+World::World(net::Loop& loop, net::Loop& database_loop, const Scenario& day, unsigned salt,
              const log::Logger& log, record::Writer& nodes, record::Writer& told,
              const std::string& folder, record::Writer* database)
     : loop_(loop), day_(day), log_(log), told_(told), random_(salt), folder_(folder) {
--- a/src/day/world.h
+++ b/src/day/world.h
@@ -19,7 +19,7 @@
  public:
   // The database, where the day has one, runs on a loop of its own: a long step must not stop the
   // endpoints.
-  World(net::Loop& loop, net::Loop& database_loop, const Day& day, unsigned salt,
+  World(net::Loop& loop, net::Loop& database_loop, const Scenario& day, unsigned salt,
         const log::Logger& log, record::Writer& nodes, record::Writer& told,
         const std::string& folder, record::Writer* database);
   ~World();
@@ -55,7 +55,7 @@
   void offer(const Offer& offer);
 
   net::Loop& loop_;
-  const Day& day_;
+  const Scenario& day_;
   const log::Logger& log_;
   record::Writer& told_;
   std::minstd_rand random_;
@@ -78,6 +78,6 @@
 };
 
 // The proxy's zone follows from its number.
-std::string zone_of(const Day& day, int proxy);
+std::string zone_of(const Scenario& day, int proxy);
 
 }  // namespace robinhoist::day
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -38,12 +38,12 @@
 }
 
 void FaultInjector::draw_registry_delay() {
-  const day::Day& day = simulation_.day;
+  const day::Scenario& day = simulation_.day;
   targets_.registry.set_delay(simulation_.sample_between(day.list_least, day.list_most));
 }
 
 void FaultInjector::draw_publish_delay() {
-  const day::Day& day = simulation_.day;
+  const day::Scenario& day = simulation_.day;
   targets_.controller.set_publish_delay(simulation_.sample_between(day.news_least, day.news_most));
 }
 
@@ -70,7 +70,7 @@
       take_cores(fault);
       return true;
     case Kind::connection_squeeze: {
-      const day::Day& day = simulation_.day;
+      const day::Scenario& day = simulation_.day;
       const int max_connections = static_cast<int>(size * day.deployment.proxies / day.places) + 1;
       on_servers(
           fault, [&fleet, max_connections](int server) { fleet.squeeze(server, max_connections); },
--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -22,7 +22,7 @@
 // A proxy's number stands in these upper bits of its attempts' ids.
 constexpr int proxy_bits = 40;
 
-Duration longest_dedup_window(const day::Day& day) {
+Duration longest_dedup_window(const day::Scenario& day) {
   Duration longest{};
   for (const auto& request_class : day.deployment.request_classes)
     longest = std::max(longest, request_class.request_class.dedup_window);
@@ -46,8 +46,8 @@
 /// Connects the parts of one run.
 class Run {
  public:
-  Run(const day::Day& day, long seed, const std::string& folder, const NetworkSettings& network,
-      const PolicySpec& policy)
+  Run(const day::Scenario& day, long seed, const std::string& folder,
+      const NetworkSettings& network, const PolicySpec& policy)
       : simulation_(day, seed, folder, network),
         fleet_(simulation_.engine, day.deployment, longest_dedup_window(day), day.cancelled,
                static_cast<unsigned>(seed * 2 + 2), simulation_.log.servers.get()),
@@ -63,7 +63,7 @@
   }
 
   Summary play() {
-    const day::Day& day = simulation_.day;
+    const day::Scenario& day = simulation_.day;
     Engine& engine = simulation_.engine;
     controller_.start();
     for (int proxy = 0; proxy < day.deployment.proxies; ++proxy)
@@ -173,13 +173,13 @@
 
 }  // namespace
 
-std::string why_not(const day::Day& day) {
+std::string why_not(const day::Scenario& day) {
   if (day.database)
     return "it has a database, whose steps run on sockets only: play it with `robinhoist day`";
   return "";
 }
 
-Summary run(const day::Day& day, long seed, const std::string& folder,
+Summary run(const day::Scenario& day, long seed, const std::string& folder,
             const NetworkSettings& network, const PolicySpec& policy) {
   if (const std::string why = why_not(day); !why.empty())
     throw std::runtime_error("the day can't be emulated: " + why);
--- a/src/emulator/run.h
+++ b/src/emulator/run.h
@@ -33,10 +33,10 @@
 };
 
 // Whether a day can be played here: empty, or why not.
-std::string why_not(const day::Day& day);
+std::string why_not(const day::Scenario& day);
 
 // `folder` empty: no record. Throws std::runtime_error.
-Summary run(const day::Day& day, long seed, const std::string& folder,
+Summary run(const day::Scenario& day, long seed, const std::string& folder,
             const NetworkSettings& network = {}, const PolicySpec& policy = {});
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/simulated_clients.cpp
+++ b/src/emulator/simulated_clients.cpp
@@ -29,7 +29,7 @@
 void SimulatedClients::send(const load::Try& request) {
   Summary& summary = simulation_.summary;
   Engine& engine = simulation_.engine;
-  const day::Day& day = simulation_.day;
+  const day::Scenario& day = simulation_.day;
   ++summary.tries;
   if (request.number == 0) {
     ++summary.asked;
@@ -186,7 +186,7 @@
 
 // Some clients report a wrong answer, and some a right one.
 void SimulatedClients::report_wrong_answer(const load::Try& request, const FinalAnswer& answer) {
-  const day::Day& day = simulation_.day;
+  const day::Scenario& day = simulation_.day;
   const double share = answer.right ? day.false_reports : day.deployment.wrong_answer_report_share;
   if (simulation_.uniform_sample() >= share)
     return;
--- a/src/emulator/simulated_controller.cpp
+++ b/src/emulator/simulated_controller.cpp
@@ -23,7 +23,7 @@
       membership_({simulation.day.deployment.proxies, lease, retention}) {}
 
 void SimulatedController::start() {
-  const day::Day& day = simulation_.day;
+  const day::Scenario& day = simulation_.day;
   const auto& deployment = day.deployment;
   if (saved_.machines.empty())
     rollout_ = std::make_unique<rollout::Rollout>(deployment.rollout, day.places, day.first.number,
--- a/src/emulator/simulated_servers.cpp
+++ b/src/emulator/simulated_servers.cpp
@@ -50,7 +50,7 @@
 }
 
 void SimulatedServers::start(const rollout::Command& command) {
-  const day::Day& day = simulation_.day;
+  const day::Scenario& day = simulation_.day;
   machines_[command.machine] = {.name = "node-" + std::to_string(command.machine),
                                 .slot = command.slot,
                                 .build = command.build};
@@ -67,7 +67,7 @@
   const auto found = machines_.find(machine);
   if (found == machines_.end() || runs(found->second))
     return;
-  const day::Day& day = simulation_.day;
+  const day::Scenario& day = simulation_.day;
   Machine& booting = found->second;
   ServerSpec spec;
   spec.name = booting.name;
@@ -84,7 +84,7 @@
 }
 
 void SimulatedServers::list(int machine) {
-  const day::Day& day = simulation_.day;
+  const day::Scenario& day = simulation_.day;
   Machine& listed = machines_.at(machine);
   registry::Endpoint endpoint;
   endpoint.name = listed.name;
--- a/src/emulator/simulation.cpp
+++ b/src/emulator/simulation.cpp
@@ -20,7 +20,7 @@
       clients(open(folder, "clients.jsonl")),
       proxies(open(folder, "umpires.jsonl")) {}
 
-Simulation::Simulation(const day::Day& scenario, long seed, const std::string& folder,
+Simulation::Simulation(const day::Scenario& scenario, long seed, const std::string& folder,
                        const NetworkSettings& network_settings)
     : day(scenario),
       log(folder),
--- a/src/emulator/simulation.h
+++ b/src/emulator/simulation.h
@@ -39,7 +39,7 @@
 /// One run. Everything that is drawn or planned goes through it, in one order, so that the same
 /// scenario and seed give the same run.
 struct Simulation {
-  Simulation(const day::Day& scenario, long seed, const std::string& folder,
+  Simulation(const day::Scenario& scenario, long seed, const std::string& folder,
              const NetworkSettings& network_settings);
   Simulation(const Simulation&) = delete;
   Simulation& operator=(const Simulation&) = delete;
@@ -51,7 +51,7 @@
   /// A point in time of the load generator as one of the engine.
   TimePoint engine_time(TimePoint load_time) const { return start + load_time.time_since_epoch(); }
 
-  const day::Day& day;
+  const day::Scenario& day;
   EventLog log;
   Engine engine{};
   std::minstd_rand random;
--- a/src/lab/experiment.h
+++ b/src/lab/experiment.h
@@ -26,7 +26,7 @@
 
 struct Cell {
   std::vector<std::string> values{};  // by parameter
-  day::Day day{};
+  day::Scenario day{};
   std::string text{};  // the day as it is played
   emulator::PolicySpec policy{};
 };
--- a/src/lab/hunt.cpp
+++ b/src/lab/hunt.cpp
@@ -56,7 +56,7 @@
 
 class Draw {
  public:
-  Draw(const day::Day& base, long seed) : base_(base), chance_(static_cast<unsigned>(seed)) {}
+  Draw(const day::Scenario& base, long seed) : base_(base), chance_(static_cast<unsigned>(seed)) {}
   double part() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
   double between(double least, double most) { return least + part() * (most - least); }
   int below(std::size_t count) { return static_cast<int>(part() * static_cast<double>(count)); }
@@ -100,13 +100,13 @@
   }
 
  private:
-  const day::Day& base_;
+  const day::Scenario& base_;
   std::minstd_rand chance_;
 };
 
-Found judged(const day::Day& base, std::vector<Trouble> troubles, long seed,
+Found judged(const day::Scenario& base, std::vector<Trouble> troubles, long seed,
              const std::string& folder) {
-  day::Day day = base;
+  day::Scenario day = base;
   day.troubles = troubles;
   Found found;
   found.troubles = std::move(troubles);
@@ -124,7 +124,7 @@
 }
 
 // Each of some candidates on a thread of its own, in the order given.
-std::vector<Found> all_judged(const day::Day& base,
+std::vector<Found> all_judged(const day::Scenario& base,
                               const std::vector<std::vector<Trouble>>& candidates,
                               const HuntSettings& settings, const std::string& folder) {
   std::vector<Found> found(candidates.size());
@@ -152,7 +152,7 @@
 
 }  // namespace
 
-Found hunt(const day::Day& base, const HuntSettings& settings,
+Found hunt(const day::Scenario& base, const HuntSettings& settings,
            const std::function<void(const Found&)>& told) {
   const std::string folder =
       (fs::temp_directory_path() / ("robinhoist-hunt-" + std::to_string(::getpid()))).string();
--- a/src/lab/hunt.h
+++ b/src/lab/hunt.h
@@ -29,7 +29,7 @@
 };
 
 // `told` hears of each worse day.
-Found hunt(const day::Day& base, const HuntSettings& settings,
+Found hunt(const day::Scenario& base, const HuntSettings& settings,
            const std::function<void(const Found&)>& told);
 
 // The base day's text with these troubles in place of its own, as a file that `day` and `emulate`
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -115,7 +115,7 @@
   near(shared.took_ms, 1000.0 / (100 - 70));
 }
 
-day::Day day_of(const std::string& changed_from = "", const std::string& changed_to = "") {
+day::Scenario day_of(const std::string& changed_from = "", const std::string& changed_to = "") {
   std::ifstream in(ROOT "/days/short.day");
   std::stringstream text;
   text << in.rdbuf();
@@ -141,7 +141,7 @@
 }
 
 TEST(Run, is_the_same_to_the_bit_by_its_seed) {
-  const day::Day day = day_of();
+  const day::Scenario day = day_of();
   const Summary a = run(day, 3, folder("a")), b = run(day, 3, folder("b")),
                 other = run(day, 4, folder("c"));
   for (const char* file : {"nodes.jsonl", "clients.jsonl", "told.jsonl", "umpires.jsonl"}) {
@@ -272,7 +272,7 @@
 }
 
 TEST(Run, refuses_a_day_with_a_database) {
-  const day::Day day = day::read(settings::SexpReader::from_file(ROOT "/days/steps.day"));
+  const day::Scenario day = day::read(settings::SexpReader::from_file(ROOT "/days/steps.day"));
   EXPECT_NE(why_not(day), "");
   EXPECT_THROW(run(day, 1, ""), std::runtime_error);
 }
