--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -257,7 +257,7 @@
     database->finish();
   }
   for (SexpReader& release : form.children("release")) {
-    Offer offer;
+    ScheduledRelease offer;
     offer.at = release.duration("at", 0ms, day.length);
     offer.needs = release.text("needs", "");
     if (auto plan = release.optional_child("plan")) {
@@ -271,11 +271,11 @@
     }
     offer.build = machine::read_build(release, day.deployment);
     if (offer.build.number <=
-        (day.offers.empty() ? day.first.number : day.offers.back().build.number))
+        (day.releases.empty() ? day.first.number : day.releases.back().build.number))
       release.add_problem("its build is not newer than the one before");
-    if (!day.offers.empty() && offer.at < day.offers.back().at)
+    if (!day.releases.empty() && offer.at < day.releases.back().at)
       release.add_problem("at", "is before the release given before it");
-    day.offers.push_back(offer);
+    day.releases.push_back(offer);
   }
   for (SexpReader& trouble : form.children("trouble"))
     day.troubles.push_back(read_trouble(trouble, day));
--- a/src/day/notation.h
+++ b/src/day/notation.h
@@ -41,7 +41,7 @@
   std::string how{}, zone{}, tenant{};
 };
 
-struct Offer {
+struct ScheduledRelease {
   Duration at{};
   machine::Build build{};
   std::string needs{};  // a query that says whether its tables are ready; empty: it needs none
@@ -70,7 +70,7 @@
   double batch_slows = 1;  // all endpoints, by so many times while the database runs a batch
   bool throttle = true;
   load::Settings load{};
-  std::vector<Offer> offers{};
+  std::vector<ScheduledRelease> releases{};
   std::vector<Trouble> troubles{};
 };
 
--- a/src/day/record_meta.cpp
+++ b/src/day/record_meta.cpp
@@ -28,7 +28,7 @@
   meta.proxies = d.proxies;
   meta.endpoints = day.places;
   meta.seed = seed;
-  for (const Offer& offer : day.offers)
+  for (const ScheduledRelease& offer : day.releases)
     for (const std::string& step : offer.steps)
       meta.steps.push_back(std::to_string(offer.build.number) + "/" + step);
   return meta;
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -112,7 +112,7 @@
 }
 
 const machine::Build& World::build(int number) const {
-  for (const Offer& offer : day_.offers)
+  for (const ScheduledRelease& offer : day_.releases)
     if (offer.build.number == number)
       return offer.build;
   return day_.first;
@@ -168,7 +168,7 @@
   spec.capacity.speed *= speeds_[place.place];
   spec.build = build(place.build);
   spec.cold = cold;
-  for (const Offer& offer : day_.offers)
+  for (const ScheduledRelease& offer : day_.releases)
     if (offer.build.number == place.build)
       spec.needs = offer.needs;
   nodes_->start(spec);
@@ -333,14 +333,14 @@
   controller_->set_publish_delay(drawn(day_.news_least, day_.news_most));
   for (const Trouble& trouble : day_.troubles)
     loop_.at(from + trouble.at, [this, &trouble] { begin_trouble(trouble); });
-  for (const Offer& offer : day_.offers)
+  for (const ScheduledRelease& offer : day_.releases)
     loop_.at(from + offer.at, [this, &offer] { this->offer(offer); });
   watch_changes();
   share_harm();
 }
 
 // Offered again until there is a controller to hear it.
-void World::offer(const Offer& offer) {
+void World::offer(const ScheduledRelease& offer) {
   if (!controller_) {
     loop_.in(100ms, [this, &offer] { this->offer(offer); });
     return;
@@ -353,7 +353,7 @@
 // A build that harms all machines does so in step with the traffic that it gets.
 void World::share_harm() {
   double factor = 1;
-  for (const Offer& offer : day_.offers)
+  for (const ScheduledRelease& offer : day_.releases)
     if (offer.build.flaw == machine::Flaw::shared)
       factor += (offer.build.strength - 1) * nodes_->share_of_traffic(offer.build.number, 1s);
   // A database that is busy with steps keeps all endpoints waiting, by the part of the last tenth
--- a/src/day/world.h
+++ b/src/day/world.h
@@ -52,7 +52,7 @@
   void watch_changes();
   void share_harm();
   void start_controller();
-  void offer(const Offer& offer);
+  void offer(const ScheduledRelease& offer);
 
   net::Loop& loop_;
   const Scenario& day_;
--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -145,7 +145,7 @@
     faults_.draw_delays();
     for (const day::Trouble& fault : simulation_.day.troubles)
       simulation_.engine.at(simulation_.start + fault.at, [this, &fault] { faults_.begin(fault); });
-    for (const day::Offer& offer : simulation_.day.offers)
+    for (const day::ScheduledRelease& offer : simulation_.day.releases)
       simulation_.engine.at(simulation_.start + offer.at,
                             [this, &offer] { controller_.submit(offer); });
   }
--- a/src/emulator/simulated_controller.cpp
+++ b/src/emulator/simulated_controller.cpp
@@ -177,7 +177,7 @@
   simulation_.engine.in(heartbeat_interval, [this] { begin_heartbeats(); });
 }
 
-void SimulatedController::submit(const day::Offer& offer) {
+void SimulatedController::submit(const day::ScheduledRelease& offer) {
   if (!rollout_) {
     simulation_.engine.in(submit_retry_interval, [this, &offer] { submit(offer); });
     return;
--- a/src/emulator/simulated_controller.h
+++ b/src/emulator/simulated_controller.h
@@ -23,7 +23,7 @@
   void machine_started(int machine);
   void machine_stopped(int machine);
   /// Submits a release; while the process is down, as soon as it is back.
-  void submit(const day::Offer& offer);
+  void submit(const day::ScheduledRelease& offer);
   /// A vote leaves a proxy now.
   void vote(int proxy, int build, int stage, Verdict verdict);
   /// Sends a proxy the present update.
--- a/src/emulator/simulated_servers.cpp
+++ b/src/emulator/simulated_servers.cpp
@@ -20,7 +20,7 @@
 }
 
 const machine::Build& SimulatedServers::build(int number) const {
-  for (const day::Offer& offer : simulation_.day.offers)
+  for (const day::ScheduledRelease& offer : simulation_.day.releases)
     if (offer.build.number == number)
       return offer.build;
   return simulation_.day.first;
@@ -174,7 +174,7 @@
 
 void SimulatedServers::begin_shared_harm() {
   double factor = 1;
-  for (const day::Offer& offer : simulation_.day.offers)
+  for (const day::ScheduledRelease& offer : simulation_.day.releases)
     if (offer.build.flaw == machine::Flaw::shared)
       factor += (offer.build.strength - 1) *
                 fleet_.share_of_traffic(offer.build.number, shared_harm_window);
--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -213,7 +213,7 @@
   }
   int good = 0, good_back = 0, bad = 0, bad_back = 0;
   double after = 0;
-  for (const day::Offer& offer : cell.day.offers) {
+  for (const day::ScheduledRelease& offer : cell.day.releases) {
     const int build = offer.build.number;
     if (begun.count(build) == 0)
       continue;
