--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -53,11 +53,11 @@
     throw std::runtime_error(words.file + ": can't be emulated: " + why);
   settings.jobs = words.jobs;
   const auto shown = [](const lab::Found& found) {
-    std::string troubles;
-    for (const day::Trouble& one : found.troubles)
-      troubles += std::string(" ") + day::to_string(one.kind);
+    std::string faults;
+    for (const day::Fault& one : found.faults)
+      faults += std::string(" ") + day::to_string(one.kind);
     std::printf("  after %d runs: revenue %.1f%%%s,%s\n", found.runs, found.priority_weight,
-                found.broken.empty() ? "" : (", " + found.broken).c_str(), troubles.c_str());
+                found.broken.empty() ? "" : (", " + found.broken).c_str(), faults.c_str());
     std::fflush(stdout);
   };
   const lab::Found found = lab::hunt(base, settings, shown);
@@ -71,7 +71,7 @@
                 "Found by `robinhoist lab hunt` on %s, seed %ld: revenue %.1f%%%s.",
                 words.file.c_str(), settings.seed, found.priority_weight,
                 found.broken.empty() ? "" : ", a rule broken");
-  std::ofstream(out) << lab::day_text(text.str(), found.troubles, comment);
+  std::ofstream(out) << lab::day_text(text.str(), found.faults, comment);
   std::printf("saved as %s: play it with --seed %ld\n", out.c_str(), settings.seed);
   return found.broken.empty() ? 0 : 1;
 }
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -33,7 +33,7 @@
 void Clients::begin(TimePoint from) {
   from_ = from;
   begun_ = true;
-  for (const Trouble& trouble : day_.troubles)
+  for (const Fault& trouble : day_.faults)
     loop_.at(from + trouble.at, [this, &trouble] { begin_trouble(trouble); });
   pull();
 }
@@ -42,15 +42,15 @@
   load_.proxy(number, up, now());
 }
 
-void Clients::begin_trouble(const Trouble& trouble) {
+void Clients::begin_trouble(const Fault& trouble) {
   const auto at_end = [&](std::function<void()> undo) { loop_.in(trouble.lasts, std::move(undo)); };
   const auto& d = day_.deployment;
   switch (trouble.kind) {
-    case Kind::burst:
+    case FaultKind::burst:
       load_.burst(trouble.size);
       at_end([this] { load_.burst(1); });
       break;
-    case Kind::hot_caller: {
+    case FaultKind::hot_caller: {
       std::vector<int> some;
       const int many = std::max(1, static_cast<int>(trouble.part * d.proxies + 0.5));
       for (int u = 0; u < many; ++u)
@@ -59,11 +59,11 @@
       at_end([this] { load_.hot({}, 0); });
       break;
     }
-    case Kind::bad_requests:
+    case FaultKind::bad_requests:
       load_.poison(trouble.tenant.empty() ? -1 : d.tenant(trouble.tenant), trouble.size);
       at_end([this] { load_.poison(-1, 0); });
       break;
-    case Kind::retry_abuse:
+    case FaultKind::retry_abuse:
       load_.abuse(d.tenant(trouble.tenant), static_cast<int>(trouble.size), trouble.extra);
       at_end([this] { load_.abuse(-1, 0, 1); });
       break;
--- a/src/day/clients.h
+++ b/src/day/clients.h
@@ -30,7 +30,7 @@
   void pull();
   void send(const load::Try& one);
   void ended(const load::Try& one, http::CallResult how, const http::Response& response);
-  void begin_trouble(const Trouble& trouble);
+  void begin_trouble(const Fault& trouble);
   void report(int proxy, const std::string& node);
   TimePoint now() const { return TimePoint(loop_.now() - from_); }
   /// A point in time of the load as one of the loop.
--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -11,27 +11,27 @@
 using namespace std::chrono_literals;
 using settings::SexpReader;
 
-constexpr std::pair<const char*, Kind> kinds[] = {
-    {"crash", Kind::crash},
-    {"vanish", Kind::vanish},
-    {"slow", Kind::slow},
-    {"fast-errors", Kind::fast_errors},
-    {"neighbour", Kind::neighbour},
-    {"probe-fail", Kind::probe_fail},
-    {"connection-squeeze", Kind::connection_squeeze},
-    {"slow-handshakes", Kind::slow_handshakes},
-    {"slow-link", Kind::slow_link},
-    {"zone-cut", Kind::zone_cut},
-    {"burst", Kind::burst},
-    {"hot-caller", Kind::hot_caller},
-    {"bad-requests", Kind::bad_requests},
-    {"retry-abuse", Kind::retry_abuse},
-    {"stale-list", Kind::stale_list},
-    {"umpire-crash", Kind::proxy_crash},
-    {"umpire-roll", Kind::proxy_roll},
-    {"controller-down", Kind::controller_down},
-    {"controller-crash", Kind::controller_crash},
-    {"watch-breaks", Kind::watch_breaks},
+constexpr std::pair<const char*, FaultKind> kinds[] = {
+    {"crash", FaultKind::crash},
+    {"vanish", FaultKind::vanish},
+    {"slow", FaultKind::slow},
+    {"fast-errors", FaultKind::fast_errors},
+    {"neighbour", FaultKind::neighbour},
+    {"probe-fail", FaultKind::probe_fail},
+    {"connection-squeeze", FaultKind::connection_squeeze},
+    {"slow-handshakes", FaultKind::slow_handshakes},
+    {"slow-link", FaultKind::slow_link},
+    {"zone-cut", FaultKind::zone_cut},
+    {"burst", FaultKind::burst},
+    {"hot-caller", FaultKind::hot_caller},
+    {"bad-requests", FaultKind::bad_requests},
+    {"retry-abuse", FaultKind::retry_abuse},
+    {"stale-list", FaultKind::stale_list},
+    {"umpire-crash", FaultKind::proxy_crash},
+    {"umpire-roll", FaultKind::proxy_roll},
+    {"controller-down", FaultKind::controller_down},
+    {"controller-crash", FaultKind::controller_crash},
+    {"watch-breaks", FaultKind::watch_breaks},
 };
 
 // (key LEAST MOST) or (key BOTH).
@@ -55,8 +55,8 @@
   return {read.front(), read.back()};
 }
 
-Trouble read_trouble(SexpReader form, const Scenario& day) {
-  Trouble trouble{};
+Fault read_trouble(SexpReader form, const Scenario& day) {
+  Fault trouble{};
   const std::string name = form.positional(0, "a kind");
   bool known = false;
   for (auto& [word, kind] : kinds)
@@ -70,51 +70,52 @@
   }
   trouble.at = form.duration("at", 0ms, day.length);
   trouble.lasts = form.duration("for", 1ms, 1h);
-  const auto is = [&](std::initializer_list<Kind> of) {
+  const auto is = [&](std::initializer_list<FaultKind> of) {
     return std::find(of.begin(), of.end(), trouble.kind) != of.end();
   };
-  if (is({Kind::crash, Kind::vanish, Kind::slow, Kind::fast_errors, Kind::neighbour,
-          Kind::probe_fail, Kind::connection_squeeze, Kind::slow_handshakes, Kind::hot_caller,
-          Kind::proxy_crash, Kind::proxy_roll}))
+  if (is({FaultKind::crash, FaultKind::vanish, FaultKind::slow, FaultKind::fast_errors,
+          FaultKind::neighbour, FaultKind::probe_fail, FaultKind::connection_squeeze,
+          FaultKind::slow_handshakes, FaultKind::hot_caller, FaultKind::proxy_crash,
+          FaultKind::proxy_roll}))
     trouble.part = form.number("part", 0, 1);
-  if (is({Kind::slow, Kind::burst}))
+  if (is({FaultKind::slow, FaultKind::burst}))
     trouble.size = form.number("times", 0.01, 1000);
-  if (is({Kind::fast_errors, Kind::neighbour, Kind::probe_fail, Kind::hot_caller,
-          Kind::bad_requests}))
+  if (is({FaultKind::fast_errors, FaultKind::neighbour, FaultKind::probe_fail,
+          FaultKind::hot_caller, FaultKind::bad_requests}))
     trouble.size = form.number("share", 0, 0.99);
-  if (is({Kind::neighbour}))
+  if (is({FaultKind::neighbour}))
     trouble.extra = form.duration("every", 10ms, 1h, 2s).count() / 1e6;
-  if (is({Kind::connection_squeeze}))
+  if (is({FaultKind::connection_squeeze}))
     trouble.size = form.number("connections-an-umpire", 0.01, 1e6);
-  if (is({Kind::slow_handshakes}))
+  if (is({FaultKind::slow_handshakes}))
     trouble.size = form.duration("by", 0ms, 1min).count() / 1e6;
-  if (is({Kind::slow_link})) {
+  if (is({FaultKind::slow_link})) {
     trouble.size = form.duration("by", 0ms, 1min).count() / 1e6;
     trouble.extra = form.number("lost", 0, 1, 0.0);
   }
-  if (is({Kind::slow_link, Kind::zone_cut})) {
+  if (is({FaultKind::slow_link, FaultKind::zone_cut})) {
     trouble.zone = form.text("zone");
     if (day.deployment.zone(trouble.zone) < 0)
       form.add_problem("zone", "is none of the deployment's");
   }
-  if (is({Kind::bad_requests}))
+  if (is({FaultKind::bad_requests}))
     trouble.tenant = form.text("tenant", "");
-  if (is({Kind::retry_abuse})) {
+  if (is({FaultKind::retry_abuse})) {
     trouble.tenant = form.text("tenant");
     trouble.size = form.integer("tries", 1, 100);
     trouble.extra = form.number("patience", 0.01, 1);
   }
   if (!trouble.tenant.empty() && day.deployment.tenant(trouble.tenant) < 0)
     form.add_problem("tenant", "is none of the deployment's");
-  if (is({Kind::watch_breaks}))
+  if (is({FaultKind::watch_breaks}))
     trouble.size = form.duration("every", 20ms, 1h).count() / 1e6;
-  if (is({Kind::stale_list}))
+  if (is({FaultKind::stale_list}))
     trouble.size = form.duration("by", 0ms, 1h).count() / 1e6;
-  if (is({Kind::proxy_roll})) {
+  if (is({FaultKind::proxy_roll})) {
     trouble.size = form.number("batch", 0.001, 1);
     trouble.extra = form.duration("down", 0ms, 1min, 500ms).count() / 1e6;
   }
-  if (is({Kind::controller_down})) {
+  if (is({FaultKind::controller_down})) {
     trouble.how = form.enumerator<std::string>(
         "how", {{"silence", "silence"}, {"errors", "errors"}, {"stale", "stale"}});
     if (trouble.how == "stale")
@@ -199,7 +200,7 @@
 
 }  // namespace
 
-const char* to_string(Kind kind) {
+const char* to_string(FaultKind kind) {
   for (auto& [word, which] : kinds)
     if (which == kind)
       return word;
@@ -278,7 +279,7 @@
     day.releases.push_back(offer);
   }
   for (SexpReader& trouble : form.children("trouble"))
-    day.troubles.push_back(read_trouble(trouble, day));
+    day.faults.push_back(read_trouble(trouble, day));
   form.finish();
   root.finish();
   return day;
--- a/src/day/notation.h
+++ b/src/day/notation.h
@@ -11,7 +11,7 @@
 
 namespace robinhoist::day {
 
-enum class Kind {
+enum class FaultKind {
   crash,
   vanish,
   slow,
@@ -34,8 +34,8 @@
   watch_breaks
 };
 
-struct Trouble {
-  Kind kind;
+struct Fault {
+  FaultKind kind;
   Duration at{}, lasts{};
   double part = 0, size = 0, extra = 0;  // what they mean follows from the kind
   std::string how{}, zone{}, tenant{};
@@ -71,10 +71,10 @@
   bool throttle = true;
   load::Settings load{};
   std::vector<ScheduledRelease> releases{};
-  std::vector<Trouble> troubles{};
+  std::vector<Fault> faults{};
 };
 
 Scenario read(settings::SexpReader root);
-const char* to_string(Kind kind);
+const char* to_string(FaultKind kind);
 
 }  // namespace robinhoist::day
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -217,15 +217,15 @@
   const TimePoint from = TimePoint(net::steady_now() - epoch) + 50ms;
   std::vector<Event> events;
   std::minstd_rand random(static_cast<unsigned>(seed + 5));
-  for (const Trouble& trouble : day.troubles) {
-    if (trouble.kind != Kind::proxy_crash && trouble.kind != Kind::proxy_roll)
+  for (const Fault& trouble : day.faults) {
+    if (trouble.kind != FaultKind::proxy_crash && trouble.kind != FaultKind::proxy_roll)
       continue;
     std::vector<int> order(proxies);
     for (int u = 0; u < proxies; ++u)
       order[u] = u;
     std::shuffle(order.begin(), order.end(), random);
     order.resize(std::clamp(static_cast<int>(trouble.part * proxies + 0.5), 1, proxies));
-    const bool roll = trouble.kind == Kind::proxy_roll;
+    const bool roll = trouble.kind == FaultKind::proxy_roll;
     const int batch = roll ? std::max(1, static_cast<int>(trouble.size * proxies)) : proxies;
     const int batches = (static_cast<int>(order.size()) + batch - 1) / batch;
     for (std::size_t i = 0; i < order.size(); ++i) {
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -219,7 +219,7 @@
   }
 }
 
-void World::begin_trouble(const Trouble& trouble) {
+void World::begin_trouble(const Fault& trouble) {
   const TimePoint end = loop_.now() + trouble.lasts;
   // Acts on some endpoints now, and undoes it at the end.
   auto on_nodes = [&](auto act, auto undo) {
@@ -229,10 +229,10 @@
   };
   const double size = trouble.size;
   switch (trouble.kind) {
-    case Kind::crash:
-    case Kind::vanish:
+    case FaultKind::crash:
+    case FaultKind::vanish:
       for (int id : pick(trouble.part)) {
-        down(id, trouble.kind == Kind::vanish);
+        down(id, trouble.kind == FaultKind::vanish);
         if (controller_)
           controller_->rollout().machine_stopped(id, loop_.now());
         loop_.at(end, [this, id] {
@@ -244,15 +244,15 @@
         });
       }
       break;
-    case Kind::slow:
+    case FaultKind::slow:
       on_nodes([this, size](const std::string& n) { nodes_->slow(n, size); },
                [this](const std::string& n) { nodes_->slow(n, 1); });
       break;
-    case Kind::fast_errors:
+    case FaultKind::fast_errors:
       on_nodes([this, size](const std::string& n) { nodes_->fail(n, size); },
                [this](const std::string& n) { nodes_->fail(n, 0); });
       break;
-    case Kind::neighbour: {
+    case FaultKind::neighbour: {
       auto chosen = pick(trouble.part);
       const Duration every = std::max<Duration>(10ms, from_seconds(trouble.extra));
       for (int k = 0; every * k < trouble.lasts; ++k)
@@ -264,40 +264,40 @@
       });
       break;
     }
-    case Kind::probe_fail:
+    case FaultKind::probe_fail:
       on_nodes([this, size](const std::string& n) { nodes_->fail_probes(n, size); },
                [this](const std::string& n) { nodes_->fail_probes(n, 0); });
       break;
-    case Kind::connection_squeeze: {
+    case FaultKind::connection_squeeze: {
       const auto most = static_cast<std::size_t>(size * day_.deployment.proxies / day_.places) + 1;
       on_nodes([this, most](const std::string& n) { nodes_->squeeze(n, most); },
                [this](const std::string& n) { nodes_->squeeze(n, 0); });
       break;
     }
-    case Kind::slow_handshakes:
+    case FaultKind::slow_handshakes:
       on_nodes(
           [this, size](const std::string& n) { nodes_->slow_handshake(n, from_seconds(size)); },
           [this](const std::string& n) { nodes_->slow_handshake(n, 0ms); });
       break;
-    case Kind::slow_link:
+    case FaultKind::slow_link:
       slow_zone_ = trouble.zone;
       link_by_ = from_seconds(size);
       link_lost_ = trouble.extra;
       loop_.at(end, [this] { slow_zone_.clear(); });
       break;
-    case Kind::zone_cut:
+    case FaultKind::zone_cut:
       cut_zone_ = trouble.zone;
       loop_.at(end, [this] { cut_zone_.clear(); });
       break;
-    case Kind::stale_list:
+    case FaultKind::stale_list:
       list_->set_delay(day_.list_most + from_seconds(size));
       loop_.at(end, [this] { list_->set_delay(drawn(day_.list_least, day_.list_most)); });
       break;
-    case Kind::controller_crash:
+    case FaultKind::controller_crash:
       controller_.reset();
       loop_.at(end, [this] { start_controller(); });
       break;
-    case Kind::watch_breaks:
+    case FaultKind::watch_breaks:
       for (Duration at = from_seconds(std::max(0.02, size)); at < trouble.lasts;
            at += from_seconds(std::max(0.02, size)))
         loop_.in(at, [this] {
@@ -305,7 +305,7 @@
             controller_->break_connections();
         });
       break;
-    case Kind::controller_down:
+    case FaultKind::controller_down:
       if (!controller_)
         return;
       if (trouble.how == "stale")
@@ -331,7 +331,7 @@
   from_ = from;
   list_->set_delay(drawn(day_.list_least, day_.list_most));
   controller_->set_publish_delay(drawn(day_.news_least, day_.news_most));
-  for (const Trouble& trouble : day_.troubles)
+  for (const Fault& trouble : day_.faults)
     loop_.at(from + trouble.at, [this, &trouble] { begin_trouble(trouble); });
   for (const ScheduledRelease& offer : day_.releases)
     loop_.at(from + offer.at, [this, &offer] { this->offer(offer); });
--- a/src/day/world.h
+++ b/src/day/world.h
@@ -43,7 +43,7 @@
   void enlist(int machine);
   const machine::Build& build(int number) const;
   std::vector<int> pick(double part);
-  void begin_trouble(const Trouble& trouble);
+  void begin_trouble(const Fault& trouble);
   void each(const std::vector<int>& machines, const std::function<void(const std::string&)>& act);
   double uniform_sample() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   Duration drawn(Duration least, Duration most);
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using day::Kind;
-using day::Trouble;
+using day::Fault;
+using day::FaultKind;
 
 constexpr Duration min_neighbour_interval = 10ms;
 
@@ -23,12 +23,12 @@
 
 }  // namespace
 
-void FaultInjector::begin(const Trouble& fault) {
+void FaultInjector::begin(const Fault& fault) {
   if (!begin_server_fault(fault) && !begin_client_fault(fault))
     begin_other_fault(fault);
 }
 
-void FaultInjector::at_end(const Trouble& fault, std::function<void()> undo) {
+void FaultInjector::at_end(const Fault& fault, std::function<void()> undo) {
   simulation_.engine.in(fault.lasts, std::move(undo));
 }
 
@@ -48,28 +48,28 @@
 }
 
 // False: it is no fault of servers.
-bool FaultInjector::begin_server_fault(const Trouble& fault) {
+bool FaultInjector::begin_server_fault(const Fault& fault) {
   Fleet& fleet = targets_.fleet;
   const double size = fault.size;
   switch (fault.kind) {
-    case Kind::crash:
-    case Kind::vanish:
+    case FaultKind::crash:
+    case FaultKind::vanish:
       crash_servers(fault);
       return true;
-    case Kind::slow:
+    case FaultKind::slow:
       on_servers(
           fault, [&fleet, size](int server) { fleet.slow(server, size); },
           [&fleet](int server) { fleet.slow(server, 1); });
       return true;
-    case Kind::fast_errors:
+    case FaultKind::fast_errors:
       on_servers(
           fault, [&fleet, size](int server) { fleet.fail(server, size); },
           [&fleet](int server) { fleet.fail(server, 0); });
       return true;
-    case Kind::neighbour:
+    case FaultKind::neighbour:
       take_cores(fault);
       return true;
-    case Kind::connection_squeeze: {
+    case FaultKind::connection_squeeze: {
       const day::Scenario& day = simulation_.day;
       const int max_connections = static_cast<int>(size * day.deployment.proxies / day.places) + 1;
       on_servers(
@@ -77,7 +77,7 @@
           [&fleet](int server) { fleet.squeeze(server, 0); });
       return true;
     }
-    case Kind::slow_handshakes:
+    case FaultKind::slow_handshakes:
       on_servers(
           fault, [&fleet, size](int server) { fleet.slow_handshake(server, from_seconds(size)); },
           [&fleet](int server) { fleet.slow_handshake(server, 0ms); });
@@ -88,22 +88,22 @@
 }
 
 // False: it is no fault of clients.
-bool FaultInjector::begin_client_fault(const Trouble& fault) {
+bool FaultInjector::begin_client_fault(const Fault& fault) {
   load::Load& load = targets_.clients.load();
   const auto& deployment = simulation_.day.deployment;
   switch (fault.kind) {
-    case Kind::burst:
+    case FaultKind::burst:
       load.burst(fault.size);
       at_end(fault, [&load] { load.burst(1); });
       return true;
-    case Kind::hot_caller:
+    case FaultKind::hot_caller:
       concentrate_load(fault);
       return true;
-    case Kind::bad_requests:
+    case FaultKind::bad_requests:
       load.poison(fault.tenant.empty() ? -1 : deployment.tenant(fault.tenant), fault.size);
       at_end(fault, [&load] { load.poison(-1, 0); });
       return true;
-    case Kind::retry_abuse:
+    case FaultKind::retry_abuse:
       load.abuse(deployment.tenant(fault.tenant), static_cast<int>(fault.size), fault.extra);
       at_end(fault, [&load] { load.abuse(-1, 0, 1); });
       return true;
@@ -112,39 +112,39 @@
   }
 }
 
-void FaultInjector::begin_other_fault(const Trouble& fault) {
+void FaultInjector::begin_other_fault(const Fault& fault) {
   LinkFaults& links = simulation_.link_faults;
   switch (fault.kind) {
-    case Kind::slow_link:
+    case FaultKind::slow_link:
       slow_links(fault);
       break;
-    case Kind::zone_cut:
+    case FaultKind::zone_cut:
       links.cut_zone = fault.zone;
       at_end(fault, [&links] { links.cut_zone.clear(); });
       break;
-    case Kind::stale_list:
+    case FaultKind::stale_list:
       targets_.registry.set_delay(simulation_.day.list_most + from_seconds(fault.size));
       at_end(fault, [this] { draw_registry_delay(); });
       break;
-    case Kind::controller_crash:
+    case FaultKind::controller_crash:
       targets_.controller.crash();
       at_end(fault, [this] { targets_.controller.start(); });
       break;
-    case Kind::controller_down:
+    case FaultKind::controller_down:
       disturb_controller(fault);
       break;
-    case Kind::proxy_crash:
-    case Kind::proxy_roll:
+    case FaultKind::proxy_crash:
+    case FaultKind::proxy_roll:
       restart_proxies(fault);
       break;
-    case Kind::probe_fail:    // the decision module asks for no health checks
-    case Kind::watch_breaks:  // nothing is lost on the way here: a broken watch is resumed
+    case FaultKind::probe_fail:    // the decision module asks for no health checks
+    case FaultKind::watch_breaks:  // nothing is lost on the way here: a broken watch is resumed
     default:
       break;
   }
 }
 
-void FaultInjector::on_servers(const Trouble& fault, const ServerAction& begin,
+void FaultInjector::on_servers(const Fault& fault, const ServerAction& begin,
                                const ServerAction& end) {
   const SimulatedServers& servers = targets_.servers;
   const auto chosen = std::make_shared<const std::vector<int>>(targets_.servers.pick(fault.part));
@@ -152,16 +152,16 @@
   at_end(fault, [&servers, chosen, end] { servers.for_each_running(*chosen, end); });
 }
 
-void FaultInjector::crash_servers(const Trouble& fault) {
+void FaultInjector::crash_servers(const Fault& fault) {
   SimulatedServers& servers = targets_.servers;
   for (const int machine : servers.pick(fault.part)) {
-    servers.crash(machine, fault.kind == Kind::vanish);
+    servers.crash(machine, fault.kind == FaultKind::vanish);
     at_end(fault, [&servers, machine] { servers.recover(machine); });
   }
 }
 
 // Another program takes a share of the cores, on and off.
-void FaultInjector::take_cores(const Trouble& fault) {
+void FaultInjector::take_cores(const Fault& fault) {
   const auto chosen = std::make_shared<const std::vector<int>>(targets_.servers.pick(fault.part));
   const auto take = [this, chosen](double share) {
     targets_.servers.for_each(
@@ -175,7 +175,7 @@
   at_end(fault, [take] { take(0); });
 }
 
-void FaultInjector::slow_links(const Trouble& fault) {
+void FaultInjector::slow_links(const Fault& fault) {
   LinkFaults& links = simulation_.link_faults;
   links.slow_zone = fault.zone;
   links.delay = from_seconds(fault.size);
@@ -183,7 +183,7 @@
   at_end(fault, [&links] { links.slow_zone.clear(); });
 }
 
-void FaultInjector::disturb_controller(const Trouble& fault) {
+void FaultInjector::disturb_controller(const Fault& fault) {
   SimulatedController& controller = targets_.controller;
   if (fault.how == "stale")
     controller.set_publish_delay(simulation_.day.news_most + from_seconds(fault.size));
@@ -198,7 +198,7 @@
 }
 
 // A few proxies get a share of all traffic.
-void FaultInjector::concentrate_load(const Trouble& fault) {
+void FaultInjector::concentrate_load(const Fault& fault) {
   const int proxies = simulation_.day.deployment.proxies;
   const int count = std::max(1, rounded(fault.part * proxies));
   std::vector<int> chosen;
@@ -210,14 +210,14 @@
   at_end(fault, [&load] { load.hot({}, 0); });
 }
 
-void FaultInjector::restart_proxies(const Trouble& fault) {
+void FaultInjector::restart_proxies(const Fault& fault) {
   const int proxies = static_cast<int>(simulation_.proxies.size());
   std::vector<int> chosen(simulation_.proxies.size());
   for (int proxy = 0; proxy < proxies; ++proxy)
     chosen[proxy] = proxy;
   std::shuffle(chosen.begin(), chosen.end(), simulation_.random);
   const int count = std::clamp(rounded(fault.part * proxies), 1, proxies);
-  const bool in_turn = fault.kind == Kind::proxy_roll;
+  const bool in_turn = fault.kind == FaultKind::proxy_roll;
   const int batch = in_turn ? std::max(1, static_cast<int>(fault.size * proxies)) : proxies;
   const int batches = (count + batch - 1) / batch;
   const Duration down = in_turn ? from_seconds(fault.extra) : fault.lasts;
--- a/src/emulator/fault_injector.h
+++ b/src/emulator/fault_injector.h
@@ -26,24 +26,24 @@
       : simulation_(simulation), targets_(targets) {}
 
   /// Begins a fault now, and plans its end. The fault outlives the run.
-  void begin(const day::Trouble& fault);
+  void begin(const day::Fault& fault);
   /// Draws how late the registry and the controller notify in a scenario without such faults.
   void draw_delays();
 
  private:
   using ServerAction = std::function<void(int server)>;
 
-  bool begin_server_fault(const day::Trouble& fault);
-  bool begin_client_fault(const day::Trouble& fault);
-  void begin_other_fault(const day::Trouble& fault);
-  void at_end(const day::Trouble& fault, std::function<void()> undo);
-  void on_servers(const day::Trouble& fault, const ServerAction& begin, const ServerAction& end);
-  void crash_servers(const day::Trouble& fault);
-  void take_cores(const day::Trouble& fault);
-  void slow_links(const day::Trouble& fault);
-  void disturb_controller(const day::Trouble& fault);
-  void concentrate_load(const day::Trouble& fault);
-  void restart_proxies(const day::Trouble& fault);
+  bool begin_server_fault(const day::Fault& fault);
+  bool begin_client_fault(const day::Fault& fault);
+  void begin_other_fault(const day::Fault& fault);
+  void at_end(const day::Fault& fault, std::function<void()> undo);
+  void on_servers(const day::Fault& fault, const ServerAction& begin, const ServerAction& end);
+  void crash_servers(const day::Fault& fault);
+  void take_cores(const day::Fault& fault);
+  void slow_links(const day::Fault& fault);
+  void disturb_controller(const day::Fault& fault);
+  void concentrate_load(const day::Fault& fault);
+  void restart_proxies(const day::Fault& fault);
   void draw_registry_delay();
   void draw_publish_delay();
 
--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -143,7 +143,7 @@
   // What falls due in the scenario itself.
   void plan_scenario() {
     faults_.draw_delays();
-    for (const day::Trouble& fault : simulation_.day.troubles)
+    for (const day::Fault& fault : simulation_.day.faults)
       simulation_.engine.at(simulation_.start + fault.at, [this, &fault] { faults_.begin(fault); });
     for (const day::ScheduledRelease& offer : simulation_.day.releases)
       simulation_.engine.at(simulation_.start + offer.at,
--- a/src/lab/hunt.cpp
+++ b/src/lab/hunt.cpp
@@ -17,39 +17,39 @@
 namespace {
 
 using namespace std::chrono_literals;
-using day::Kind;
-using day::Trouble;
+using day::Fault;
+using day::FaultKind;
 namespace fs = std::filesystem;
 
 // What may be drawn of each kind: the ranges of its part, size and extra, and the words that its
 // notation has for them.
 struct Range {
-  Kind kind;
+  FaultKind kind;
   const char *size_word, *extra_word;
   double size_least, size_most, extra_least, extra_most;
   bool part, spans;  // durations: size is in seconds
 };
 constexpr Range ranges[] = {
-    {Kind::crash, nullptr, nullptr, 0, 0, 0, 0, true, false},
-    {Kind::vanish, nullptr, nullptr, 0, 0, 0, 0, true, false},
-    {Kind::slow, "times", nullptr, 1.5, 10, 0, 0, true, false},
-    {Kind::fast_errors, "share", nullptr, 0.1, 0.95, 0, 0, true, false},
-    {Kind::neighbour, "share", "every", 0.2, 0.9, 0.2, 3, true, false},
-    {Kind::connection_squeeze, "connections-an-umpire", nullptr, 2, 40, 0, 0, true, false},
-    {Kind::slow_handshakes, "by", nullptr, 0.02, 0.4, 0, 0, true, true},
-    {Kind::burst, "times", nullptr, 1.2, 4, 0, 0, false, false},
-    {Kind::hot_caller, "share", nullptr, 0.2, 0.9, 0, 0, true, false},
-    {Kind::stale_list, "by", nullptr, 0.5, 10, 0, 0, false, true},
-    {Kind::proxy_crash, nullptr, nullptr, 0, 0, 0, 0, true, false},
-    {Kind::proxy_roll, "batch", "down", 0.2, 1, 0.2, 1.5, true, false},
-    {Kind::controller_crash, nullptr, nullptr, 0, 0, 0, 0, false, false},
+    {FaultKind::crash, nullptr, nullptr, 0, 0, 0, 0, true, false},
+    {FaultKind::vanish, nullptr, nullptr, 0, 0, 0, 0, true, false},
+    {FaultKind::slow, "times", nullptr, 1.5, 10, 0, 0, true, false},
+    {FaultKind::fast_errors, "share", nullptr, 0.1, 0.95, 0, 0, true, false},
+    {FaultKind::neighbour, "share", "every", 0.2, 0.9, 0.2, 3, true, false},
+    {FaultKind::connection_squeeze, "connections-an-umpire", nullptr, 2, 40, 0, 0, true, false},
+    {FaultKind::slow_handshakes, "by", nullptr, 0.02, 0.4, 0, 0, true, true},
+    {FaultKind::burst, "times", nullptr, 1.2, 4, 0, 0, false, false},
+    {FaultKind::hot_caller, "share", nullptr, 0.2, 0.9, 0, 0, true, false},
+    {FaultKind::stale_list, "by", nullptr, 0.5, 10, 0, 0, false, true},
+    {FaultKind::proxy_crash, nullptr, nullptr, 0, 0, 0, 0, true, false},
+    {FaultKind::proxy_roll, "batch", "down", 0.2, 1, 0.2, 1.5, true, false},
+    {FaultKind::controller_crash, nullptr, nullptr, 0, 0, 0, 0, false, false},
 };
 
 // A day on which everything is gone tells nothing: troubles of endpoints and proxies hit half of
 // them at most.
 constexpr double part_least = 0.05, part_most = 0.5;
 
-const Range& range_of(Kind kind) {
+const Range& range_of(FaultKind kind) {
   return *std::find_if(std::begin(ranges), std::end(ranges),
                        [&](auto& r) { return r.kind == kind; });
 }
@@ -64,9 +64,9 @@
     return std::chrono::milliseconds(static_cast<long>(
         between(static_cast<double>(least / 1ms), static_cast<double>(most / 1ms))));
   }
-  Trouble trouble() {
+  Fault trouble() {
     const Range& range = ranges[below(std::size(ranges))];
-    Trouble one{.kind = range.kind};
+    Fault one{.kind = range.kind};
     one.at = within(0ms, base_.length * 8 / 10);
     one.lasts = within(200ms, base_.length / 2);
     if (range.part)
@@ -78,14 +78,14 @@
     return one;
   }
   // One trouble moved, made anew, added or taken away.
-  std::vector<Trouble> changed(std::vector<Trouble> all, int most) {
+  std::vector<Fault> changed(std::vector<Fault> all, int most) {
     const double how = part();
     if (all.empty() || (how < 0.2 && static_cast<int>(all.size()) < most)) {
       all.push_back(trouble());
     } else if (how < 0.3 && all.size() > 1) {
       all.erase(all.begin() + below(all.size()));
     } else {
-      Trouble& one = all[static_cast<std::size_t>(below(all.size()))];
+      Fault& one = all[static_cast<std::size_t>(below(all.size()))];
       if (how < 0.5)
         one = trouble();
       else if (how < 0.7)
@@ -104,12 +104,12 @@
   std::minstd_rand chance_;
 };
 
-Found judged(const day::Scenario& base, std::vector<Trouble> troubles, long seed,
+Found judged(const day::Scenario& base, std::vector<Fault> faults, long seed,
              const std::string& folder) {
   day::Scenario day = base;
-  day.troubles = troubles;
+  day.faults = faults;
   Found found;
-  found.troubles = std::move(troubles);
+  found.faults = std::move(faults);
   const emulator::Summary summary = emulator::run(day, seed, folder);
   found.priority_weight =
       summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 100;
@@ -125,7 +125,7 @@
 
 // Each of some candidates on a thread of its own, in the order given.
 std::vector<Found> all_judged(const day::Scenario& base,
-                              const std::vector<std::vector<Trouble>>& candidates,
+                              const std::vector<std::vector<Fault>>& candidates,
                               const HuntSettings& settings, const std::string& folder) {
   std::vector<Found> found(candidates.size());
   std::atomic<std::size_t> next{0};
@@ -159,7 +159,7 @@
   Draw draw(base, settings.seed);
   Found worst = judged(base, {}, settings.seed, folder + "/0");
   int runs = 1;
-  const auto look = [&](const std::vector<std::vector<Trouble>>& candidates) {
+  const auto look = [&](const std::vector<std::vector<Fault>>& candidates) {
     runs += static_cast<int>(candidates.size());
     bool better = false;
     for (Found& one : all_judged(base, candidates, settings, folder)) {
@@ -178,19 +178,19 @@
   // A third at random, then uphill from the worst, the last quarter for shrinking.
   const int batch = std::max(4, 2 * settings.jobs);
   while (runs + batch <= settings.runs / 3) {
-    std::vector<std::vector<Trouble>> some;
+    std::vector<std::vector<Fault>> some;
     for (int i = 0; i < batch; ++i) {
-      std::vector<Trouble> troubles;
+      std::vector<Fault> faults;
       for (int n = 1 + draw.below(static_cast<std::size_t>(settings.troubles_most)); n > 0; --n)
-        troubles.push_back(draw.trouble());
-      some.push_back(std::move(troubles));
+        faults.push_back(draw.trouble());
+      some.push_back(std::move(faults));
     }
     look(some);
   }
   while (runs + batch <= settings.runs * 3 / 4) {
-    std::vector<std::vector<Trouble>> some;
+    std::vector<std::vector<Fault>> some;
     for (int i = 0; i < batch; ++i)
-      some.push_back(draw.changed(worst.troubles, settings.troubles_most));
+      some.push_back(draw.changed(worst.faults, settings.troubles_most));
     look(some);
   }
   // Shrinking: whatever can be left out or made smaller while the day stays as bad, give or take a
@@ -202,19 +202,19 @@
   };
   for (bool smaller = true; smaller && runs < settings.runs;) {
     smaller = false;
-    std::vector<std::vector<Trouble>> some;
-    for (std::size_t i = 0; i < worst.troubles.size(); ++i) {
-      std::vector<Trouble> fewer = worst.troubles;
+    std::vector<std::vector<Fault>> some;
+    for (std::size_t i = 0; i < worst.faults.size(); ++i) {
+      std::vector<Fault> fewer = worst.faults;
       fewer.erase(fewer.begin() + static_cast<long>(i));
       some.push_back(fewer);
     }
-    for (std::size_t i = 0; i < worst.troubles.size(); ++i) {
-      std::vector<Trouble> less = worst.troubles;
+    for (std::size_t i = 0; i < worst.faults.size(); ++i) {
+      std::vector<Fault> less = worst.faults;
       if (less[i].lasts > 400ms) {
         less[i].lasts = less[i].lasts * 7 / 10;
         some.push_back(less);
       }
-      less = worst.troubles;
+      less = worst.faults;
       if (range_of(less[i].kind).part && less[i].part > 0.15) {
         less[i].part = std::round(less[i].part * 70) / 100;
         some.push_back(less);
@@ -234,14 +234,14 @@
   return worst;
 }
 
-std::string day_text(const std::string& base, const std::vector<Trouble>& troubles,
+std::string day_text(const std::string& base, const std::vector<Fault>& faults,
                      const std::string& comment) {
   settings::SexpReader form = settings::SexpReader::from_text(base, "base");
   std::string text = "; " + comment + "\n" + form.to_text_without("day", "trouble");
   // The (day ...) form is the last that is written: its end is the text's last parenthesis.
   const std::size_t end = text.rfind(')');
   std::string added;
-  for (const Trouble& one : troubles) {
+  for (const Fault& one : faults) {
     const Range& range = range_of(one.kind);
     added += "\n  (trouble " + std::string(day::to_string(one.kind)) + " (at " + spoken(one.at) +
              ") (for " + spoken(one.lasts) + ")";
--- a/src/lab/hunt.h
+++ b/src/lab/hunt.h
@@ -17,7 +17,7 @@
 };
 
 struct Found {
-  std::vector<day::Trouble> troubles{};
+  std::vector<day::Fault> faults{};
   double priority_weight = 100;  // % in time
   std::string broken{};          // the rules, if any, with the first case
   int runs = 0;
@@ -34,7 +34,7 @@
 
 // The base day's text with these troubles in place of its own, as a file that `day` and `emulate`
 // play.
-std::string day_text(const std::string& base, const std::vector<day::Trouble>& troubles,
+std::string day_text(const std::string& base, const std::vector<day::Fault>& faults,
                      const std::string& comment);
 
 }  // namespace robinhoist::lab
