--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -69,7 +69,7 @@
   if (no_record)
     folder.clear();
   std::cout << file << ", seed " << seed << ", emulated: " << day.deployment.proxies << " umpires, "
-            << day.places << " nodes, " << day.load.rate << " txns a second for "
+            << day.server_slots << " nodes, " << day.load.rate << " txns a second for "
             << std::chrono::duration<double>(day.length).count() << " s"
             << (folder.empty() ? "" : ", record in " + folder) << std::endl;
   const auto from = std::chrono::steady_clock::now();
@@ -105,7 +105,7 @@
   if (folder.empty())
     folder = "found/day-" + std::to_string(seed);
   std::cout << file << ", seed " << seed << ": " << day.deployment.proxies << " umpires, "
-            << day.places << " stand-in nodes, " << day.load.rate << " txns a second for "
+            << day.server_slots << " stand-in nodes, " << day.load.rate << " txns a second for "
             << std::chrono::duration<double>(day.length).count() << " s, record in " << folder
             << std::endl;
   const rh::day::Played played = rh::day::play(day, seed, folder, "/proc/self/exe");
--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -215,9 +215,9 @@
   day.length = form.duration("length", 1s, 1h);
   day.answer_slack = form.duration("answer-slack", 0ms, 1s, 20ms);
   SexpReader fleet = form.child("fleet");
-  day.places = fleet.integer("places", 1, 10000);
+  day.server_slots = fleet.integer("places", 1, 10000);
   day.cell_size = fleet.integer("cell-size", 1, 10000, 4);
-  day.first.number = fleet.integer("build", 1, 65000, 1);
+  day.initial_build.number = fleet.integer("build", 1, 65000, 1);
   day.speed_spread = fleet.number("speed-spread", 0, 0.9, 0.0);
   std::tie(day.boot_least, day.boot_most) = range(fleet, "boot", 1s);
   day.capacity = machine::read_capacity(fleet.child("capacity"), day.deployment);
@@ -272,7 +272,7 @@
     }
     offer.build = machine::read_build(release, day.deployment);
     if (offer.build.number <=
-        (day.releases.empty() ? day.first.number : day.releases.back().build.number))
+        (day.releases.empty() ? day.initial_build.number : day.releases.back().build.number))
       release.add_problem("its build is not newer than the one before");
     if (!day.releases.empty() && offer.at < day.releases.back().at)
       release.add_problem("at", "is before the release given before it");
--- a/src/day/notation.h
+++ b/src/day/notation.h
@@ -53,8 +53,8 @@
   deployment::Deployment deployment{};
   std::string deployment_text{};  // where it came from, for the proxies' own files
   Duration length{};
-  int places = 1, cell_size = 4;
-  machine::Build first{};
+  int server_slots = 1, cell_size = 4;
+  machine::Build initial_build{};
   machine::Capacity capacity{};
   double speed_spread = 0;
   Duration boot_least{}, boot_most{};
--- a/src/day/record_meta.cpp
+++ b/src/day/record_meta.cpp
@@ -26,7 +26,7 @@
   meta.by_request_class = d.by_request_class;
   meta.safe_only_stages = d.safe_only_stages;
   meta.proxies = d.proxies;
-  meta.endpoints = day.places;
+  meta.endpoints = day.server_slots;
   meta.seed = seed;
   for (const ScheduledRelease& offer : day.releases)
     for (const std::string& step : offer.steps)
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -51,7 +51,7 @@
       loop, server, "list-1",
       [this](const std::string& proxy, const registry::Update& news) { told_list(proxy, news); });
   list_->set_delay(0ms);
-  for (int place = 0; place < day.places; ++place)
+  for (int place = 0; place < day.server_slots; ++place)
     speeds_[place] = 1 + day.speed_spread * (2 * uniform_sample() - 1);
   if (day.database) {
     const std::string file = folder + "/database.sqlite";
@@ -73,8 +73,8 @@
   controller::Settings settings;
   settings.server.listen = "127.0.0.1:" + std::to_string(controller_port_);
   settings.rollout = day_.deployment.rollout;
-  settings.slots = day_.places;
-  settings.initial_build = day_.first.number;
+  settings.slots = day_.server_slots;
+  settings.initial_build = day_.initial_build.number;
   settings.proxies = day_.deployment.proxies;
   settings.journal = folder_ + "/journal";
   settings.steps_lease = 2s;
@@ -107,7 +107,7 @@
 }
 
 bool World::all_up() const {
-  return static_cast<int>(places_.size()) >= day_.places &&
+  return static_cast<int>(places_.size()) >= day_.server_slots &&
          std::all_of(places_.begin(), places_.end(), [](auto& p) { return p.second.listed; });
 }
 
@@ -115,14 +115,15 @@
   for (const ScheduledRelease& offer : day_.releases)
     if (offer.build.number == number)
       return offer.build;
-  return day_.first;
+  return day_.initial_build;
 }
 
 void World::execute(const rollout::Command& command) {
   if (command.kind == rollout::CommandKind::start) {
     Place place{"node-" + std::to_string(command.machine), command.slot, command.build};
     places_[command.machine] = place;
-    const bool first = command.build == day_.first.number && command.machine < day_.places;
+    const bool first =
+        command.build == day_.initial_build.number && command.machine < day_.server_slots;
     if (first)
       return boot(command.machine, false);
     loop_.in(drawn(day_.boot_least, day_.boot_most),
@@ -269,7 +270,8 @@
                [this](const std::string& n) { nodes_->fail_probes(n, 0); });
       break;
     case FaultKind::connection_squeeze: {
-      const auto most = static_cast<std::size_t>(size * day_.deployment.proxies / day_.places) + 1;
+      const auto most =
+          static_cast<std::size_t>(size * day_.deployment.proxies / day_.server_slots) + 1;
       on_nodes([this, most](const std::string& n) { nodes_->squeeze(n, most); },
                [this](const std::string& n) { nodes_->squeeze(n, 0); });
       break;
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -71,7 +71,8 @@
       return true;
     case FaultKind::connection_squeeze: {
       const day::Scenario& day = simulation_.day;
-      const int max_connections = static_cast<int>(size * day.deployment.proxies / day.places) + 1;
+      const int max_connections =
+          static_cast<int>(size * day.deployment.proxies / day.server_slots) + 1;
       on_servers(
           fault, [&fleet, max_connections](int server) { fleet.squeeze(server, max_connections); },
           [&fleet](int server) { fleet.squeeze(server, 0); });
--- a/src/emulator/simulated_controller.cpp
+++ b/src/emulator/simulated_controller.cpp
@@ -26,11 +26,11 @@
   const day::Scenario& day = simulation_.day;
   const auto& deployment = day.deployment;
   if (saved_.machines.empty())
-    rollout_ = std::make_unique<rollout::Rollout>(deployment.rollout, day.places, day.first.number,
-                                                  deployment.proxies);
+    rollout_ = std::make_unique<rollout::Rollout>(deployment.rollout, day.server_slots,
+                                                  day.initial_build.number, deployment.proxies);
   else
     rollout_ = std::make_unique<rollout::Rollout>(
-        deployment.rollout, day.places, deployment.proxies, saved_, simulation_.engine.now());
+        deployment.rollout, day.server_slots, deployment.proxies, saved_, simulation_.engine.now());
   published_version_ = 0;
   logged_changes_ = 0;
   for (const int machine : servers_.listed())
--- a/src/emulator/simulated_servers.cpp
+++ b/src/emulator/simulated_servers.cpp
@@ -15,7 +15,7 @@
 SimulatedServers::SimulatedServers(Simulation& simulation, Fleet& fleet,
                                    SimulatedRegistry& registry)
     : simulation_(simulation), fleet_(fleet), registry_(registry) {
-  for (int slot = 0; slot < simulation.day.places; ++slot)
+  for (int slot = 0; slot < simulation.day.server_slots; ++slot)
     speeds_.push_back(1 + simulation.day.speed_spread * (2 * simulation.uniform_sample() - 1));
 }
 
@@ -23,7 +23,7 @@
   for (const day::ScheduledRelease& offer : simulation_.day.releases)
     if (offer.build.number == number)
       return offer.build;
-  return simulation_.day.first;
+  return simulation_.day.initial_build;
 }
 
 bool SimulatedServers::runs(const Machine& machine) const {
@@ -54,7 +54,8 @@
   machines_[command.machine] = {.name = "node-" + std::to_string(command.machine),
                                 .slot = command.slot,
                                 .build = command.build};
-  const bool from_the_beginning = command.build == day.first.number && command.machine < day.places;
+  const bool from_the_beginning =
+      command.build == day.initial_build.number && command.machine < day.server_slots;
   if (from_the_beginning) {
     boot(command.machine, false);
     return;
