--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -164,11 +164,11 @@
        .right = right});
   if (end == load::End::succeeded) {
     const double random = std::uniform_real_distribution<double>(0, 1)(random_);
-    if (random < (right ? day_.false_reports : day_.deployment.wrong_answer_report_share))
-      loop_.in(
-          day_.reports_least + from_seconds(std::uniform_real_distribution<double>(0, 1)(random_) *
-                                            (day_.reports_most - day_.reports_least).count() / 1e6),
-          [this, proxy = one.proxy, node] { report(proxy, node); });
+    if (random < (right ? day_.false_report_share : day_.deployment.wrong_answer_report_share))
+      loop_.in(day_.min_report_delay +
+                   from_seconds(std::uniform_real_distribution<double>(0, 1)(random_) *
+                                (day_.max_report_delay - day_.min_report_delay).count() / 1e6),
+               [this, proxy = one.proxy, node] { report(proxy, node); });
   }
   load_.ended(one.id, end, pause ? from_seconds(*pause / 1e3) : Duration{}, now());
   pull();
--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -219,7 +219,7 @@
   day.cell_size = fleet.integer("cell-size", 1, 10000, 4);
   day.initial_build.number = fleet.integer("build", 1, 65000, 1);
   day.speed_spread = fleet.number("speed-spread", 0, 0.9, 0.0);
-  std::tie(day.boot_least, day.boot_most) = range(fleet, "boot", 1s);
+  std::tie(day.min_boot_time, day.max_boot_time) = range(fleet, "boot", 1s);
   day.capacity = machine::read_capacity(fleet.child("capacity"), day.deployment);
   day.cancelled = fleet.enumerator<machine::Cancelled>("cancelled",
                                                        {{"nothing", machine::Cancelled::nothing},
@@ -228,17 +228,17 @@
                                                        machine::Cancelled::nothing);
   fleet.finish();
   if (auto list = form.optional_child("list")) {
-    std::tie(day.list_least, day.list_most) = range(*list, "told-after", 0ms);
-    day.silent_after = list->duration("silent-after", 0ms, 1h, 5s);
+    std::tie(day.min_registry_delay, day.max_registry_delay) = range(*list, "told-after", 0ms);
+    day.silent_removal_delay = list->duration("silent-after", 0ms, 1h, 5s);
     list->finish();
   }
   if (auto controller = form.optional_child("controller")) {
-    std::tie(day.news_least, day.news_most) = range(*controller, "told-after", 0ms);
+    std::tie(day.min_publish_delay, day.max_publish_delay) = range(*controller, "told-after", 0ms);
     controller->finish();
   }
   if (auto reports = form.optional_child("reports")) {
-    std::tie(day.reports_least, day.reports_most) = range(*reports, "after", 1s);
-    day.false_reports = reports->number("false", 0, 1, 0.0);
+    std::tie(day.min_report_delay, day.max_report_delay) = range(*reports, "after", 1s);
+    day.false_report_share = reports->number("false", 0, 1, 0.0);
     reports->finish();
   }
   day.load.proxies = day.deployment.proxies;
--- a/src/day/notation.h
+++ b/src/day/notation.h
@@ -57,13 +57,13 @@
   machine::Build initial_build{};
   machine::Capacity capacity{};
   double speed_spread = 0;
-  Duration boot_least{}, boot_most{};
+  Duration min_boot_time{}, max_boot_time{};
   machine::Cancelled cancelled = machine::Cancelled::nothing;
-  Duration list_least{}, list_most{},
-      silent_after{};  // how late the list is told, and of a silent endpoint
-  Duration news_least{}, news_most{};
-  Duration reports_least{}, reports_most{};
-  double false_reports = 0;
+  Duration min_registry_delay{}, max_registry_delay{},
+      silent_removal_delay{};  // how late the list is told, and of a silent endpoint
+  Duration min_publish_delay{}, max_publish_delay{};
+  Duration min_report_delay{}, max_report_delay{};
+  double false_report_share = 0;
   Duration answer_slack{};
   bool database = false;
   std::string database_setup{};
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -126,7 +126,7 @@
         command.build == day_.initial_build.number && command.machine < day_.server_slots;
     if (first)
       return boot(command.machine, false);
-    loop_.in(drawn(day_.boot_least, day_.boot_most),
+    loop_.in(drawn(day_.min_boot_time, day_.max_boot_time),
              [this, id = command.machine] { boot(id, true); });
     return;
   }
@@ -186,7 +186,7 @@
   place.listed = false;
   if (silently) {
     nodes_->silence(place.name);
-    loop_.in(day_.silent_after, [this, machine, name = place.name] {
+    loop_.in(day_.silent_removal_delay, [this, machine, name = place.name] {
       auto at = places_.find(machine);
       if (at == places_.end() || !at->second.listed)
         list_->remove(name);
@@ -292,8 +292,10 @@
       loop_.at(end, [this] { cut_zone_.clear(); });
       break;
     case FaultKind::stale_list:
-      list_->set_delay(day_.list_most + from_seconds(size));
-      loop_.at(end, [this] { list_->set_delay(drawn(day_.list_least, day_.list_most)); });
+      list_->set_delay(day_.max_registry_delay + from_seconds(size));
+      loop_.at(end, [this] {
+        list_->set_delay(drawn(day_.min_registry_delay, day_.max_registry_delay));
+      });
       break;
     case FaultKind::controller_crash:
       controller_.reset();
@@ -311,7 +313,7 @@
       if (!controller_)
         return;
       if (trouble.how == "stale")
-        controller_->set_publish_delay(day_.news_most + from_seconds(size));
+        controller_->set_publish_delay(day_.max_publish_delay + from_seconds(size));
       else
         controller_->inject_fault(
             trouble.how == "silence" ? controller::Fault::unresponsive : controller::Fault::errors,
@@ -319,7 +321,7 @@
       loop_.at(end, [this] {
         if (!controller_)
           return;
-        controller_->set_publish_delay(drawn(day_.news_least, day_.news_most));
+        controller_->set_publish_delay(drawn(day_.min_publish_delay, day_.max_publish_delay));
         controller_->inject_fault(controller::Fault::none, 0);
       });
       break;
@@ -331,8 +333,8 @@
 
 void World::begin(TimePoint from) {
   from_ = from;
-  list_->set_delay(drawn(day_.list_least, day_.list_most));
-  controller_->set_publish_delay(drawn(day_.news_least, day_.news_most));
+  list_->set_delay(drawn(day_.min_registry_delay, day_.max_registry_delay));
+  controller_->set_publish_delay(drawn(day_.min_publish_delay, day_.max_publish_delay));
   for (const Fault& trouble : day_.faults)
     loop_.at(from + trouble.at, [this, &trouble] { begin_trouble(trouble); });
   for (const ScheduledRelease& offer : day_.releases)
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -39,12 +39,14 @@
 
 void FaultInjector::draw_registry_delay() {
   const day::Scenario& day = simulation_.day;
-  targets_.registry.set_delay(simulation_.sample_between(day.list_least, day.list_most));
+  targets_.registry.set_delay(
+      simulation_.sample_between(day.min_registry_delay, day.max_registry_delay));
 }
 
 void FaultInjector::draw_publish_delay() {
   const day::Scenario& day = simulation_.day;
-  targets_.controller.set_publish_delay(simulation_.sample_between(day.news_least, day.news_most));
+  targets_.controller.set_publish_delay(
+      simulation_.sample_between(day.min_publish_delay, day.max_publish_delay));
 }
 
 // False: it is no fault of servers.
@@ -124,7 +126,7 @@
       at_end(fault, [&links] { links.cut_zone.clear(); });
       break;
     case FaultKind::stale_list:
-      targets_.registry.set_delay(simulation_.day.list_most + from_seconds(fault.size));
+      targets_.registry.set_delay(simulation_.day.max_registry_delay + from_seconds(fault.size));
       at_end(fault, [this] { draw_registry_delay(); });
       break;
     case FaultKind::controller_crash:
@@ -187,7 +189,7 @@
 void FaultInjector::disturb_controller(const Fault& fault) {
   SimulatedController& controller = targets_.controller;
   if (fault.how == "stale")
-    controller.set_publish_delay(simulation_.day.news_most + from_seconds(fault.size));
+    controller.set_publish_delay(simulation_.day.max_publish_delay + from_seconds(fault.size));
   else if (fault.how == "silence")
     controller.fall_silent(fault.size);
   else
--- a/src/emulator/simulated_clients.cpp
+++ b/src/emulator/simulated_clients.cpp
@@ -187,11 +187,12 @@
 // Some clients report a wrong answer, and some a right one.
 void SimulatedClients::report_wrong_answer(const load::Try& request, const FinalAnswer& answer) {
   const day::Scenario& day = simulation_.day;
-  const double share = answer.right ? day.false_reports : day.deployment.wrong_answer_report_share;
+  const double share =
+      answer.right ? day.false_report_share : day.deployment.wrong_answer_report_share;
   if (simulation_.uniform_sample() >= share)
     return;
   SimulatedProxy& proxy = *simulation_.proxies[request.proxy];
-  simulation_.engine.in(simulation_.sample_between(day.reports_least, day.reports_most),
+  simulation_.engine.in(simulation_.sample_between(day.min_report_delay, day.max_report_delay),
                         [&proxy, server = answer.server] { proxy.answer_found_wrong(server); });
 }
 
--- a/src/emulator/simulated_servers.cpp
+++ b/src/emulator/simulated_servers.cpp
@@ -60,7 +60,7 @@
     boot(command.machine, false);
     return;
   }
-  simulation_.engine.in(simulation_.sample_between(day.boot_least, day.boot_most),
+  simulation_.engine.in(simulation_.sample_between(day.min_boot_time, day.max_boot_time),
                         [this, machine = command.machine] { boot(machine, true); });
 }
 
@@ -109,11 +109,12 @@
     return;
   }
   fleet_.silence(stopping.server);
-  simulation_.engine.in(simulation_.day.silent_after, [this, machine, name = stopping.name] {
-    const auto found = machines_.find(machine);
-    if (found == machines_.end() || !found->second.listed)
-      registry_.remove(name);
-  });
+  simulation_.engine.in(simulation_.day.silent_removal_delay,
+                        [this, machine, name = stopping.name] {
+                          const auto found = machines_.find(machine);
+                          if (found == machines_.end() || !found->second.listed)
+                            registry_.remove(name);
+                        });
 }
 
 void SimulatedServers::crash(int machine, bool silently) {
