--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -221,11 +221,11 @@
   day.speed_spread = fleet.number("speed-spread", 0, 0.9, 0.0);
   std::tie(day.min_boot_time, day.max_boot_time) = range(fleet, "boot", 1s);
   day.capacity = machine::read_capacity(fleet.child("capacity"), day.deployment);
-  day.cancelled = fleet.enumerator<machine::Cancelled>("cancelled",
-                                                       {{"nothing", machine::Cancelled::nothing},
-                                                        {"queued", machine::Cancelled::queued},
-                                                        {"all", machine::Cancelled::all}},
-                                                       machine::Cancelled::nothing);
+  day.cancellation = fleet.enumerator<machine::Cancelled>("cancelled",
+                                                          {{"nothing", machine::Cancelled::nothing},
+                                                           {"queued", machine::Cancelled::queued},
+                                                           {"all", machine::Cancelled::all}},
+                                                          machine::Cancelled::nothing);
   fleet.finish();
   if (auto list = form.optional_child("list")) {
     std::tie(day.min_registry_delay, day.max_registry_delay) = range(*list, "told-after", 0ms);
@@ -253,8 +253,8 @@
   if (auto database = form.optional_child("database")) {
     day.database = true;
     day.database_setup = database->text("setup");
-    day.batch_slows = database->number("batch-slows", 1, 1000, 1.0);
-    day.throttle = database->boolean("throttle", true);
+    day.batch_slowdown = database->number("batch-slows", 1, 1000, 1.0);
+    day.throttle_backfills = database->boolean("throttle", true);
     database->finish();
   }
   for (SexpReader& release : form.children("release")) {
--- a/src/day/notation.h
+++ b/src/day/notation.h
@@ -58,7 +58,7 @@
   machine::Capacity capacity{};
   double speed_spread = 0;
   Duration min_boot_time{}, max_boot_time{};
-  machine::Cancelled cancelled = machine::Cancelled::nothing;
+  machine::Cancelled cancellation = machine::Cancelled::nothing;
   Duration min_registry_delay{}, max_registry_delay{},
       silent_removal_delay{};  // how late the list is told, and of a silent endpoint
   Duration min_publish_delay{}, max_publish_delay{};
@@ -67,8 +67,8 @@
   Duration answer_slack{};
   bool database = false;
   std::string database_setup{};
-  double batch_slows = 1;  // all endpoints, by so many times while the database runs a batch
-  bool throttle = true;
+  double batch_slowdown = 1;  // all endpoints, by so many times while the database runs a batch
+  bool throttle_backfills = true;
   load::Settings load{};
   std::vector<ScheduledRelease> releases{};
   std::vector<Fault> faults{};
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -31,7 +31,7 @@
     shared.memory = std::max(shared.memory, request_class.request_class.dedup_window);
   for (auto& request_class : day.load.request_classes)
     shared.work.push_back(request_class.work);
-  shared.cancelled = day.cancelled;
+  shared.cancelled = day.cancellation;
   nodes_ = std::make_unique<standin::Nodes>(loop, day.deployment, shared, salt + 1, &nodes);
   nodes_->way = [this](const std::string& proxy, const std::string& zone) {
     standin::Nodes::Way way;
@@ -78,7 +78,7 @@
   settings.proxies = day_.deployment.proxies;
   settings.journal = folder_ + "/journal";
   settings.steps_lease = 2s;
-  settings.throttle_backfills = day_.throttle;
+  settings.throttle_backfills = day_.throttle_backfills;
   if (database_)
     settings.steps_target = "127.0.0.1:" + std::to_string(database_->port());
   controller_ = std::make_unique<controller::Controller>(
@@ -369,7 +369,7 @@
     const double part = std::min(
         1.0, static_cast<double>((busy_.back() - busy_.front()).count()) /
                  (10000.0 * static_cast<double>(std::max<std::size_t>(1, busy_.size() - 1))));
-    factor *= 1 + (day_.batch_slows - 1) * part;
+    factor *= 1 + (day_.batch_slowdown - 1) * part;
   }
   nodes_->harm_all(factor);
   loop_.in(10ms, [this] { share_harm(); });
--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -49,7 +49,7 @@
   Run(const day::Scenario& day, long seed, const std::string& folder,
       const NetworkSettings& network, const PolicySpec& policy)
       : simulation_(day, seed, folder, network),
-        fleet_(simulation_.engine, day.deployment, longest_dedup_window(day), day.cancelled,
+        fleet_(simulation_.engine, day.deployment, longest_dedup_window(day), day.cancellation,
                static_cast<unsigned>(seed * 2 + 2), simulation_.log.servers.get()),
         registry_(simulation_),
         servers_(simulation_, fleet_, registry_),
