--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -43,28 +43,30 @@
 }
 
 void Clients::begin_trouble(const Fault& trouble) {
-  const auto at_end = [&](std::function<void()> undo) { loop_.in(trouble.lasts, std::move(undo)); };
+  const auto at_end = [&](std::function<void()> undo) {
+    loop_.in(trouble.duration, std::move(undo));
+  };
   const auto& d = day_.deployment;
   switch (trouble.kind) {
     case FaultKind::burst:
-      load_.burst(trouble.size);
+      load_.burst(trouble.magnitude);
       at_end([this] { load_.burst(1); });
       break;
     case FaultKind::hot_caller: {
       std::vector<int> some;
-      const int many = std::max(1, static_cast<int>(trouble.part * d.proxies + 0.5));
+      const int many = std::max(1, static_cast<int>(trouble.target_share * d.proxies + 0.5));
       for (int u = 0; u < many; ++u)
         some.push_back((u * 7 + 1) % d.proxies);
-      load_.hot(some, trouble.size);
+      load_.hot(some, trouble.magnitude);
       at_end([this] { load_.hot({}, 0); });
       break;
     }
     case FaultKind::bad_requests:
-      load_.poison(trouble.tenant.empty() ? -1 : d.tenant(trouble.tenant), trouble.size);
+      load_.poison(trouble.tenant.empty() ? -1 : d.tenant(trouble.tenant), trouble.magnitude);
       at_end([this] { load_.poison(-1, 0); });
       break;
     case FaultKind::retry_abuse:
-      load_.abuse(d.tenant(trouble.tenant), static_cast<int>(trouble.size), trouble.extra);
+      load_.abuse(d.tenant(trouble.tenant), static_cast<int>(trouble.magnitude), trouble.extra);
       at_end([this] { load_.abuse(-1, 0, 1); });
       break;
     default:
--- a/src/day/notation.cpp
+++ b/src/day/notation.cpp
@@ -69,7 +69,7 @@
     form.add_problem(name + " is none of " + all);
   }
   trouble.at = form.duration("at", 0ms, day.length);
-  trouble.lasts = form.duration("for", 1ms, 1h);
+  trouble.duration = form.duration("for", 1ms, 1h);
   const auto is = [&](std::initializer_list<FaultKind> of) {
     return std::find(of.begin(), of.end(), trouble.kind) != of.end();
   };
@@ -77,20 +77,20 @@
           FaultKind::neighbour, FaultKind::probe_fail, FaultKind::connection_squeeze,
           FaultKind::slow_handshakes, FaultKind::hot_caller, FaultKind::proxy_crash,
           FaultKind::proxy_roll}))
-    trouble.part = form.number("part", 0, 1);
+    trouble.target_share = form.number("part", 0, 1);
   if (is({FaultKind::slow, FaultKind::burst}))
-    trouble.size = form.number("times", 0.01, 1000);
+    trouble.magnitude = form.number("times", 0.01, 1000);
   if (is({FaultKind::fast_errors, FaultKind::neighbour, FaultKind::probe_fail,
           FaultKind::hot_caller, FaultKind::bad_requests}))
-    trouble.size = form.number("share", 0, 0.99);
+    trouble.magnitude = form.number("share", 0, 0.99);
   if (is({FaultKind::neighbour}))
     trouble.extra = form.duration("every", 10ms, 1h, 2s).count() / 1e6;
   if (is({FaultKind::connection_squeeze}))
-    trouble.size = form.number("connections-an-umpire", 0.01, 1e6);
+    trouble.magnitude = form.number("connections-an-umpire", 0.01, 1e6);
   if (is({FaultKind::slow_handshakes}))
-    trouble.size = form.duration("by", 0ms, 1min).count() / 1e6;
+    trouble.magnitude = form.duration("by", 0ms, 1min).count() / 1e6;
   if (is({FaultKind::slow_link})) {
-    trouble.size = form.duration("by", 0ms, 1min).count() / 1e6;
+    trouble.magnitude = form.duration("by", 0ms, 1min).count() / 1e6;
     trouble.extra = form.number("lost", 0, 1, 0.0);
   }
   if (is({FaultKind::slow_link, FaultKind::zone_cut})) {
@@ -102,26 +102,26 @@
     trouble.tenant = form.text("tenant", "");
   if (is({FaultKind::retry_abuse})) {
     trouble.tenant = form.text("tenant");
-    trouble.size = form.integer("tries", 1, 100);
+    trouble.magnitude = form.integer("tries", 1, 100);
     trouble.extra = form.number("patience", 0.01, 1);
   }
   if (!trouble.tenant.empty() && day.deployment.tenant(trouble.tenant) < 0)
     form.add_problem("tenant", "is none of the deployment's");
   if (is({FaultKind::watch_breaks}))
-    trouble.size = form.duration("every", 20ms, 1h).count() / 1e6;
+    trouble.magnitude = form.duration("every", 20ms, 1h).count() / 1e6;
   if (is({FaultKind::stale_list}))
-    trouble.size = form.duration("by", 0ms, 1h).count() / 1e6;
+    trouble.magnitude = form.duration("by", 0ms, 1h).count() / 1e6;
   if (is({FaultKind::proxy_roll})) {
-    trouble.size = form.number("batch", 0.001, 1);
+    trouble.magnitude = form.number("batch", 0.001, 1);
     trouble.extra = form.duration("down", 0ms, 1min, 500ms).count() / 1e6;
   }
   if (is({FaultKind::controller_down})) {
-    trouble.how = form.enumerator<std::string>(
+    trouble.mode = form.enumerator<std::string>(
         "how", {{"silence", "silence"}, {"errors", "errors"}, {"stale", "stale"}});
-    if (trouble.how == "stale")
-      trouble.size = form.duration("by", 0ms, 1h).count() / 1e6;
-    if (trouble.how == "silence")
-      trouble.size = form.number("counted", 0, 1, 0.5);
+    if (trouble.mode == "stale")
+      trouble.magnitude = form.duration("by", 0ms, 1h).count() / 1e6;
+    if (trouble.mode == "silence")
+      trouble.magnitude = form.number("counted", 0, 1, 0.5);
   }
   form.finish();
   return trouble;
--- a/src/day/notation.h
+++ b/src/day/notation.h
@@ -36,9 +36,9 @@
 
 struct Fault {
   FaultKind kind;
-  Duration at{}, lasts{};
-  double part = 0, size = 0, extra = 0;  // what they mean follows from the kind
-  std::string how{}, zone{}, tenant{};
+  Duration at{}, duration{};
+  double target_share = 0, magnitude = 0, extra = 0;  // what they mean follows from the kind
+  std::string mode{}, zone{}, tenant{};
 };
 
 struct ScheduledRelease {
--- a/src/day/play.cpp
+++ b/src/day/play.cpp
@@ -224,15 +224,16 @@
     for (int u = 0; u < proxies; ++u)
       order[u] = u;
     std::shuffle(order.begin(), order.end(), random);
-    order.resize(std::clamp(static_cast<int>(trouble.part * proxies + 0.5), 1, proxies));
+    order.resize(std::clamp(static_cast<int>(trouble.target_share * proxies + 0.5), 1, proxies));
     const bool roll = trouble.kind == FaultKind::proxy_roll;
-    const int batch = roll ? std::max(1, static_cast<int>(trouble.size * proxies)) : proxies;
+    const int batch = roll ? std::max(1, static_cast<int>(trouble.magnitude * proxies)) : proxies;
     const int batches = (static_cast<int>(order.size()) + batch - 1) / batch;
     for (std::size_t i = 0; i < order.size(); ++i) {
       const TimePoint begins =
           from + trouble.at +
-          (roll ? trouble.lasts * (static_cast<int>(i) / batch) / batches : Duration{});
-      const Duration down = roll ? Duration(static_cast<long>(trouble.extra * 1e6)) : trouble.lasts;
+          (roll ? trouble.duration * (static_cast<int>(i) / batch) / batches : Duration{});
+      const Duration down =
+          roll ? Duration(static_cast<long>(trouble.extra * 1e6)) : trouble.duration;
       events.push_back({begins, order[i], false});
       events.push_back({begins + down, order[i], true});
     }
--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -221,18 +221,18 @@
 }
 
 void World::begin_trouble(const Fault& trouble) {
-  const TimePoint end = loop_.now() + trouble.lasts;
+  const TimePoint end = loop_.now() + trouble.duration;
   // Acts on some endpoints now, and undoes it at the end.
   auto on_nodes = [&](auto act, auto undo) {
-    auto chosen = pick(trouble.part);
+    auto chosen = pick(trouble.target_share);
     each(chosen, act);
     loop_.at(end, [this, chosen, undo] { each(chosen, undo); });
   };
-  const double size = trouble.size;
+  const double size = trouble.magnitude;
   switch (trouble.kind) {
     case FaultKind::crash:
     case FaultKind::vanish:
-      for (int id : pick(trouble.part)) {
+      for (int id : pick(trouble.target_share)) {
         down(id, trouble.kind == FaultKind::vanish);
         if (controller_)
           controller_->rollout().machine_stopped(id, loop_.now());
@@ -254,9 +254,9 @@
                [this](const std::string& n) { nodes_->fail(n, 0); });
       break;
     case FaultKind::neighbour: {
-      auto chosen = pick(trouble.part);
+      auto chosen = pick(trouble.target_share);
       const Duration every = std::max<Duration>(10ms, from_seconds(trouble.extra));
-      for (int k = 0; every * k < trouble.lasts; ++k)
+      for (int k = 0; every * k < trouble.duration; ++k)
         loop_.in(every * k, [this, chosen, size, k] {
           each(chosen, [&](const std::string& n) { nodes_->neighbour(n, k % 2 == 0 ? size : 0); });
         });
@@ -302,7 +302,7 @@
       loop_.at(end, [this] { start_controller(); });
       break;
     case FaultKind::watch_breaks:
-      for (Duration at = from_seconds(std::max(0.02, size)); at < trouble.lasts;
+      for (Duration at = from_seconds(std::max(0.02, size)); at < trouble.duration;
            at += from_seconds(std::max(0.02, size)))
         loop_.in(at, [this] {
           if (controller_)
@@ -312,11 +312,11 @@
     case FaultKind::controller_down:
       if (!controller_)
         return;
-      if (trouble.how == "stale")
+      if (trouble.mode == "stale")
         controller_->set_publish_delay(day_.max_publish_delay + from_seconds(size));
       else
         controller_->inject_fault(
-            trouble.how == "silence" ? controller::Fault::unresponsive : controller::Fault::errors,
+            trouble.mode == "silence" ? controller::Fault::unresponsive : controller::Fault::errors,
             size);
       loop_.at(end, [this] {
         if (!controller_)
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -29,7 +29,7 @@
 }
 
 void FaultInjector::at_end(const Fault& fault, std::function<void()> undo) {
-  simulation_.engine.in(fault.lasts, std::move(undo));
+  simulation_.engine.in(fault.duration, std::move(undo));
 }
 
 void FaultInjector::draw_delays() {
@@ -52,7 +52,7 @@
 // False: it is no fault of servers.
 bool FaultInjector::begin_server_fault(const Fault& fault) {
   Fleet& fleet = targets_.fleet;
-  const double size = fault.size;
+  const double size = fault.magnitude;
   switch (fault.kind) {
     case FaultKind::crash:
     case FaultKind::vanish:
@@ -96,18 +96,18 @@
   const auto& deployment = simulation_.day.deployment;
   switch (fault.kind) {
     case FaultKind::burst:
-      load.burst(fault.size);
+      load.burst(fault.magnitude);
       at_end(fault, [&load] { load.burst(1); });
       return true;
     case FaultKind::hot_caller:
       concentrate_load(fault);
       return true;
     case FaultKind::bad_requests:
-      load.poison(fault.tenant.empty() ? -1 : deployment.tenant(fault.tenant), fault.size);
+      load.poison(fault.tenant.empty() ? -1 : deployment.tenant(fault.tenant), fault.magnitude);
       at_end(fault, [&load] { load.poison(-1, 0); });
       return true;
     case FaultKind::retry_abuse:
-      load.abuse(deployment.tenant(fault.tenant), static_cast<int>(fault.size), fault.extra);
+      load.abuse(deployment.tenant(fault.tenant), static_cast<int>(fault.magnitude), fault.extra);
       at_end(fault, [&load] { load.abuse(-1, 0, 1); });
       return true;
     default:
@@ -126,7 +126,8 @@
       at_end(fault, [&links] { links.cut_zone.clear(); });
       break;
     case FaultKind::stale_list:
-      targets_.registry.set_delay(simulation_.day.max_registry_delay + from_seconds(fault.size));
+      targets_.registry.set_delay(simulation_.day.max_registry_delay +
+                                  from_seconds(fault.magnitude));
       at_end(fault, [this] { draw_registry_delay(); });
       break;
     case FaultKind::controller_crash:
@@ -150,14 +151,15 @@
 void FaultInjector::on_servers(const Fault& fault, const ServerAction& begin,
                                const ServerAction& end) {
   const SimulatedServers& servers = targets_.servers;
-  const auto chosen = std::make_shared<const std::vector<int>>(targets_.servers.pick(fault.part));
+  const auto chosen =
+      std::make_shared<const std::vector<int>>(targets_.servers.pick(fault.target_share));
   servers.for_each_running(*chosen, begin);
   at_end(fault, [&servers, chosen, end] { servers.for_each_running(*chosen, end); });
 }
 
 void FaultInjector::crash_servers(const Fault& fault) {
   SimulatedServers& servers = targets_.servers;
-  for (const int machine : servers.pick(fault.part)) {
+  for (const int machine : servers.pick(fault.target_share)) {
     servers.crash(machine, fault.kind == FaultKind::vanish);
     at_end(fault, [&servers, machine] { servers.recover(machine); });
   }
@@ -165,14 +167,15 @@
 
 // Another program takes a share of the cores, on and off.
 void FaultInjector::take_cores(const Fault& fault) {
-  const auto chosen = std::make_shared<const std::vector<int>>(targets_.servers.pick(fault.part));
+  const auto chosen =
+      std::make_shared<const std::vector<int>>(targets_.servers.pick(fault.target_share));
   const auto take = [this, chosen](double share) {
     targets_.servers.for_each(
         *chosen, [this, share](int server) { targets_.fleet.neighbour(server, share); });
   };
   const Duration interval = std::max<Duration>(min_neighbour_interval, from_seconds(fault.extra));
-  for (int turn = 0; interval * turn < fault.lasts; ++turn) {
-    const double share = turn % 2 == 0 ? fault.size : 0;
+  for (int turn = 0; interval * turn < fault.duration; ++turn) {
+    const double share = turn % 2 == 0 ? fault.magnitude : 0;
     simulation_.engine.in(interval * turn, [take, share] { take(share); });
   }
   at_end(fault, [take] { take(0); });
@@ -181,17 +184,17 @@
 void FaultInjector::slow_links(const Fault& fault) {
   LinkFaults& links = simulation_.link_faults;
   links.slow_zone = fault.zone;
-  links.delay = from_seconds(fault.size);
+  links.delay = from_seconds(fault.magnitude);
   links.loss = fault.extra;
   at_end(fault, [&links] { links.slow_zone.clear(); });
 }
 
 void FaultInjector::disturb_controller(const Fault& fault) {
   SimulatedController& controller = targets_.controller;
-  if (fault.how == "stale")
-    controller.set_publish_delay(simulation_.day.max_publish_delay + from_seconds(fault.size));
-  else if (fault.how == "silence")
-    controller.fall_silent(fault.size);
+  if (fault.mode == "stale")
+    controller.set_publish_delay(simulation_.day.max_publish_delay + from_seconds(fault.magnitude));
+  else if (fault.mode == "silence")
+    controller.fall_silent(fault.magnitude);
   else
     controller.fail();
   at_end(fault, [this] {
@@ -203,13 +206,13 @@
 // A few proxies get a share of all traffic.
 void FaultInjector::concentrate_load(const Fault& fault) {
   const int proxies = simulation_.day.deployment.proxies;
-  const int count = std::max(1, rounded(fault.part * proxies));
+  const int count = std::max(1, rounded(fault.target_share * proxies));
   std::vector<int> chosen;
   chosen.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i)
     chosen.push_back((i * 7 + 1) % proxies);  // spread over the zones
   load::Load& load = targets_.clients.load();
-  load.hot(chosen, fault.size);
+  load.hot(chosen, fault.magnitude);
   at_end(fault, [&load] { load.hot({}, 0); });
 }
 
@@ -219,13 +222,13 @@
   for (int proxy = 0; proxy < proxies; ++proxy)
     chosen[proxy] = proxy;
   std::shuffle(chosen.begin(), chosen.end(), simulation_.random);
-  const int count = std::clamp(rounded(fault.part * proxies), 1, proxies);
+  const int count = std::clamp(rounded(fault.target_share * proxies), 1, proxies);
   const bool in_turn = fault.kind == FaultKind::proxy_roll;
-  const int batch = in_turn ? std::max(1, static_cast<int>(fault.size * proxies)) : proxies;
+  const int batch = in_turn ? std::max(1, static_cast<int>(fault.magnitude * proxies)) : proxies;
   const int batches = (count + batch - 1) / batch;
-  const Duration down = in_turn ? from_seconds(fault.extra) : fault.lasts;
+  const Duration down = in_turn ? from_seconds(fault.extra) : fault.duration;
   for (int i = 0; i < count; ++i) {
-    const Duration begins = in_turn ? fault.lasts * (i / batch) / batches : Duration{};
+    const Duration begins = in_turn ? fault.duration * (i / batch) / batches : Duration{};
     const int proxy = chosen[i];
     simulation_.engine.in(begins, [this, proxy] { targets_.processes.kill(proxy); });
     simulation_.engine.in(begins + down, [this, proxy] { targets_.processes.start(proxy); });
--- a/src/lab/hunt.cpp
+++ b/src/lab/hunt.cpp
@@ -68,11 +68,11 @@
     const Range& range = ranges[below(std::size(ranges))];
     Fault one{.kind = range.kind};
     one.at = within(0ms, base_.length * 8 / 10);
-    one.lasts = within(200ms, base_.length / 2);
+    one.duration = within(200ms, base_.length / 2);
     if (range.part)
-      one.part = std::round(between(part_least, part_most) * 100) / 100;
+      one.target_share = std::round(between(part_least, part_most) * 100) / 100;
     if (range.size_word)
-      one.size = std::round(between(range.size_least, range.size_most) * 100) / 100;
+      one.magnitude = std::round(between(range.size_least, range.size_most) * 100) / 100;
     if (range.extra_word)
       one.extra = std::round(between(range.extra_least, range.extra_most) * 100) / 100;
     return one;
@@ -92,9 +92,10 @@
         one.at =
             std::clamp<Duration>(one.at + within(0ms, 3s) - 1500ms, 0ms, base_.length * 9 / 10);
       else if (how < 0.85)
-        one.lasts = std::clamp<Duration>(one.lasts * (50 + below(150)) / 100, 100ms, base_.length);
+        one.duration =
+            std::clamp<Duration>(one.duration * (50 + below(150)) / 100, 100ms, base_.length);
       else if (range_of(one.kind).part)
-        one.part = std::clamp(one.part + between(-0.3, 0.3), part_least, part_most);
+        one.target_share = std::clamp(one.target_share + between(-0.3, 0.3), part_least, part_most);
     }
     return all;
   }
@@ -210,13 +211,13 @@
     }
     for (std::size_t i = 0; i < worst.faults.size(); ++i) {
       std::vector<Fault> less = worst.faults;
-      if (less[i].lasts > 400ms) {
-        less[i].lasts = less[i].lasts * 7 / 10;
+      if (less[i].duration > 400ms) {
+        less[i].duration = less[i].duration * 7 / 10;
         some.push_back(less);
       }
       less = worst.faults;
-      if (range_of(less[i].kind).part && less[i].part > 0.15) {
-        less[i].part = std::round(less[i].part * 70) / 100;
+      if (range_of(less[i].kind).part && less[i].target_share > 0.15) {
+        less[i].target_share = std::round(less[i].target_share * 70) / 100;
         some.push_back(less);
       }
     }
@@ -244,14 +245,14 @@
   for (const Fault& one : faults) {
     const Range& range = range_of(one.kind);
     added += "\n  (trouble " + std::string(day::to_string(one.kind)) + " (at " + spoken(one.at) +
-             ") (for " + spoken(one.lasts) + ")";
+             ") (for " + spoken(one.duration) + ")";
     if (range.part)
-      added += " (part " + number(one.part) + ")";
+      added += " (part " + number(one.target_share) + ")";
     if (range.size_word)
-      added +=
-          " (" + std::string(range.size_word) + " " +
-          (range.spans ? spoken(Duration(static_cast<long>(one.size * 1e6))) : number(one.size)) +
-          ")";
+      added += " (" + std::string(range.size_word) + " " +
+               (range.spans ? spoken(Duration(static_cast<long>(one.magnitude * 1e6)))
+                            : number(one.magnitude)) +
+               ")";
     if (range.extra_word)
       added += " (" + std::string(range.extra_word) + " " +
                spoken(Duration(static_cast<long>(one.extra * 1e6))) + ")";
