--- a/src/standin/database.cpp
+++ b/src/standin/database.cpp
@@ -91,7 +91,7 @@
   sqlite3_close(db_);
 }
 
-void Database::fault(DbFault fault, int times, Duration by) {
+void Database::fault(DatabaseFault fault, int times, Duration by) {
   fault_ = fault;
   fault_times_ = times;
   fault_by_ = by;
@@ -197,7 +197,7 @@
     } else {
       run_sql(db_, statement);
     }
-    if (fault_ == DbFault::error_inside && fault_times_ > 0) {
+    if (fault_ == DatabaseFault::error_in_transaction && fault_times_ > 0) {
       --fault_times_;
       throw Refused("told to fail");
     }
@@ -231,22 +231,22 @@
 }
 
 void Database::run(const http::ExchangePtr& exchange) {
-  const DbFault fault = fault_times_ > 0 ? fault_ : DbFault::none;
-  if (fault != DbFault::none && fault != DbFault::error_inside)
+  const DatabaseFault fault = fault_times_ > 0 ? fault_ : DatabaseFault::none;
+  if (fault != DatabaseFault::none && fault != DatabaseFault::error_in_transaction)
     --fault_times_;
   switch (fault) {
-    case DbFault::hang:
+    case DatabaseFault::hang:
       exchange->on_disconnect = [keep = exchange]() mutable { keep.reset(); };
       return;
-    case DbFault::refuse:
+    case DatabaseFault::refuse:
       return exchange->answer(http::json_response(422, "{\"why\":\"told to refuse\"}"));
-    case DbFault::locked:
+    case DatabaseFault::lock_timeout:
       return exchange->answer(
           http::json_response(422, "{\"why\":\"the lock did not come in time\"}"));
-    case DbFault::drop_on_commit:
+    case DatabaseFault::disconnect_after_commit:
       run_now(exchange->request.body);
       return exchange->abort_connection();
-    case DbFault::late: {
+    case DatabaseFault::delayed_response: {
       auto response = run_now(exchange->request.body);
       loop_.in(fault_by_, [exchange, response] { exchange->answer(response); });
       return;
@@ -283,14 +283,15 @@
           200, json::Writer().begin_object().put("value", value.value_or(0)).end_object().text()));
     }
     if (path == "/faults") {
-      const DbFault kind = json::enumerator<DbFault>(document, "is",
-                                                     {{"none", DbFault::none},
-                                                      {"hang", DbFault::hang},
-                                                      {"refuse", DbFault::refuse},
-                                                      {"error-inside", DbFault::error_inside},
-                                                      {"drop-on-commit", DbFault::drop_on_commit},
-                                                      {"late", DbFault::late},
-                                                      {"locked", DbFault::locked}});
+      const DatabaseFault kind = json::enumerator<DatabaseFault>(
+          document, "is",
+          {{"none", DatabaseFault::none},
+           {"hang", DatabaseFault::hang},
+           {"refuse", DatabaseFault::refuse},
+           {"error-inside", DatabaseFault::error_in_transaction},
+           {"drop-on-commit", DatabaseFault::disconnect_after_commit},
+           {"late", DatabaseFault::delayed_response},
+           {"locked", DatabaseFault::lock_timeout}});
       fault(kind, json::integer(document, "times"),
             json::duration_from_ms(json::number_or(document, "by_ms", 0)));
       return exchange->answer(http::json_response(200, "{}"));
--- a/src/standin/database.h
+++ b/src/standin/database.h
@@ -14,7 +14,15 @@
 namespace robinhoist::standin {
 
 // The next so many runs of steps go wrong in this way.
-enum class DbFault { none, hang, refuse, error_inside, drop_on_commit, late, locked };
+enum class DatabaseFault {
+  none,
+  hang,
+  refuse,
+  error_in_transaction,
+  disconnect_after_commit,
+  late,
+  locked
+};
 
 class Database {
  public:
@@ -25,7 +33,7 @@
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
   int port() const { return server_->port(); }
-  void fault(DbFault fault, int times, Duration by = {});
+  void fault(DatabaseFault fault, int times, Duration by = {});
   // The first value of a query; nothing when it can't be asked.
   std::optional<double> ask(const std::string& statement) const;
   bool execute(const std::string& statements);
@@ -44,7 +52,7 @@
   net::Loop& loop_;
   sqlite3* db_ = nullptr;
   record::Writer* record_;
-  DbFault fault_ = DbFault::none;
+  DatabaseFault fault_ = DatabaseFault::none;
   int fault_times_ = 0;
   Duration fault_by_{};
   std::vector<std::string> ran_{};
--- a/tests/migration_runner_test.cpp
+++ b/tests/migration_runner_test.cpp
@@ -274,7 +274,7 @@
   step.id = "s";
   step.apply_statement = "SELECT 1";
   step.timeout = 150ms;
-  const auto reason_of = [&](standin::DbFault fault) {
+  const auto reason_of = [&](standin::DatabaseFault fault) {
     TestEnvironment environment;
     std::unique_ptr<Target> target;
     std::string reason;
@@ -289,14 +289,15 @@
     environment.run_on_loop([&] { target.reset(); });
     return reason;
   };
-  EXPECT_EQ(reason_of(standin::DbFault::drop_on_commit), "connection broke");
-  EXPECT_EQ(reason_of(standin::DbFault::hang), "no answer in time");
+  EXPECT_EQ(reason_of(standin::DatabaseFault::disconnect_after_commit), "connection broke");
+  EXPECT_EQ(reason_of(standin::DatabaseFault::hang), "no answer in time");
 }
 
 TEST(MigrationRunner, CopesWithFaultsOfTheDatabase) {
   for (auto fault :
-       {standin::DbFault::refuse, standin::DbFault::error_inside, standin::DbFault::drop_on_commit,
-        standin::DbFault::locked, standin::DbFault::hang, standin::DbFault::late}) {
+       {standin::DatabaseFault::refuse, standin::DatabaseFault::error_in_transaction,
+        standin::DatabaseFault::disconnect_after_commit, standin::DatabaseFault::lock_timeout,
+        standin::DatabaseFault::hang, standin::DatabaseFault::delayed_response}) {
     TestEnvironment environment;
     environment.run_on_loop([&] {
       environment.database().fault(fault, 2, 300ms);
