--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -62,7 +62,7 @@
       throw std::runtime_error("the database's set-up statements fail");
     reader_ = std::make_unique<standin::Reader>(file);
     nodes_->ready = [this](const std::string& needs) {
-      return reader_->ask(needs).value_or(0) != 0;
+      return reader_->query(needs).value_or(0) != 0;
     };
   }
   start_controller();
--- a/src/standin/database.cpp
+++ b/src/standin/database.cpp
@@ -56,7 +56,7 @@
   return first;
 }
 
-std::optional<double> asked(sqlite3* db, const std::string& statement) {
+std::optional<double> try_query(sqlite3* db, const std::string& statement) {
   try {
     return run_bound(db, statement, {}).value_or(0);
   } catch (const Refused&) {
@@ -91,14 +91,14 @@
   sqlite3_close(db_);
 }
 
-void Database::fault(DatabaseFault fault, int times, Duration by) {
+void Database::inject_fault(DatabaseFault fault, int times, Duration by) {
   fault_ = fault;
   fault_times_ = times;
   fault_by_ = by;
 }
 
-std::optional<double> Database::ask(const std::string& statement) const {
-  return asked(db_, statement);
+std::optional<double> Database::query(const std::string& statement) const {
+  return try_query(db_, statement);
 }
 
 Reader::Reader(const std::string& file) {
@@ -110,8 +110,8 @@
   sqlite3_close(db_);
 }
 
-std::optional<double> Reader::ask(const std::string& statement) const {
-  return asked(db_, statement);
+std::optional<double> Reader::query(const std::string& statement) const {
+  return try_query(db_, statement);
 }
 
 bool Database::execute(const std::string& statements) {
@@ -292,8 +292,8 @@
            {"drop-on-commit", DatabaseFault::disconnect_after_commit},
            {"late", DatabaseFault::delayed_response},
            {"locked", DatabaseFault::lock_timeout}});
-      fault(kind, json::integer(document, "times"),
-            json::duration_from_ms(json::number_or(document, "by_ms", 0)));
+      inject_fault(kind, json::integer(document, "times"),
+                   json::duration_from_ms(json::number_or(document, "by_ms", 0)));
       return exchange->answer(http::json_response(200, "{}"));
     }
   } catch (const Refused& bad) {
--- a/src/standin/database.h
+++ b/src/standin/database.h
@@ -33,9 +33,9 @@
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
   int port() const { return server_->port(); }
-  void fault(DatabaseFault fault, int times, Duration by = {});
+  void inject_fault(DatabaseFault fault, int times, Duration by = {});
   // The first value of a query; nothing when it can't be asked.
-  std::optional<double> ask(const std::string& statement) const;
+  std::optional<double> query(const std::string& statement) const;
   bool execute(const std::string& statements);
   // What ran, in order: "mark apply" or "mark undo", batches of a step told once.
   const std::vector<std::string>& ran() const { return ran_; }
@@ -67,7 +67,7 @@
   ~Reader();
   Reader(const Reader&) = delete;
   Reader& operator=(const Reader&) = delete;
-  std::optional<double> ask(const std::string& statement) const;
+  std::optional<double> query(const std::string& statement) const;
 
  private:
   sqlite3* db_ = nullptr;
--- a/tests/migration_runner_test.cpp
+++ b/tests/migration_runner_test.cpp
@@ -220,7 +220,7 @@
 std::string wrong_values(standin::Database& database, bool after_rollback) {
   std::string wrong;
   const auto expect = [&](const char* query, double expected) {
-    const double value = database.ask(query).value_or(-1);
+    const double value = database.query(query).value_or(-1);
     if (value != expected)
       wrong += std::string(query) + " gives " + std::to_string(value) + "; ";
   };
@@ -280,7 +280,7 @@
     std::string reason;
     environment.run_on_loop([&] {
       environment.start(ReleaseState{});
-      environment.database().fault(fault, 1, 300ms);
+      environment.database().inject_fault(fault, 1, 300ms);
       target = environment.new_target();
       target->run(build, step, Direction::apply, 0, 1,
                   [&](const RunOutcome& outcome) { reason = outcome.reason; });
@@ -300,13 +300,13 @@
         standin::DatabaseFault::hang, standin::DatabaseFault::delayed_response}) {
     TestEnvironment environment;
     environment.run_on_loop([&] {
-      environment.database().fault(fault, 2, 300ms);
+      environment.database().inject_fault(fault, 2, 300ms);
       environment.start(first_stage);
     });
     EXPECT_TRUE(environment.wait_until_allowed(1)) << static_cast<int>(fault);
     environment.run_on_loop([&] {
-      EXPECT_EQ(environment.database().ask("SELECT n FROM counter"), 1);
-      EXPECT_EQ(environment.database().ask("SELECT sum(n) FROM visits"), 10);
+      EXPECT_EQ(environment.database().query("SELECT n FROM counter"), 1);
+      EXPECT_EQ(environment.database().query("SELECT sum(n) FROM visits"), 10);
     });
   }
 }
@@ -354,7 +354,7 @@
   });
   std::this_thread::sleep_for(50ms);
   environment.run_on_loop(
-      [&] { EXPECT_EQ(environment.database().ask("SELECT n FROM counter"), 0); });
+      [&] { EXPECT_EQ(environment.database().query("SELECT n FROM counter"), 0); });
 }
 
 void expect_rejected(Runner& runner, const std::string& text, const char* problem) {
@@ -385,7 +385,7 @@
   });
   EXPECT_TRUE(environment.wait_until_allowed(1));
   environment.run_on_loop(
-      [&] { EXPECT_EQ(environment.database().ask("SELECT n FROM counter"), 1); });
+      [&] { EXPECT_EQ(environment.database().query("SELECT n FROM counter"), 1); });
 }
 
 }  // namespace
