--- a/src/day/clients.h
+++ b/src/day/clients.h
@@ -4,7 +4,7 @@
 #include <map>
 #include <memory>
 
-#include "day/notation.h"
+#include "day/scenario.h"
 #include "http/connection_pool.h"
 #include "record/record.h"
 #include "time/time_types.h"
--- a/src/day/play.h
+++ b/src/day/play.h
@@ -3,7 +3,7 @@
 #pragma once
 #include <string>
 
-#include "day/notation.h"
+#include "day/scenario.h"
 
 namespace robinhoist::day {
 
--- a/src/day/record_meta.h
+++ b/src/day/record_meta.h
@@ -1,6 +1,6 @@
 // What a record says of its day.
 #pragma once
-#include "day/notation.h"
+#include "day/scenario.h"
 #include "record/meta.h"
 
 namespace robinhoist::day {
--- a/src/day/notation.cpp
+++ b/src/day/scenario.cpp
@@ -1,4 +1,4 @@
-#include "day/notation.h"
+#include "day/scenario.h"
 
 #include <algorithm>
 
--- a/src/day/world.h
+++ b/src/day/world.h
@@ -6,7 +6,7 @@
 #include <set>
 
 #include "controller/controller.h"
-#include "day/notation.h"
+#include "day/scenario.h"
 #include "record/record.h"
 #include "registry/service.h"
 #include "standin/database.h"
--- a/src/emulator/fault_injector.h
+++ b/src/emulator/fault_injector.h
@@ -2,7 +2,7 @@
 #pragma once
 #include <functional>
 
-#include "day/notation.h"
+#include "day/scenario.h"
 #include "emulator/fleet.h"
 #include "emulator/proxy_processes.h"
 #include "emulator/simulated_servers.h"
--- a/src/emulator/run.h
+++ b/src/emulator/run.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "day/notation.h"
+#include "day/scenario.h"
 #include "emulator/simulated_proxy.h"
 #include "membership/membership.h"
 #include "rollout/rollout.h"
--- a/src/emulator/simulation.h
+++ b/src/emulator/simulation.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "day/notation.h"
+#include "day/scenario.h"
 #include "emulator/engine.h"
 #include "emulator/network.h"
 #include "emulator/run.h"
--- a/src/lab/experiment.h
+++ b/src/lab/experiment.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "day/notation.h"
+#include "day/scenario.h"
 #include "emulator/policy.h"
 
 namespace robinhoist::lab {
--- a/src/lab/hunt.h
+++ b/src/lab/hunt.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <string>
 
-#include "day/notation.h"
+#include "day/scenario.h"
 
 namespace robinhoist::lab {
 
