--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -10,8 +10,8 @@
 #include <thread>
 
 #include "emulator/run.h"
-#include "lab/hunt.h"
-#include "lab/lab.h"
+#include "lab/experiment_runner.h"
+#include "lab/fault_search.h"
 
 namespace robinhoist::cli {
 namespace {
--- a/src/lab/lab.cpp
+++ b/src/lab/experiment_runner.cpp
@@ -1,4 +1,4 @@
-#include "lab/lab.h"
+#include "lab/experiment_runner.h"
 
 #include <spawn.h>
 #include <sqlite3.h>
--- a/src/lab/hunt.cpp
+++ b/src/lab/fault_search.cpp
@@ -1,4 +1,4 @@
-#include "lab/hunt.h"
+#include "lab/fault_search.h"
 
 #include <unistd.h>
 
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -5,7 +5,7 @@
 
 #include "audit/audit.h"
 #include "emulator/run.h"
-#include "lab/lab.h"
+#include "lab/experiment_runner.h"
 #include "scripted_test.h"
 
 namespace robinhoist::emulator {
