--- a/src/lab/experiment_runner.cpp
+++ b/src/lab/experiment_runner.cpp
@@ -57,7 +57,7 @@
 std::string shown(const Mean& mean) {
   if (mean.count == 0)
     return "-";
-  return shown(mean.mean) + (mean.count < 2 ? "" : " +- " + shown(mean.half));
+  return shown(mean.mean) + (mean.count < 2 ? "" : " +- " + shown(mean.half_width));
 }
 
 // A measure's values in two cells, over the repetitions that both have.
@@ -311,12 +311,12 @@
       out << line;
       if (c != base) {
         const auto [a, b] = pairs(first, runs, measure.name);
-        const Paired paired = compare(a, b, measure.more_is_better);
+        const PairedComparison paired = compare(a, b, measure.more_is_better);
         std::snprintf(line, sizeof line, "  %18s  %s", shown(paired.difference).c_str(),
                       to_string(paired.verdict));
         out << line;
-        if (paired.more)
-          out << ", " << *paired.more << " more runs likely would";
+        if (paired.additional_pairs)
+          out << ", " << *paired.additional_pairs << " more runs likely would";
       }
       out << "\n";
     }
@@ -359,8 +359,8 @@
     for (auto& [rest, points] : lines) {
       script << "$d" << number++ << " << EOD\n";
       for (auto& [x, mean] : points)
-        script << x << " " << mean.mean << " " << (std::isfinite(mean.half) ? mean.half : 0)
-               << "\n";
+        script << x << " " << mean.mean << " "
+               << (std::isfinite(mean.half_width) ? mean.half_width : 0) << "\n";
       script << "EOD\n";
     }
     script << "plot ";
--- a/src/lab/stats.cpp
+++ b/src/lab/stats.cpp
@@ -26,23 +26,23 @@
   for (double value : values)
     squares += (value - mean.mean) * (value - mean.mean);
   if (mean.count < 2) {
-    mean.half = std::numeric_limits<double>::infinity();
+    mean.half_width = std::numeric_limits<double>::infinity();
     return mean;
   }
-  mean.sd = std::sqrt(squares / (mean.count - 1));
-  mean.half = t_of(mean.count) * mean.sd / std::sqrt(mean.count);
+  mean.standard_deviation = std::sqrt(squares / (mean.count - 1));
+  mean.half_width = t_of(mean.count) * mean.standard_deviation / std::sqrt(mean.count);
   return mean;
 }
 
-Paired compare(const std::vector<double>& first, const std::vector<double>& second,
-               bool more_is_better) {
+PairedComparison compare(const std::vector<double>& first, const std::vector<double>& second,
+                         bool more_is_better) {
   std::vector<double> differences;
   for (std::size_t i = 0; i < std::min(first.size(), second.size()); ++i)
     differences.push_back(second[i] - first[i]);
-  Paired paired;
+  PairedComparison paired;
   paired.difference = mean_of(differences);
   const double d = std::abs(paired.difference.mean);
-  if (paired.difference.count >= 2 && d > paired.difference.half) {
+  if (paired.difference.count >= 2 && d > paired.difference.half_width) {
     paired.verdict =
         (paired.difference.mean > 0) == more_is_better ? Verdict::better : Verdict::worse;
     return paired;
@@ -52,8 +52,8 @@
   // The interval shrinks with the root of the count: the least count at which it would leave zero
   // out.
   for (int count = paired.difference.count + 1; count < most_more; count += 1 + count / 50)
-    if (t_of(count) * paired.difference.sd / std::sqrt(count) < d) {
-      paired.more = count - paired.difference.count;
+    if (t_of(count) * paired.difference.standard_deviation / std::sqrt(count) < d) {
+      paired.additional_pairs = count - paired.difference.count;
       break;
     }
   return paired;
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -212,15 +212,15 @@
   EXPECT_EQ(lab::compare(a, more, true).verdict, Verdict::better);
   EXPECT_EQ(lab::compare(a, more, false).verdict, Verdict::worse);
   EXPECT_EQ(lab::compare(more, a, true).verdict, Verdict::worse);
-  const lab::Paired unsure = lab::compare(a, noise, true);
+  const lab::PairedComparison unsure = lab::compare(a, noise, true);
   EXPECT_EQ(unsure.verdict, Verdict::cannot_tell);
-  ASSERT_TRUE(unsure.more);
-  EXPECT_GT(*unsure.more, 10);
+  ASSERT_TRUE(unsure.additional_pairs);
+  EXPECT_GT(*unsure.additional_pairs, 10);
   EXPECT_EQ(lab::compare(a, a, true).verdict, Verdict::cannot_tell);
   EXPECT_FALSE(lab::compare({1}, {2}, true).more);
   // Student's t for five degrees of freedom is 2.5706.
   const lab::Mean mean = lab::mean_of(a);
-  EXPECT_NEAR(mean.half, 2.5706 * mean.sd / std::sqrt(6), 1e-4);
+  EXPECT_NEAR(mean.half_width, 2.5706 * mean.standard_deviation / std::sqrt(6), 1e-4);
 }
 
 // One that was stopped goes on where it was, and gives what an undisturbed one gives; another
