--- a/src/lab/experiment_runner.cpp
+++ b/src/lab/experiment_runner.cpp
@@ -61,8 +61,8 @@
 }
 
 // A measure's values in two cells, over the repetitions that both have.
-std::pair<std::vector<double>, std::vector<double>> pairs(const std::map<int, Values>& a,
-                                                          const std::map<int, Values>& b,
+std::pair<std::vector<double>, std::vector<double>> pairs(const std::map<int, MeasureValues>& a,
+                                                          const std::map<int, MeasureValues>& b,
                                                           const char* measure) {
   std::pair<std::vector<double>, std::vector<double>> both;
   for (auto& [repetition, values] : a) {
@@ -75,7 +75,7 @@
   return both;
 }
 
-std::vector<double> values_of(const std::map<int, Values>& runs, const char* measure) {
+std::vector<double> values_of(const std::map<int, MeasureValues>& runs, const char* measure) {
   std::vector<double> values;
   for (auto& [repetition, of] : runs)
     if (auto at = of.find(measure); at != of.end())
@@ -150,7 +150,7 @@
   sqlite3_close(db_);
 }
 
-bool Results::has(int cell, int repetition) const {
+bool Results::contains(int cell, int repetition) const {
   sqlite3_stmt* query = nullptr;
   sqlite3_prepare_v2(db_, "SELECT 1 FROM runs WHERE cell = ? AND repetition = ? LIMIT 1", -1,
                      &query, nullptr);
@@ -161,7 +161,7 @@
   return there;
 }
 
-void Results::put(int cell, int repetition, const Values& values) {
+void Results::store(int cell, int repetition, const MeasureValues& values) {
   // All of a run or nothing of it: one that was cut off is played again.
   std::string sql = "BEGIN;";
   for (auto& [measure, value] : values) {
@@ -176,8 +176,8 @@
   }
 }
 
-std::map<int, Values> Results::of(int cell) const {
-  std::map<int, Values> runs;
+std::map<int, MeasureValues> Results::runs_of(int cell) const {
+  std::map<int, MeasureValues> runs;
   sqlite3_stmt* query = nullptr;
   sqlite3_prepare_v2(db_, "SELECT repetition, measure, value FROM runs WHERE cell = ?", -1, &query,
                      nullptr);
@@ -190,9 +190,9 @@
   return runs;
 }
 
-Values play(const Cell& cell, long seed) {
+MeasureValues play(const Cell& cell, long seed) {
   const emulator::Summary summary = emulator::run(cell.day, seed, "", {}, cell.policy);
-  Values values;
+  MeasureValues values;
   const double tries = std::max(1.0, static_cast<double>(summary.tries));
   values["revenue"] =
       summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 0;
@@ -246,7 +246,7 @@
   // Repetition by repetition, so that a stop leaves all cells with as many.
   for (int repetition = 0; repetition < experiment.repetitions; ++repetition)
     for (int cell = 0; cell < static_cast<int>(experiment.cells.size()); ++cell)
-      if (!results.has(cell, repetition))
+      if (!results.contains(cell, repetition))
         open.push_back({cell, repetition});
   std::atomic<std::size_t> next{0};
   std::mutex mutex;
@@ -257,10 +257,10 @@
     for (std::size_t at; (at = next++) < open.size();) {
       const Job job = open[at];
       try {
-        const Values values = play(experiment.cells[static_cast<std::size_t>(job.cell)],
-                                   experiment.seed + job.repetition);
+        const MeasureValues values = play(experiment.cells[static_cast<std::size_t>(job.cell)],
+                                          experiment.seed + job.repetition);
         std::lock_guard lock(mutex);
-        results.put(job.cell, job.repetition, values);
+        results.store(job.cell, job.repetition, values);
         ++done;
         const double passed =
             std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
@@ -297,9 +297,9 @@
       policies ? experiment.cells.size() / experiment.parameters.back().values.size()
                : experiment.cells.size();
   for (std::size_t c = 0; c < experiment.cells.size(); ++c) {
-    const auto runs = results.of(static_cast<int>(c));
+    const auto runs = results.runs_of(static_cast<int>(c));
     const std::size_t base = policies ? c % a_policy : 0;
-    const auto first = results.of(static_cast<int>(base));
+    const auto first = results.runs_of(static_cast<int>(base));
     out << label(experiment, experiment.cells[c]) << " (" << runs.size() << " runs)\n";
     for (const Measure& measure : measures()) {
       const std::vector<double> values = values_of(runs, measure.name);
@@ -333,9 +333,9 @@
        << escaped(experiment.name) << "</h1>";
   // A curve for each measure over the first parameter that has numbers, a line for each setting of
   // the others.
-  std::vector<std::map<int, Values>> runs;
+  std::vector<std::map<int, MeasureValues>> runs;
   for (std::size_t c = 0; c < experiment.cells.size(); ++c)
-    runs.push_back(results.of(static_cast<int>(c)));
+    runs.push_back(results.runs_of(static_cast<int>(c)));
   for (const Measure& measure : measures()) {
     std::map<std::string, std::map<double, Mean>> lines;
     for (std::size_t c = 0; c < experiment.cells.size(); ++c) {
--- a/src/lab/experiment_runner.h
+++ b/src/lab/experiment_runner.h
@@ -12,7 +12,7 @@
 
 namespace robinhoist::lab {
 
-using Values =
+using MeasureValues =
     std::map<std::string, double>;  // by measure; one that has no meaning in a run is left out
 
 // Results of one experiment. Throws std::runtime_error when the file is another experiment's or
@@ -23,16 +23,16 @@
   ~Results();
   Results(const Results&) = delete;
   Results& operator=(const Results&) = delete;
-  bool has(int cell, int repetition) const;
-  void put(int cell, int repetition, const Values& values);
+  bool contains(int cell, int repetition) const;
+  void store(int cell, int repetition, const MeasureValues& values);
   // By repetition.
-  std::map<int, Values> of(int cell) const;
+  std::map<int, MeasureValues> runs_of(int cell) const;
 
  private:
   sqlite3* db_ = nullptr;
 };
 
-Values play(const Cell& cell, long seed);
+MeasureValues play(const Cell& cell, long seed);
 // `told` hears of progress, from whichever thread; the runs that were played now.
 int run(const Experiment& experiment, Results& results, int jobs,
         const std::function<void(int done, int all, double left_s)>& told);
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -245,7 +245,7 @@
   EXPECT_EQ(lab::run(whole, results, 2, {}), 0);
   EXPECT_EQ(lab::run(whole, fresh, 4, {}), 6);
   EXPECT_EQ(lab::table(whole, results), lab::table(whole, fresh));
-  EXPECT_EQ(results.of(1).size(), 3u);
+  EXPECT_EQ(results.runs_of(1).size(), 3u);
   EXPECT_THROW(lab::Results(at + "/r.sqlite", written(3, "50 120")), std::runtime_error);
   EXPECT_THROW(written(3, "50 fast"), settings::ValidationError);
   fs::remove_all(at);
