--- a/src/standin/agent.cpp
+++ b/src/standin/agent.cpp
@@ -13,89 +13,85 @@
 
 using namespace std::chrono_literals;
 
-struct Machine {
-  std::string name, zone;
-  int port = 0;
-};
-
-// Runs what it is ordered to, and tells list and controller.
+// Executes the controller's commands, and reports to registry and controller.
 class Agent {
  public:
   Agent(net::Loop& loop, const Settings& settings, const log::Logger& log)
       : loop_(loop),
         settings_(settings),
         log_(log),
-        nodes_(loop, settings.deployment, settings.shared, 1, nullptr) {
-    http::ConnectionPoolSettings calls;
-    if (!settings.list.empty())
-      list_ = std::make_unique<http::ConnectionPool>(loop, Poco::Net::SocketAddress(settings.list),
-                                                     calls);
-    if (!settings.orders_from.empty())
-      orders_ = std::make_unique<http::ConnectionPool>(
-          loop, Poco::Net::SocketAddress(settings.orders_from), calls);
+        servers_(loop, settings.deployment, settings.pool, 1, nullptr) {
+    http::ConnectionPoolSettings pool;
+    if (!settings.registry.empty())
+      registry_ = std::make_unique<http::ConnectionPool>(
+          loop, Poco::Net::SocketAddress(settings.registry), pool);
+    if (!settings.controller.empty())
+      controller_ = std::make_unique<http::ConnectionPool>(
+          loop, Poco::Net::SocketAddress(settings.controller), pool);
   }
 
   void start() {
-    if (orders_)
-      return ask();
-    for (int place = 0; place < settings_.nodes; ++place)
-      boot(place, place, settings_.builds.front().number);
+    if (controller_)
+      return poll_commands();
+    for (int slot = 0; slot < settings_.server_count; ++slot)
+      boot(slot, slot, settings_.builds.front().number);
   }
 
  private:
-  const machine::Build* build(int number) const {
-    for (const machine::Build& one : settings_.builds)
-      if (one.number == number)
-        return &one;
+  const machine::Build* find_build(int number) const {
+    for (const machine::Build& build : settings_.builds)
+      if (build.number == number)
+        return &build;
     return nullptr;
   }
 
-  void boot(int machine, int place, int number) {
-    const machine::Build* known = build(number);
-    machine::Build unknown;
-    unknown.number = number;
+  // A build that the settings do not list runs without flaws.
+  void boot(int machine, int slot, int number) {
+    const machine::Build* listed = find_build(number);
+    machine::Build unlisted;
+    unlisted.number = number;
     const auto& zones = settings_.deployment.zones;
-    NodeSpec spec;
+    ServerSpec spec;
     spec.name = "node-" + std::to_string(machine);
-    spec.zone = zones[place % zones.size()];
+    spec.zone = zones[slot % zones.size()];
     spec.capacity = settings_.capacity;
-    spec.build = known ? *known : unknown;
+    spec.build = listed ? *listed : unlisted;
     if (settings_.first_port > 0)
       spec.listen = "127.0.0.1:" + std::to_string(settings_.first_port + machine);
-    Machine& one = machines_[machine];
-    one = {spec.name, spec.zone, 0};
+    int port = 0;
     try {
-      one.port = nodes_.start(spec);
-    } catch (const std::runtime_error& bad) {
-      return log_.error("a node can't start", {{"node", spec.name}, {"why", bad.what()}});
+      port = servers_.start(spec);
+    } catch (const std::runtime_error& error) {
+      return log_.error("cannot start server", {{"node", spec.name}, {"why", error.what()}});
     }
-    log_.info("node runs",
-              {{"node", spec.name}, {"port", log::text(one.port)}, {"build", log::text(number)}});
-    registry::Endpoint entry;
-    entry.name = spec.name;
-    entry.address = "127.0.0.1:" + std::to_string(one.port);
-    entry.zone = spec.zone;
-    entry.build = number;
-    entry.started = net::wall_now();
-    entries_[machine] = entry;
-    tell(entry);
-    report(machine, "up");
+    log_.info("server started",
+              {{"node", spec.name}, {"port", log::text(port)}, {"build", log::text(number)}});
+    registry::Endpoint endpoint;
+    endpoint.name = spec.name;
+    endpoint.address = "127.0.0.1:" + std::to_string(port);
+    endpoint.zone = spec.zone;
+    endpoint.build = number;
+    endpoint.started = net::wall_now();
+    endpoints_[machine] = endpoint;
+    register_endpoint(endpoint);
+    report_state(machine, "up");
   }
 
-  void tell(const registry::Endpoint& entry) {
-    if (!list_)
+  void register_endpoint(const registry::Endpoint& endpoint) {
+    if (!registry_)
       return;
-    std::string all = registry::encode({"", 0, false, {entry}});
-    const std::size_t from = all.find('[') + 1;
+    // The registry takes the object that is the only element of the encoded list.
+    const std::string list = registry::encode({"", 0, false, {endpoint}});
+    const std::size_t from = list.find('[') + 1;
     http::Request request;
     request.method = "PUT";
     request.target = "/v1/nodes";
-    request.body = all.substr(from, all.rfind(']') - from);
-    call(*list_, request);
+    request.body = list.substr(from, list.rfind(']') - from);
+    call(*registry_, request);
   }
 
-  void report(int machine, const char* state) {
-    if (!orders_)
+  void report_state(int machine, const char* state) {
+    if (!controller_)
       return;
     http::Request request;
     request.method = "POST";
@@ -106,92 +102,91 @@
                        .put("state", state)
                        .end_object()
                        .text();
-    call(*orders_, request);
+    call(*controller_, request);
   }
 
-  // Told again until it is heard.
-  void call(http::ConnectionPool& caller, const http::Request& request) {
-    caller.call(request, 2s,
-                [this, &caller, request](http::CallResult how, http::Response&& response) {
-                  if (how == http::CallResult::answered && response.status < 500)
-                    return;
-                  loop_.in(300ms, [this, &caller, request] { call(caller, request); });
-                });
+  // Retries until there is a response other than a server error.
+  void call(http::ConnectionPool& pool, const http::Request& request) {
+    pool.call(request, 2s,
+              [this, &pool, request](http::CallResult result, http::Response&& response) {
+                if (result == http::CallResult::answered && response.status < 500)
+                  return;
+                loop_.in(300ms, [this, &pool, request] { call(pool, request); });
+              });
   }
 
-  void ask() {
+  void poll_commands() {
     http::Request request;
     request.target = "/v1/orders";
-    orders_->call(request, 2s, [this](http::CallResult how, http::Response&& response) {
-      if (how == http::CallResult::answered && response.status == 200) {
+    controller_->call(request, 2s, [this](http::CallResult result, http::Response&& response) {
+      if (result == http::CallResult::answered && response.status == 200) {
         try {
           auto document = json::parse_object(response.body);
-          for (const json::Value& order : json::array(document, "orders").GetArray())
-            take(order);
-        } catch (const json::DecodeError& bad) {
-          log_.error("an order makes no sense", {{"why", bad.what()}});
+          for (const json::Value& command : json::array(document, "orders").GetArray())
+            execute(command);
+        } catch (const json::DecodeError& error) {
+          log_.error("cannot decode a command of the controller", {{"why", error.what()}});
         }
       }
-      loop_.in(100ms, [this] { ask(); });
+      loop_.in(100ms, [this] { poll_commands(); });
     });
   }
 
-  void take(const json::Value& order) {
-    const std::string is = json::text(order, "is");
-    const int machine = json::integer(order, "machine");
-    if (is == "start" && entries_.count(machine) > 0)
-      return report(machine, "up");  // told twice
-    if (is == "start") {
-      const int place = json::integer(order, "place"), number = json::integer(order, "build");
-      loop_.in(settings_.boot, [this, machine, place, number] { boot(machine, place, number); });
+  void execute(const json::Value& command) {
+    const std::string kind = json::text(command, "is");
+    const int machine = json::integer(command, "machine");
+    if (kind == "start" && endpoints_.count(machine) > 0)
+      return report_state(machine, "up");  // a repeated command
+    if (kind == "start") {
+      const int slot = json::integer(command, "place"), build = json::integer(command, "build");
+      loop_.in(settings_.boot_time, [this, machine, slot, build] { boot(machine, slot, build); });
       return;
     }
-    auto at = entries_.find(machine);
-    if (at == entries_.end())
+    auto at = endpoints_.find(machine);
+    if (at == endpoints_.end())
       return;
-    at->second.phase = is == "drain" ? EndpointPhase::draining : EndpointPhase::removed;
-    if (is == "drain")
-      return tell(at->second);
-    nodes_.kill(at->second.name);
+    at->second.phase = kind == "drain" ? EndpointPhase::draining : EndpointPhase::removed;
+    if (kind == "drain")
+      return register_endpoint(at->second);
+    servers_.kill(at->second.name);
     http::Request request;
     request.method = "DELETE";
     request.target = "/v1/nodes/" + at->second.name;
-    if (list_)
-      call(*list_, request);
-    entries_.erase(at);
-    report(machine, "gone");
+    if (registry_)
+      call(*registry_, request);
+    endpoints_.erase(at);
+    report_state(machine, "gone");
   }
 
   net::Loop& loop_;
   const Settings& settings_;
   const log::Logger& log_;
-  Nodes nodes_;
-  std::unique_ptr<http::ConnectionPool> list_{}, orders_{};
-  std::map<int, Machine> machines_{};
-  std::map<int, registry::Endpoint> entries_{};
+  ServerPool servers_;
+  std::unique_ptr<http::ConnectionPool> registry_{}, controller_{};
+  std::map<int, registry::Endpoint> endpoints_{};  // by machine
 };
 
 }  // namespace
 
 Settings read(settings::SexpReader root) {
-  Settings to;
-  to.deployment = deployment::read(root.child("deployment"));
+  Settings settings;
+  settings.deployment = deployment::read(root.child("deployment"));
   settings::SexpReader form = root.child("standin");
-  to.list = form.text("list", "");
-  to.orders_from = form.text("orders-from", "");
-  to.nodes = form.integer("nodes", 1, 10000, 1);
-  to.first_port = form.integer("first-port", 0, 65535, 0);
-  to.boot = form.duration("boot", 0ms, 1min, 0ms);
+  settings.registry = form.text("list", "");
+  settings.controller = form.text("orders-from", "");
+  settings.server_count = form.integer("nodes", 1, 10000, 1);
+  settings.first_port = form.integer("first-port", 0, 65535, 0);
+  settings.boot_time = form.duration("boot", 0ms, 1min, 0ms);
   if (auto capacity = form.optional_child("capacity"))
-    to.capacity = machine::read_capacity(*capacity, to.deployment);
+    settings.capacity = machine::read_capacity(*capacity, settings.deployment);
   for (settings::SexpReader& build : form.children("build", 1))
-    to.builds.push_back(machine::read_build(build, to.deployment));
-  to.shared.memory = form.duration("memory", 0ms, 24h, 2s);
+    settings.builds.push_back(machine::read_build(build, settings.deployment));
+  settings.pool.dedup_window = form.duration("memory", 0ms, 24h, 2s);
   const Duration work = form.duration("work", 0ms, 1min, 10ms);
-  to.shared.work.assign(to.deployment.request_classes.size(), work);
+  settings.pool.default_work.assign(settings.deployment.request_classes.size(), work);
   form.finish();
   root.finish();
-  return to;
+  return settings;
 }
 
 int run(const Settings& settings) {
