--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -11,7 +11,7 @@
 #include "cli/steps.h"
 #include "cli/txn.h"
 #include "controller/process.h"
-#include "day/play.h"
+#include "day/scenario_runner.h"
 #include "emulator/run.h"
 #include "json/reader.h"
 #include "platform/process.h"
@@ -108,10 +108,10 @@
             << day.server_slots << " stand-in nodes, " << day.load.rate << " txns a second for "
             << std::chrono::duration<double>(day.length).count() << " s, record in " << folder
             << std::endl;
-  const rh::day::Played played = rh::day::play(day, seed, folder, "/proc/self/exe");
+  const rh::day::RunResult result = rh::day::run_scenario(day, seed, folder, "/proc/self/exe");
   int status = audit(folder);
-  if (!played.ended_well) {
-    std::cout << "umpires did not end well: " << played.trouble << "\n";
+  if (!result.proxies_exited_cleanly) {
+    std::cout << "umpires did not end well: " << result.problems << "\n";
     status = std::max(status, 1);
   }
   return status;
--- a/src/day/clients.h
+++ b/src/day/clients.h
@@ -1,8 +1,13 @@
-// A day's clients on a loop of their own: they send what the load says, to proxies on loopback, and
-// note what came of it.
+/// The clients of a scenario: they send the requests of its load to proxies on the loopback
+/// interface, and record the outcomes.
 #pragma once
+#include <cstdint>
 #include <map>
 #include <memory>
+#include <random>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "day/scenario.h"
 #include "http/connection_pool.h"
@@ -12,39 +17,41 @@
 namespace robinhoist::day {
 
 struct ProxyPorts {
-  int front = 0, admin = 0;
+  int service = 0, admin = 0;
 };
 
+/// Takes part in an event loop of its own.
 class Clients {
  public:
-  Clients(net::Loop& loop, const Scenario& day, unsigned salt,
+  Clients(net::Loop& loop, const Scenario& scenario, unsigned salt,
           const std::vector<ProxyPorts>& proxies, record::Writer& record);
-  void begin(TimePoint from);
+  void begin(TimePoint start);
   bool over() const { return load_.over(); }
   std::size_t open() const { return load_.open(); }
-  void proxy(int number, bool up);
-  // Second answers and other words that no client asked for, noted at the end.
-  void note_unasked();
+  void set_proxy_up(int number, bool up);
+  /// Records second responses and other unsolicited bytes, which are violations. To be called at
+  /// the end.
+  void record_unsolicited();
 
  private:
-  void pull();
-  void send(const load::Try& one);
-  void ended(const load::Try& one, http::CallResult how, const http::Response& response);
-  void begin_trouble(const Fault& trouble);
-  void report(int proxy, const std::string& node);
-  TimePoint now() const { return TimePoint(loop_.now() - from_); }
-  /// A point in time of the load as one of the loop.
-  TimePoint loop_time(TimePoint day_time) const { return from_ + day_time.time_since_epoch(); }
+  void send_due();
+  void send(const load::Try& client_try);
+  void end(const load::Try& client_try, http::CallResult result, const http::Response& response);
+  void begin_fault(const Fault& fault);
+  void report_wrong_answer(int proxy, const std::string& node);
+  /// The load's clock starts at the scenario's start.
+  TimePoint now() const { return TimePoint(loop_.now() - start_); }
+  TimePoint loop_time(TimePoint load_time) const { return start_ + load_time.time_since_epoch(); }
 
   net::Loop& loop_;
-  const Scenario& day_;
+  const Scenario& scenario_;
   load::Load load_;
   std::minstd_rand random_;
   record::Writer& record_;
-  std::vector<std::unique_ptr<http::ConnectionPool>> fronts_{}, admins_{};
-  std::map<std::int64_t, std::pair<int, http::ConnectionPool::Id>> calls_{};
+  std::vector<std::unique_ptr<http::ConnectionPool>> service_pools_{}, admin_pools_{};  // by proxy
+  std::map<std::int64_t, std::pair<int, http::ConnectionPool::Id>> calls_{};  // proxy and call
   net::Loop::Timer timer_ = net::Loop::no_timer;
-  TimePoint from_{};
+  TimePoint start_{};
   bool begun_ = false;
 };
 
--- a/src/day/record_meta.cpp
+++ b/src/day/record_meta.cpp
@@ -2,35 +2,35 @@
 
 namespace robinhoist::day {
 
-record::Meta meta_of(const Scenario& day, long seed) {
+record::Meta meta_of(const Scenario& scenario, long seed) {
   record::Meta meta;
-  const auto& d = day.deployment;
-  for (auto& request_class : d.request_classes)
+  const auto& deployment = scenario.deployment;
+  for (auto& request_class : deployment.request_classes)
     meta.request_classes.push_back(
         {request_class.name, request_class.request_class.latency_objective,
          request_class.request_class.deadline, request_class.request_class.dedup_window,
          request_class.request_class.idempotency, request_class.request_class.dedup_scope,
          request_class.request_class.priority_weight});
-  for (auto& tenant : d.tenants)
+  for (auto& tenant : deployment.tenants)
     meta.tenants.push_back(tenant.name);
-  meta.caps = d.rollout.caps;
-  meta.length = day.length;
-  meta.drain_grace = d.drain_grace;
-  meta.window = d.quota_window;
-  meta.fall_window = d.collapse_window;
-  meta.cold_for = d.warm_up_time;
-  meta.answer_slack = day.answer_slack;
-  meta.free = d.free_requests;
-  meta.fall_multiple = d.collapse_multiple;
-  meta.cold_from = d.initial_warm_up_factor;
-  meta.by_request_class = d.by_request_class;
-  meta.safe_only_stages = d.safe_only_stages;
-  meta.proxies = d.proxies;
-  meta.endpoints = day.server_slots;
+  meta.caps = deployment.rollout.caps;
+  meta.length = scenario.length;
+  meta.drain_grace = deployment.drain_grace;
+  meta.window = deployment.quota_window;
+  meta.fall_window = deployment.collapse_window;
+  meta.cold_for = deployment.warm_up_time;
+  meta.answer_slack = scenario.answer_slack;
+  meta.free = deployment.free_requests;
+  meta.fall_multiple = deployment.collapse_multiple;
+  meta.cold_from = deployment.initial_warm_up_factor;
+  meta.by_request_class = deployment.by_request_class;
+  meta.safe_only_stages = deployment.safe_only_stages;
+  meta.proxies = deployment.proxies;
+  meta.endpoints = scenario.server_slots;
   meta.seed = seed;
-  for (const ScheduledRelease& offer : day.releases)
-    for (const std::string& step : offer.steps)
-      meta.steps.push_back(std::to_string(offer.build.number) + "/" + step);
+  for (const ScheduledRelease& release : scenario.releases)
+    for (const std::string& step : release.steps)
+      meta.steps.push_back(std::to_string(release.build.number) + "/" + step);
   return meta;
 }
 
--- a/src/day/scenario.cpp
+++ b/src/day/scenario.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 using settings::SexpReader;
 
-constexpr std::pair<const char*, FaultKind> kinds[] = {
+constexpr std::pair<const char*, FaultKind> fault_kind_names[] = {
     {"crash", FaultKind::crash},
     {"vanish", FaultKind::vanish},
     {"slow", FaultKind::slow},
@@ -34,255 +34,261 @@
     {"watch-breaks", FaultKind::watch_breaks},
 };
 
-// (key LEAST MOST) or (key BOTH).
-std::pair<Duration, Duration> range(SexpReader& form, const char* key, Duration absent) {
+// Reads (key MIN MAX), or (key VALUE) for a range of one value.
+std::pair<Duration, Duration> read_range(SexpReader& form, const char* key, Duration fallback) {
   auto inner = form.optional_child(key);
   if (!inner)
-    return {absent, absent};
-  std::vector<Duration> read;
+    return {fallback, fallback};
+  std::vector<Duration> bounds;
   for (std::size_t i = 0; i < inner->positional_count(); ++i) {
-    auto one = settings::parse_duration(inner->positional(i, ""));
-    if (!one || *one < Duration{})
+    const auto bound = settings::parse_duration(inner->positional(i, ""));
+    if (!bound || *bound < Duration{})
       inner->add_problem(inner->positional(i, "") + " is not a span such as 250ms");
     else
-      read.push_back(*one);
+      bounds.push_back(*bound);
   }
   inner->finish();
-  if (read.empty() || read.size() > 2 || read.front() > read.back()) {
-    inner->add_problem("wants one span, or a least and a most");
-    return {absent, absent};
+  if (bounds.empty() || bounds.size() > 2 || bounds.front() > bounds.back()) {
+    inner->add_problem("must be one span, or a minimum and a maximum");
+    return {fallback, fallback};
   }
-  return {read.front(), read.back()};
+  return {bounds.front(), bounds.back()};
 }
 
-Fault read_trouble(SexpReader form, const Scenario& day) {
-  Fault trouble{};
+Fault read_fault(SexpReader form, const Scenario& scenario) {
+  Fault fault{};
   const std::string name = form.positional(0, "a kind");
   bool known = false;
-  for (auto& [word, kind] : kinds)
-    if (name == word)
-      trouble.kind = kind, known = true;
+  for (auto& [kind_name, kind] : fault_kind_names)
+    if (name == kind_name)
+      fault.kind = kind, known = true;
   if (!known) {
-    std::string all;
-    for (auto& [word, kind] : kinds)
-      all += (all.empty() ? "" : ", ") + std::string(word);
-    form.add_problem(name + " is none of " + all);
+    std::string allowed;
+    for (auto& [kind_name, kind] : fault_kind_names)
+      allowed += (allowed.empty() ? "" : ", ") + std::string(kind_name);
+    form.add_problem(name + " is not one of " + allowed);
   }
-  trouble.at = form.duration("at", 0ms, day.length);
-  trouble.duration = form.duration("for", 1ms, 1h);
-  const auto is = [&](std::initializer_list<FaultKind> of) {
-    return std::find(of.begin(), of.end(), trouble.kind) != of.end();
+  fault.at = form.duration("at", 0ms, scenario.length);
+  fault.duration = form.duration("for", 1ms, 1h);
+  const auto is_any_of = [&](std::initializer_list<FaultKind> kinds) {
+    return std::find(kinds.begin(), kinds.end(), fault.kind) != kinds.end();
   };
-  if (is({FaultKind::crash, FaultKind::vanish, FaultKind::slow, FaultKind::fast_errors,
-          FaultKind::neighbour, FaultKind::probe_fail, FaultKind::connection_squeeze,
-          FaultKind::slow_handshakes, FaultKind::hot_caller, FaultKind::proxy_crash,
-          FaultKind::proxy_roll}))
-    trouble.target_share = form.number("part", 0, 1);
-  if (is({FaultKind::slow, FaultKind::burst}))
-    trouble.magnitude = form.number("times", 0.01, 1000);
-  if (is({FaultKind::fast_errors, FaultKind::neighbour, FaultKind::probe_fail,
-          FaultKind::hot_caller, FaultKind::bad_requests}))
-    trouble.magnitude = form.number("share", 0, 0.99);
-  if (is({FaultKind::neighbour}))
-    trouble.extra = form.duration("every", 10ms, 1h, 2s).count() / 1e6;
-  if (is({FaultKind::connection_squeeze}))
-    trouble.magnitude = form.number("connections-an-umpire", 0.01, 1e6);
-  if (is({FaultKind::slow_handshakes}))
-    trouble.magnitude = form.duration("by", 0ms, 1min).count() / 1e6;
-  if (is({FaultKind::slow_link})) {
-    trouble.magnitude = form.duration("by", 0ms, 1min).count() / 1e6;
-    trouble.extra = form.number("lost", 0, 1, 0.0);
+  if (is_any_of({FaultKind::crash, FaultKind::vanish, FaultKind::slow, FaultKind::fast_errors,
+                 FaultKind::neighbour, FaultKind::probe_fail, FaultKind::connection_squeeze,
+                 FaultKind::slow_handshakes, FaultKind::hot_caller, FaultKind::proxy_crash,
+                 FaultKind::proxy_roll}))
+    fault.target_share = form.number("part", 0, 1);
+  if (is_any_of({FaultKind::slow, FaultKind::burst}))
+    fault.magnitude = form.number("times", 0.01, 1000);
+  if (is_any_of({FaultKind::fast_errors, FaultKind::neighbour, FaultKind::probe_fail,
+                 FaultKind::hot_caller, FaultKind::bad_requests}))
+    fault.magnitude = form.number("share", 0, 0.99);
+  if (is_any_of({FaultKind::neighbour}))
+    fault.extra = form.duration("every", 10ms, 1h, 2s).count() / 1e6;
+  if (is_any_of({FaultKind::connection_squeeze}))
+    fault.magnitude = form.number("connections-an-umpire", 0.01, 1e6);
+  if (is_any_of({FaultKind::slow_handshakes}))
+    fault.magnitude = form.duration("by", 0ms, 1min).count() / 1e6;
+  if (is_any_of({FaultKind::slow_link})) {
+    fault.magnitude = form.duration("by", 0ms, 1min).count() / 1e6;
+    fault.extra = form.number("lost", 0, 1, 0.0);
   }
-  if (is({FaultKind::slow_link, FaultKind::zone_cut})) {
-    trouble.zone = form.text("zone");
-    if (day.deployment.zone(trouble.zone) < 0)
-      form.add_problem("zone", "is none of the deployment's");
+  if (is_any_of({FaultKind::slow_link, FaultKind::zone_cut})) {
+    fault.zone = form.text("zone");
+    if (scenario.deployment.zone(fault.zone) < 0)
+      form.add_problem("zone", "is not a zone of the deployment");
   }
-  if (is({FaultKind::bad_requests}))
-    trouble.tenant = form.text("tenant", "");
-  if (is({FaultKind::retry_abuse})) {
-    trouble.tenant = form.text("tenant");
-    trouble.magnitude = form.integer("tries", 1, 100);
-    trouble.extra = form.number("patience", 0.01, 1);
+  if (is_any_of({FaultKind::bad_requests}))
+    fault.tenant = form.text("tenant", "");
+  if (is_any_of({FaultKind::retry_abuse})) {
+    fault.tenant = form.text("tenant");
+    fault.magnitude = form.integer("tries", 1, 100);
+    fault.extra = form.number("patience", 0.01, 1);
   }
-  if (!trouble.tenant.empty() && day.deployment.tenant(trouble.tenant) < 0)
-    form.add_problem("tenant", "is none of the deployment's");
-  if (is({FaultKind::watch_breaks}))
-    trouble.magnitude = form.duration("every", 20ms, 1h).count() / 1e6;
-  if (is({FaultKind::stale_list}))
-    trouble.magnitude = form.duration("by", 0ms, 1h).count() / 1e6;
-  if (is({FaultKind::proxy_roll})) {
-    trouble.magnitude = form.number("batch", 0.001, 1);
-    trouble.extra = form.duration("down", 0ms, 1min, 500ms).count() / 1e6;
+  if (!fault.tenant.empty() && scenario.deployment.tenant(fault.tenant) < 0)
+    form.add_problem("tenant", "is not a tenant of the deployment");
+  if (is_any_of({FaultKind::watch_breaks}))
+    fault.magnitude = form.duration("every", 20ms, 1h).count() / 1e6;
+  if (is_any_of({FaultKind::stale_list}))
+    fault.magnitude = form.duration("by", 0ms, 1h).count() / 1e6;
+  if (is_any_of({FaultKind::proxy_roll})) {
+    fault.magnitude = form.number("batch", 0.001, 1);
+    fault.extra = form.duration("down", 0ms, 1min, 500ms).count() / 1e6;
   }
-  if (is({FaultKind::controller_down})) {
-    trouble.mode = form.enumerator<std::string>(
+  if (is_any_of({FaultKind::controller_down})) {
+    fault.mode = form.enumerator<std::string>(
         "how", {{"silence", "silence"}, {"errors", "errors"}, {"stale", "stale"}});
-    if (trouble.mode == "stale")
-      trouble.magnitude = form.duration("by", 0ms, 1h).count() / 1e6;
-    if (trouble.mode == "silence")
-      trouble.magnitude = form.number("counted", 0, 1, 0.5);
+    if (fault.mode == "stale")
+      fault.magnitude = form.duration("by", 0ms, 1h).count() / 1e6;
+    if (fault.mode == "silence")
+      fault.magnitude = form.number("counted", 0, 1, 0.5);
   }
   form.finish();
-  return trouble;
+  return fault;
 }
 
-void read_load(SexpReader form, Scenario& day) {
-  load::Settings& to = day.load;
-  to.rate = form.number("rate", 0.1, 1e6);
-  to.shape = form.enumerator<load::Shape>("shape",
-                                          {{"steady", load::Shape::steady},
-                                           {"wave", load::Shape::wave},
-                                           {"ramp", load::Shape::ramp},
-                                           {"bursty", load::Shape::bursty}},
-                                          load::Shape::steady);
-  to.swing = form.number("swing", 0, 0.95, 0.0);
-  to.request_classes.resize(day.deployment.request_classes.size());
-  std::vector<bool> given(to.request_classes.size(), false);
+void read_load(SexpReader form, Scenario& scenario) {
+  load::Settings& load = scenario.load;
+  load.rate = form.number("rate", 0.1, 1e6);
+  load.shape = form.enumerator<load::Shape>("shape",
+                                            {{"steady", load::Shape::steady},
+                                             {"wave", load::Shape::wave},
+                                             {"ramp", load::Shape::ramp},
+                                             {"bursty", load::Shape::bursty}},
+                                            load::Shape::steady);
+  load.swing = form.number("swing", 0, 0.95, 0.0);
+  load.request_classes.resize(scenario.deployment.request_classes.size());
+  std::vector<bool> given(load.request_classes.size(), false);
   double sum = 0;
-  for (SexpReader& one : form.children("product", 1)) {
-    const int p = day.deployment.request_class(one.positional(0, "a product"));
+  for (SexpReader& product : form.children("product", 1)) {
+    const int p = scenario.deployment.request_class(product.positional(0, "a product"));
     if (p < 0 || given[p]) {
-      one.add_problem(p < 0 ? "is none of the deployment's products" : "given twice");
+      product.add_problem(p < 0 ? "is not a product of the deployment" : "given twice");
       continue;
     }
     given[p] = true;
-    load::RequestClass& request_class = to.request_classes[p];
-    sum += request_class.share = one.number("share", 0, 1);
-    request_class.work = one.duration("work", 1us, 1h);
-    request_class.spread = one.enumerator<load::Spread>(
+    load::RequestClass& request_class = load.request_classes[p];
+    sum += request_class.share = product.number("share", 0, 1);
+    request_class.work = product.duration("work", 1us, 1h);
+    request_class.spread = product.enumerator<load::Spread>(
         "spread",
         {{"exponential", load::Spread::exponential}, {"lognormal", load::Spread::lognormal}},
         load::Spread::exponential);
-    request_class.cv = one.number("cv", 0.01, 20, 1.0);
-    one.finish();
+    request_class.cv = product.number("cv", 0.01, 20, 1.0);
+    product.finish();
   }
-  for (std::size_t p = 0; p < to.request_classes.size(); ++p) {
-    const RequestClass& of = day.deployment.request_classes[p].request_class;
+  for (std::size_t p = 0; p < load.request_classes.size(); ++p) {
+    const RequestClass& deployed = scenario.deployment.request_classes[p].request_class;
     if (!given[p])
-      form.add_problem("product " + day.deployment.request_classes[p].name + " is missing");
-    to.request_classes[p].deadline = of.deadline;
-    to.request_classes[p].dedup_window = of.dedup_window;
-    to.request_classes[p].keyed = of.idempotency == Idempotency::idempotent_with_key;
-    to.request_classes[p].repeats =
-        of.idempotency == Idempotency::idempotent ? load::Repeats::always
-        : of.idempotency == Idempotency::idempotent_with_key && of.dedup_scope == DedupScope::all
-            ? load::Repeats::within_memory
-            : load::Repeats::only_rejected;
+      form.add_problem("product " + scenario.deployment.request_classes[p].name + " is missing");
+    load.request_classes[p].deadline = deployed.deadline;
+    load.request_classes[p].dedup_window = deployed.dedup_window;
+    load.request_classes[p].keyed = deployed.idempotency == Idempotency::idempotent_with_key;
+    load.request_classes[p].repeats = deployed.idempotency == Idempotency::idempotent
+                                          ? load::Repeats::always
+                                      : deployed.idempotency == Idempotency::idempotent_with_key &&
+                                              deployed.dedup_scope == DedupScope::all
+                                          ? load::Repeats::within_memory
+                                          : load::Repeats::only_rejected;
   }
   if (sum < 0.999 || sum > 1.001)
     form.add_problem("the products' shares must add up to 1, not " + std::to_string(sum));
   form.finish();
-  if (!day.deployment.tenants.empty()) {
-    to.tenants.clear();
-    for (auto& tenant : day.deployment.tenants)
-      to.tenants.push_back(tenant.tenant.share);
+  if (!scenario.deployment.tenants.empty()) {
+    load.tenants.clear();
+    for (auto& tenant : scenario.deployment.tenants)
+      load.tenants.push_back(tenant.tenant.share);
   }
 }
 
-void read_clients(SexpReader form, load::Settings& to) {
-  to.retries = form.integer("retries", 0, 100, 0);
+void read_clients(SexpReader form, load::Settings& load) {
+  load.retries = form.integer("retries", 0, 100, 0);
   std::vector<double> patience = form.numbers("patience", 0.01, 1, 0);
   if (!patience.empty()) {
-    to.patience_least = *std::min_element(patience.begin(), patience.end());
-    to.patience_most = *std::max_element(patience.begin(), patience.end());
+    load.patience_least = *std::min_element(patience.begin(), patience.end());
+    load.patience_most = *std::max_element(patience.begin(), patience.end());
   }
-  to.pause = form.enumerator<load::Pause>("backoff",
-                                          {{"none", load::Pause::none},
-                                           {"fixed", load::Pause::fixed},
-                                           {"growing", load::Pause::growing}},
-                                          load::Pause::none);
-  std::tie(to.pause_least, to.pause_most) = range(form, "pause", 50ms);
-  to.heeds = form.number("heed", 0, 1, 1.0);
-  to.leaves = form.number("leave", 0, 1, 0.0);
+  load.pause = form.enumerator<load::Pause>("backoff",
+                                            {{"none", load::Pause::none},
+                                             {"fixed", load::Pause::fixed},
+                                             {"growing", load::Pause::growing}},
+                                            load::Pause::none);
+  std::tie(load.pause_least, load.pause_most) = read_range(form, "pause", 50ms);
+  load.heeds = form.number("heed", 0, 1, 1.0);
+  load.leaves = form.number("leave", 0, 1, 0.0);
   form.finish();
 }
 
 }  // namespace
 
 const char* to_string(FaultKind kind) {
-  for (auto& [word, which] : kinds)
-    if (which == kind)
-      return word;
+  for (auto& [name, named_kind] : fault_kind_names)
+    if (named_kind == kind)
+      return name;
   return "?";
 }
 
 Scenario read(SexpReader root) {
-  Scenario day;
-  day.deployment = deployment::read(root.child("deployment"));
-  day.deployment_text = root.to_text("deployment");
+  Scenario scenario;
+  scenario.deployment = deployment::read(root.child("deployment"));
+  scenario.deployment_text = root.to_text("deployment");
   SexpReader form = root.child("day");
-  day.length = form.duration("length", 1s, 1h);
-  day.answer_slack = form.duration("answer-slack", 0ms, 1s, 20ms);
+  scenario.length = form.duration("length", 1s, 1h);
+  scenario.answer_slack = form.duration("answer-slack", 0ms, 1s, 20ms);
   SexpReader fleet = form.child("fleet");
-  day.server_slots = fleet.integer("places", 1, 10000);
-  day.cell_size = fleet.integer("cell-size", 1, 10000, 4);
-  day.initial_build.number = fleet.integer("build", 1, 65000, 1);
-  day.speed_spread = fleet.number("speed-spread", 0, 0.9, 0.0);
-  std::tie(day.min_boot_time, day.max_boot_time) = range(fleet, "boot", 1s);
-  day.capacity = machine::read_capacity(fleet.child("capacity"), day.deployment);
-  day.cancellation = fleet.enumerator<machine::Cancelled>("cancelled",
-                                                          {{"nothing", machine::Cancelled::nothing},
-                                                           {"queued", machine::Cancelled::queued},
-                                                           {"all", machine::Cancelled::all}},
-                                                          machine::Cancelled::nothing);
+  scenario.server_slots = fleet.integer("places", 1, 10000);
+  scenario.cell_size = fleet.integer("cell-size", 1, 10000, 4);
+  scenario.initial_build.number = fleet.integer("build", 1, 65000, 1);
+  scenario.speed_spread = fleet.number("speed-spread", 0, 0.9, 0.0);
+  std::tie(scenario.min_boot_time, scenario.max_boot_time) = read_range(fleet, "boot", 1s);
+  scenario.capacity = machine::read_capacity(fleet.child("capacity"), scenario.deployment);
+  scenario.cancellation =
+      fleet.enumerator<machine::Cancelled>("cancelled",
+                                           {{"nothing", machine::Cancelled::nothing},
+                                            {"queued", machine::Cancelled::queued},
+                                            {"all", machine::Cancelled::all}},
+                                           machine::Cancelled::nothing);
   fleet.finish();
   if (auto list = form.optional_child("list")) {
-    std::tie(day.min_registry_delay, day.max_registry_delay) = range(*list, "told-after", 0ms);
-    day.silent_removal_delay = list->duration("silent-after", 0ms, 1h, 5s);
+    std::tie(scenario.min_registry_delay, scenario.max_registry_delay) =
+        read_range(*list, "told-after", 0ms);
+    scenario.silent_removal_delay = list->duration("silent-after", 0ms, 1h, 5s);
     list->finish();
   }
   if (auto controller = form.optional_child("controller")) {
-    std::tie(day.min_publish_delay, day.max_publish_delay) = range(*controller, "told-after", 0ms);
+    std::tie(scenario.min_publish_delay, scenario.max_publish_delay) =
+        read_range(*controller, "told-after", 0ms);
     controller->finish();
   }
   if (auto reports = form.optional_child("reports")) {
-    std::tie(day.min_report_delay, day.max_report_delay) = range(*reports, "after", 1s);
-    day.false_report_share = reports->number("false", 0, 1, 0.0);
+    std::tie(scenario.min_report_delay, scenario.max_report_delay) =
+        read_range(*reports, "after", 1s);
+    scenario.false_report_share = reports->number("false", 0, 1, 0.0);
     reports->finish();
   }
-  day.load.proxies = day.deployment.proxies;
-  day.load.length = day.length;
+  scenario.load.proxies = scenario.deployment.proxies;
+  scenario.load.length = scenario.length;
   if (auto front = form.optional_child("front")) {
-    day.load.notice = front->duration("notice", 0ms, 1h, 1s);
+    scenario.load.notice = front->duration("notice", 0ms, 1h, 1s);
     front->finish();
   }
-  read_load(form.child("load"), day);
+  read_load(form.child("load"), scenario);
   if (auto clients = form.optional_child("clients"))
-    read_clients(*clients, day.load);
+    read_clients(*clients, scenario.load);
   if (auto database = form.optional_child("database")) {
-    day.database = true;
-    day.database_setup = database->text("setup");
-    day.batch_slowdown = database->number("batch-slows", 1, 1000, 1.0);
-    day.throttle_backfills = database->boolean("throttle", true);
+    scenario.database = true;
+    scenario.database_setup = database->text("setup");
+    scenario.batch_slowdown = database->number("batch-slows", 1, 1000, 1.0);
+    scenario.throttle_backfills = database->boolean("throttle", true);
     database->finish();
   }
   for (SexpReader& release : form.children("release")) {
-    ScheduledRelease offer;
-    offer.at = release.duration("at", 0ms, day.length);
-    offer.needs = release.text("needs", "");
+    ScheduledRelease scheduled;
+    scheduled.at = release.duration("at", 0ms, scenario.length);
+    scheduled.needs = release.text("needs", "");
     if (auto plan = release.optional_child("plan")) {
-      if (!day.database)
-        release.add_problem("plan", "has no (database ...) to run against");
-      offer.plan = release.to_text("plan");
-      migration::Plan read =
-          migration::read_plan(*plan, static_cast<int>(day.deployment.rollout.stages.size()));
-      for (const migration::Step& step : read.steps)
-        offer.steps.push_back(step.id);
+      if (!scenario.database)
+        release.add_problem("plan", "needs a (database ...) to run against");
+      scheduled.plan = release.to_text("plan");
+      const migration::Plan parsed =
+          migration::read_plan(*plan, static_cast<int>(scenario.deployment.rollout.stages.size()));
+      for (const migration::Step& step : parsed.steps)
+        scheduled.steps.push_back(step.id);
     }
-    offer.build = machine::read_build(release, day.deployment);
-    if (offer.build.number <=
-        (day.releases.empty() ? day.initial_build.number : day.releases.back().build.number))
-      release.add_problem("its build is not newer than the one before");
-    if (!day.releases.empty() && offer.at < day.releases.back().at)
-      release.add_problem("at", "is before the release given before it");
-    day.releases.push_back(offer);
+    scheduled.build = machine::read_build(release, scenario.deployment);
+    if (scheduled.build.number <= (scenario.releases.empty()
+                                       ? scenario.initial_build.number
+                                       : scenario.releases.back().build.number))
+      release.add_problem("its build is not newer than that of the release before it");
+    if (!scenario.releases.empty() && scheduled.at < scenario.releases.back().at)
+      release.add_problem("at", "is earlier than that of the release before it");
+    scenario.releases.push_back(scheduled);
   }
-  for (SexpReader& trouble : form.children("trouble"))
-    day.faults.push_back(read_trouble(trouble, day));
+  for (SexpReader& fault : form.children("trouble"))
+    scenario.faults.push_back(read_fault(fault, scenario));
   form.finish();
   root.finish();
-  return day;
+  return scenario;
 }
 
 }  // namespace robinhoist::day
