--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -12,59 +12,62 @@
 namespace robinhoist::lab {
 namespace {
 
-constexpr std::size_t cells_most = 10000;
+constexpr std::size_t max_cells = 10000;
 
 std::string content_of(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   std::ostringstream text;
   if (!in || !(text << in.rdbuf()))
-    throw settings::ValidationError(file + ": can't be read", 1);
+    throw settings::ValidationError(file + ": cannot be read", 1);
   return text.str();
 }
 
-std::string plain(double value) {
+std::string to_text(double value) {
   std::ostringstream out;
   out << value;
   return out.str();
 }
 
+// The parameter values of one cell.
 using Row = std::vector<std::string>;
 
 std::vector<Row> grid(const std::vector<Parameter>& parameters) {
   std::vector<Row> rows{{}};
-  for (const Parameter& one : parameters) {
+  for (const Parameter& parameter : parameters) {
     std::vector<Row> longer;
     for (const Row& row : rows)
-      for (const std::string& value : one.values) {
+      for (const std::string& value : parameter.values) {
         longer.push_back(row);
         longer.back().push_back(value);
       }
     rows = std::move(longer);
-    if (rows.size() > cells_most)
+    if (rows.size() > max_cells)
       break;
   }
   return rows;
 }
 
-// Each parameter's range in as many strata as there are rows: one draw in each, in an order of its
-// own (latin), or anywhere (random).
-std::vector<Row> drawn(const std::vector<Parameter>& parameters, int many, bool latin, long seed) {
-  std::vector<Row> rows(static_cast<std::size_t>(many));
-  std::minstd_rand chance(static_cast<unsigned>(seed));
-  std::uniform_real_distribution<double> part(0, 1);
-  for (const Parameter& one : parameters) {
-    std::vector<double> at;
-    for (int i = 0; i < many; ++i)
-      at.push_back(latin ? (i + part(chance)) / many : part(chance));
+// Samples `count` rows. With Latin hypercube sampling each parameter's range is divided into as
+// many strata, each sampled once, in an order of its own; otherwise samples are independent.
+std::vector<Row> sample(const std::vector<Parameter>& parameters, int count, bool latin,
+                        long seed) {
+  std::vector<Row> rows(static_cast<std::size_t>(count));
+  std::minstd_rand random(static_cast<unsigned>(seed));
+  std::uniform_real_distribution<double> uniform(0, 1);
+  for (const Parameter& parameter : parameters) {
+    std::vector<double> positions;
+    for (int i = 0; i < count; ++i)
+      positions.push_back(latin ? (i + uniform(random)) / count : uniform(random));
     if (latin)
-      std::shuffle(at.begin(), at.end(), chance);
-    for (int i = 0; i < many; ++i) {
-      const double p = at[static_cast<std::size_t>(i)];
+      std::shuffle(positions.begin(), positions.end(), random);
+    for (int i = 0; i < count; ++i) {
+      const double position = positions[static_cast<std::size_t>(i)];
       rows[static_cast<std::size_t>(i)].push_back(
-          one.range ? plain(one.least + p * (one.most - one.least))
-                    : one.values[std::min(
-                          one.values.size() - 1,
-                          static_cast<std::size_t>(p * static_cast<double>(one.values.size())))]);
+          parameter.is_range ? to_text(parameter.min + position * (parameter.max - parameter.min))
+                             : parameter.values[std::min(
+                                   parameter.values.size() - 1,
+                                   static_cast<std::size_t>(
+                                       position * static_cast<double>(parameter.values.size())))]);
     }
   }
   return rows;
@@ -85,76 +88,78 @@
 Experiment read(const std::string& file) {
   settings::SexpReader root = settings::SexpReader::from_file(file);
   settings::SexpReader form = root.child("experiment");
-  Experiment to;
-  to.name = form.text("name");
-  to.day_file = (std::filesystem::path(file).parent_path() / form.text("day")).string();
-  to.repetitions = form.integer("repetitions", 1, 100000, 10);
-  to.seed = form.integer("seed", 1, 1000000000, 1);
-  int many = 0;
+  Experiment experiment;
+  experiment.name = form.text("name");
+  experiment.scenario_file =
+      (std::filesystem::path(file).parent_path() / form.text("day")).string();
+  experiment.repetitions = form.integer("repetitions", 1, 100000, 10);
+  experiment.seed = form.integer("seed", 1, 1000000000, 1);
+  int sample_count = 0;  // 0: a grid
   bool latin = false;
   if (auto draw = form.optional_child("draw")) {
     const std::string how = draw->positional_count() > 0 ? draw->positional(0, "how") : "";
     if (auto random = draw->optional_child("random"))
-      many =
-          static_cast<int>(settings::parse_number(random->positional(0, "how many")).value_or(0));
+      sample_count = static_cast<int>(
+          settings::parse_number(random->positional(0, "a number of samples")).value_or(0));
     else if (auto square = draw->optional_child("latin"))
       latin = true,
-      many =
-          static_cast<int>(settings::parse_number(square->positional(0, "how many")).value_or(0));
+      sample_count = static_cast<int>(
+          settings::parse_number(square->positional(0, "a number of samples")).value_or(0));
     else if (how != "grid")
-      draw->add_problem("is none of grid, (random N), (latin N)");
-    if (how != "grid" && (many < 1 || many > static_cast<int>(cells_most)))
-      draw->add_problem("how many must be from 1 to 10000");
+      draw->add_problem("is not one of grid, (random N), (latin N)");
+    if (how != "grid" && (sample_count < 1 || sample_count > static_cast<int>(max_cells)))
+      draw->add_problem("the number of samples must be from 1 to 10000");
     draw->finish();
   }
   std::vector<std::string> policies;
-  if (auto words = form.optional_child("policies")) {
-    for (std::size_t i = 0; i < words->positional_count(); ++i) {
-      policies.push_back(words->positional(i, "a policy"));
+  if (auto names = form.optional_child("policies")) {
+    for (std::size_t i = 0; i < names->positional_count(); ++i) {
+      policies.push_back(names->positional(i, "a policy"));
       if (!emulator::policy_of(policies.back()))
-        words->add_problem(
-            policies.back() +
-            " is none of module, and random, round-robin, least-requests, each alone or with "
-            "/never, /always, /threshold");
+        names->add_problem(policies.back() +
+                           " is not one of module, random, round-robin, least-requests; the last "
+                           "three may be followed by /never, /always or /threshold");
     }
-    words->finish();
+    names->finish();
   }
   if (policies.empty())
     policies.push_back("module");
   for (settings::SexpReader& vary : form.children("vary", policies.size() > 1 ? 0 : 1)) {
-    Parameter one;
-    one.name = vary.positional(0, "a name");
-    one.at = vary.text("at");
+    Parameter parameter;
+    parameter.name = vary.positional(0, "a name");
+    parameter.path = vary.text("at");
     if (auto values = vary.optional_child("values"))
       for (std::size_t i = 0; i < values->positional_count(); ++i)
-        one.values.push_back(values->positional(i, "a value"));
+        parameter.values.push_back(values->positional(i, "a value"));
     if (auto range = vary.optional_child("from")) {
-      one.range = true;
-      one.least = settings::parse_number(range->positional(0, "the least")).value_or(0);
-      one.most = settings::parse_number(range->positional(1, "the most")).value_or(0);
-      if (!(one.least < one.most))
+      parameter.is_range = true;
+      parameter.min = settings::parse_number(range->positional(0, "a minimum")).value_or(0);
+      parameter.max = settings::parse_number(range->positional(1, "a maximum")).value_or(0);
+      if (!(parameter.min < parameter.max))
         range->add_problem("needs two numbers, the lesser first");
-      if (many == 0)
-        range->add_problem("a range can't be taken in a grid: give values, or draw");
+      if (sample_count == 0)
+        range->add_problem(
+            "a grid needs (values ...); a range needs (draw (random N)) or "
+            "(draw (latin N))");
     }
-    if (one.values.empty() && !one.range)
-      vary.add_problem("has neither (values ...) nor (from LEAST MOST)");
+    if (parameter.values.empty() && !parameter.is_range)
+      vary.add_problem("needs (values ...) or (from MIN MAX)");
     vary.finish();
-    to.parameters.push_back(std::move(one));
+    experiment.parameters.push_back(std::move(parameter));
   }
   form.finish();
   root.finish();
-  const std::string day_text = content_of(to.day_file);
+  const std::string base_text = content_of(experiment.scenario_file);
   const std::vector<Row> rows =
-      many > 0 ? drawn(to.parameters, many, latin, to.seed) : grid(to.parameters);
-  if (rows.size() > cells_most)
+      sample_count > 0 ? sample(experiment.parameters, sample_count, latin, experiment.seed)
+                       : grid(experiment.parameters);
+  if (rows.size() > max_cells)
     throw settings::ValidationError(file + ": more than 10000 cells", 1);
-  to.digest = to.name + "\n" + std::to_string(to.seed);
-  // Policies come last among the parameters, so that plots have the first varied thing as their
-  // axis.
-  const std::size_t varied = to.parameters.size();
+  experiment.digest_input = experiment.name + "\n" + std::to_string(experiment.seed);
+  // The policy is the last parameter, because plots use the first one as their x axis.
+  const std::size_t varied = experiment.parameters.size();
   if (policies.size() > 1)
-    to.parameters.push_back({.name = "policy", .at = "", .values = policies});
+    experiment.parameters.push_back({.name = "policy", .path = "", .values = policies});
   for (const std::string& policy : policies)
     for (const Row& row : rows) {
       Cell cell;
@@ -162,24 +167,27 @@
       cell.policy = emulator::policy_of(policy).value_or(emulator::PolicySpec{});
       if (policies.size() > 1)
         cell.values.push_back(policy);
-      settings::SexpReader day = settings::SexpReader::from_text(day_text, to.day_file);
+      settings::SexpReader base =
+          settings::SexpReader::from_text(base_text, experiment.scenario_file);
       std::string label;
       for (std::size_t i = 0; i < varied; ++i) {
-        label += (label.empty() ? "" : ", ") + to.parameters[i].name + "=" + row[i];
-        if (!day.override_value(to.parameters[i].at, row[i]))
+        const Parameter& parameter = experiment.parameters[i];
+        label += (label.empty() ? "" : ", ") + parameter.name + "=" + row[i];
+        if (!base.override_value(parameter.path, row[i]))
           throw settings::ValidationError(
-              file + ": " + to.parameters[i].at + " names nothing in " + to.day_file, 1);
+              file + ": there is no " + parameter.path + " in " + experiment.scenario_file, 1);
       }
-      cell.text = day.to_text();
-      // Read anew from its text: what a cell makes wrong is told with the cell's name.
-      cell.day =
-          day::read(settings::SexpReader::from_text(cell.text, to.day_file + " (" + label + ")"));
-      if (const std::string why = emulator::why_not(cell.day); !why.empty())
-        throw settings::ValidationError(to.day_file + ": can't be emulated: " + why, 1);
-      to.digest += "\n" + policy + "\n" + cell.text;
-      to.cells.push_back(std::move(cell));
+      cell.scenario_text = base.to_text();
+      // Read again from the changed text, so that messages name the cell.
+      cell.scenario = day::read(settings::SexpReader::from_text(
+          cell.scenario_text, experiment.scenario_file + " (" + label + ")"));
+      if (const std::string reason = emulator::why_not(cell.scenario); !reason.empty())
+        throw settings::ValidationError(
+            experiment.scenario_file + ": cannot be emulated: " + reason, 1);
+      experiment.digest_input += "\n" + policy + "\n" + cell.scenario_text;
+      experiment.cells.push_back(std::move(cell));
     }
-  return to;
+  return experiment;
 }
 
 }  // namespace robinhoist::lab
--- a/src/lab/experiment_runner.cpp
+++ b/src/lab/experiment_runner.cpp
@@ -25,7 +25,7 @@
 namespace robinhoist::lab {
 namespace {
 
-[[noreturn]] void fail(sqlite3* db, const std::string& file) {
+[[noreturn]] void throw_error(sqlite3* db, const std::string& file) {
   throw std::runtime_error(file + ": " + (db ? sqlite3_errmsg(db) : "out of memory"));
 }
 
@@ -44,7 +44,7 @@
   return text;
 }
 
-std::string shown(double value) {
+std::string to_text(double value) {
   char text[32];
   std::snprintf(text, sizeof text,
                 std::abs(value) >= 100  ? "%.0f"
@@ -54,51 +54,51 @@
   return text;
 }
 
-std::string shown(const Mean& mean) {
+std::string to_text(const Mean& mean) {
   if (mean.count == 0)
     return "-";
-  return shown(mean.mean) + (mean.count < 2 ? "" : " +- " + shown(mean.half_width));
+  return to_text(mean.mean) + (mean.count < 2 ? "" : " +- " + to_text(mean.half_width));
 }
 
-// A measure's values in two cells, over the repetitions that both have.
-std::pair<std::vector<double>, std::vector<double>> pairs(const std::map<int, MeasureValues>& a,
-                                                          const std::map<int, MeasureValues>& b,
-                                                          const char* measure) {
-  std::pair<std::vector<double>, std::vector<double>> both;
+// A measure's values in two cells, for the repetitions that both have.
+std::pair<std::vector<double>, std::vector<double>> paired_values(
+    const std::map<int, MeasureValues>& a, const std::map<int, MeasureValues>& b,
+    const char* measure) {
+  std::pair<std::vector<double>, std::vector<double>> paired;
   for (auto& [repetition, values] : a) {
     auto other = b.find(repetition);
     if (other == b.end() || values.count(measure) == 0 || other->second.count(measure) == 0)
       continue;
-    both.first.push_back(values.at(measure));
-    both.second.push_back(other->second.at(measure));
+    paired.first.push_back(values.at(measure));
+    paired.second.push_back(other->second.at(measure));
   }
-  return both;
+  return paired;
 }
 
 std::vector<double> values_of(const std::map<int, MeasureValues>& runs, const char* measure) {
   std::vector<double> values;
-  for (auto& [repetition, of] : runs)
-    if (auto at = of.find(measure); at != of.end())
+  for (auto& [repetition, run_values] : runs)
+    if (auto at = run_values.find(measure); at != run_values.end())
       values.push_back(at->second);
   return values;
 }
 
-std::string escaped(const std::string& text) {
+std::string html_escaped(const std::string& text) {
   std::string out;
   for (char c : text)
     out += c == '<' ? "&lt;" : c == '>' ? "&gt;" : c == '&' ? "&amp;" : std::string(1, c);
   return out;
 }
 
-// An SVG by gnuplot; empty where it is missing.
+// Runs gnuplot and returns the SVG; empty when gnuplot is not installed or fails.
 std::string plot(const std::string& script, const std::string& folder, const std::string& name) {
   const std::string svg = folder + "/" + name + ".svg", file = folder + "/" + name + ".gp";
   std::ofstream(file) << "set terminal svg size 720,420 font 'sans,11'\nset output '" << svg
                       << "'\n"
                       << script;
-  const char* words[] = {"gnuplot", file.c_str(), nullptr};
+  const char* arguments[] = {"gnuplot", file.c_str(), nullptr};
   pid_t pid = 0;
-  if (posix_spawnp(&pid, "gnuplot", nullptr, nullptr, const_cast<char**>(words), environ) != 0)
+  if (posix_spawnp(&pid, "gnuplot", nullptr, nullptr, const_cast<char**>(arguments), environ) != 0)
     return "";
   int status = 0;
   ::waitpid(pid, &status, 0);
@@ -115,35 +115,35 @@
 
 Results::Results(const std::string& file, const Experiment& experiment) {
   if (sqlite3_open(file.c_str(), &db_) != SQLITE_OK)
-    fail(db_, file);
+    throw_error(db_, file);
   sqlite3_busy_timeout(db_, 5000);
-  const std::string digest = digest_of(experiment.digest);
-  const char* make =
+  const std::string digest = digest_of(experiment.digest_input);
+  const char* schema =
       "CREATE TABLE IF NOT EXISTS experiment (digest TEXT PRIMARY KEY);"
       "CREATE TABLE IF NOT EXISTS runs (cell INTEGER, repetition INTEGER, measure TEXT, value "
       "REAL, PRIMARY "
       "KEY (cell, "
       "repetition, measure))";
-  if (sqlite3_exec(db_, make, nullptr, nullptr, nullptr) != SQLITE_OK)
-    fail(db_, file);
-  std::string held;
+  if (sqlite3_exec(db_, schema, nullptr, nullptr, nullptr) != SQLITE_OK)
+    throw_error(db_, file);
+  std::string stored_digest;
   sqlite3_exec(
       db_, "SELECT digest FROM experiment",
       [](void* to, int, char** values, char**) {
         *static_cast<std::string*>(to) = values[0];
         return 0;
       },
-      &held, nullptr);
-  // What was measured under other settings must not be mixed in.
-  if (!held.empty() && held != digest)
+      &stored_digest, nullptr);
+  // Results that were measured under other settings must not be mixed in.
+  if (!stored_digest.empty() && stored_digest != digest)
     throw std::runtime_error(
         file +
         ": holds the results of another experiment, or of this one before it was changed; "
-        "give another folder");
-  if (held.empty() &&
+        "choose another folder");
+  if (stored_digest.empty() &&
       sqlite3_exec(db_, ("INSERT INTO experiment VALUES ('" + digest + "')").c_str(), nullptr,
                    nullptr, nullptr) != SQLITE_OK)
-    fail(db_, file);
+    throw_error(db_, file);
 }
 
 Results::~Results() {
@@ -156,13 +156,13 @@
                      &query, nullptr);
   sqlite3_bind_int(query, 1, cell);
   sqlite3_bind_int(query, 2, repetition);
-  const bool there = sqlite3_step(query) == SQLITE_ROW;
+  const bool found = sqlite3_step(query) == SQLITE_ROW;
   sqlite3_finalize(query);
-  return there;
+  return found;
 }
 
 void Results::store(int cell, int repetition, const MeasureValues& values) {
-  // All of a run or nothing of it: one that was cut off is played again.
+  // One transaction for each run, so that an interrupted run is repeated as a whole.
   std::string sql = "BEGIN;";
   for (auto& [measure, value] : values) {
     char text[160];
@@ -172,7 +172,7 @@
   }
   if (sqlite3_exec(db_, (sql + "COMMIT").c_str(), nullptr, nullptr, nullptr) != SQLITE_OK) {
     sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
-    fail(db_, "results");
+    throw_error(db_, "results");
   }
 }
 
@@ -190,8 +190,8 @@
   return runs;
 }
 
-MeasureValues play(const Cell& cell, long seed) {
-  const emulator::Summary summary = emulator::run(cell.day, seed, "", {}, cell.policy);
+MeasureValues run_cell(const Cell& cell, long seed) {
+  const emulator::Summary summary = emulator::run(cell.scenario, seed, "", {}, cell.policy);
   MeasureValues values;
   const double tries = std::max(1.0, static_cast<double>(summary.tries));
   values["revenue"] =
@@ -203,103 +203,103 @@
     values["p50"] = quantile(summary.took_ms, 0.5);
     values["p99"] = quantile(summary.took_ms, 0.99);
   }
-  std::map<int, TimePoint> begun, back;
+  std::map<int, TimePoint> begun, rolled_back;
   for (const auto& verdict : summary.verdicts) {
     if (verdict.phase == "trial")
       begun.emplace(verdict.build, verdict.at);
-    // Sent away by the next release is no verdict on it.
+    // A rollback because the next release was created is no verdict on the build.
     if (verdict.phase == "going-back" && verdict.why != "the next build is offered")
-      back.emplace(verdict.build, verdict.at);
+      rolled_back.emplace(verdict.build, verdict.at);
   }
-  int good = 0, good_back = 0, bad = 0, bad_back = 0;
-  double after = 0;
-  for (const day::ScheduledRelease& offer : cell.day.releases) {
-    const int build = offer.build.number;
+  int good = 0, good_rolled_back = 0, bad = 0, bad_rolled_back = 0;
+  double seconds_to_rollback = 0;
+  for (const day::ScheduledRelease& release : cell.scenario.releases) {
+    const int build = release.build.number;
     if (begun.count(build) == 0)
       continue;
-    const bool is_back = back.count(build) > 0;
-    if (offer.build.flaw == machine::Flaw::none) {
+    const bool is_rolled_back = rolled_back.count(build) > 0;
+    if (release.build.flaw == machine::Flaw::none) {
       ++good;
-      good_back += is_back;
+      good_rolled_back += is_rolled_back;
     } else {
       ++bad;
-      bad_back += is_back;
-      if (is_back)
-        after += std::chrono::duration<double>(back[build] - begun[build]).count();
+      bad_rolled_back += is_rolled_back;
+      if (is_rolled_back)
+        seconds_to_rollback +=
+            std::chrono::duration<double>(rolled_back[build] - begun[build]).count();
     }
   }
   if (good > 0)
-    values["good-sent-back"] = 100.0 * good_back / good;
+    values["good-sent-back"] = 100.0 * good_rolled_back / good;
   if (bad > 0)
-    values["bad-sent-back"] = 100.0 * bad_back / bad;
-  if (bad_back > 0)
-    values["bad-known-after"] = after / bad_back;
+    values["bad-sent-back"] = 100.0 * bad_rolled_back / bad;
+  if (bad_rolled_back > 0)
+    values["bad-known-after"] = seconds_to_rollback / bad_rolled_back;
   return values;
 }
 
 int run(const Experiment& experiment, Results& results, int jobs,
-        const std::function<void(int done, int all, double left_s)>& told) {
+        const std::function<void(int done, int all, double seconds_left)>& on_progress) {
   struct Job {
     int cell, repetition;
   };
-  std::vector<Job> open;
-  // Repetition by repetition, so that a stop leaves all cells with as many.
+  std::vector<Job> pending;
+  // In order of repetitions, so that all cells have about as many runs when it is interrupted.
   for (int repetition = 0; repetition < experiment.repetitions; ++repetition)
     for (int cell = 0; cell < static_cast<int>(experiment.cells.size()); ++cell)
       if (!results.contains(cell, repetition))
-        open.push_back({cell, repetition});
+        pending.push_back({cell, repetition});
   std::atomic<std::size_t> next{0};
   std::mutex mutex;
   int done = 0;
-  std::string failed;
-  const auto from = std::chrono::steady_clock::now();
-  const auto work = [&] {
-    for (std::size_t at; (at = next++) < open.size();) {
-      const Job job = open[at];
+  std::string error;
+  const auto start = std::chrono::steady_clock::now();
+  const auto run_jobs = [&] {
+    for (std::size_t at; (at = next++) < pending.size();) {
+      const Job job = pending[at];
       try {
-        const MeasureValues values = play(experiment.cells[static_cast<std::size_t>(job.cell)],
-                                          experiment.seed + job.repetition);
+        const MeasureValues values = run_cell(experiment.cells[static_cast<std::size_t>(job.cell)],
+                                              experiment.seed + job.repetition);
         std::lock_guard lock(mutex);
         results.store(job.cell, job.repetition, values);
         ++done;
-        const double passed =
-            std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
-        if (told)
-          told(done, static_cast<int>(open.size()),
-               passed / done * static_cast<double>(open.size() - done));
-      } catch (const std::exception& bad) {
+        const double elapsed =
+            std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
+        if (on_progress)
+          on_progress(done, static_cast<int>(pending.size()),
+                      elapsed / done * static_cast<double>(pending.size() - done));
+      } catch (const std::exception& exception) {
         std::lock_guard lock(mutex);
-        failed = bad.what();
-        next = open.size();
+        error = exception.what();
+        next = pending.size();
       }
     }
   };
   std::vector<std::thread> threads;
   for (int i = 0; i < std::max(1, jobs); ++i)
-    threads.emplace_back(work);
+    threads.emplace_back(run_jobs);
   for (std::thread& thread : threads)
     thread.join();
-  if (!failed.empty())
-    throw std::runtime_error(failed);
+  if (!error.empty())
+    throw std::runtime_error(error);
   return done;
 }
 
 std::string table(const Experiment& experiment, const Results& results) {
   std::ostringstream out;
   out << experiment.name << ": " << experiment.cells.size() << " cells, " << experiment.repetitions
-      << " repetitions; means with 95% intervals, each cell against the first, or against the "
-         "first policy, "
-         "seed by seed\n";
-  // With policies side by side each cell is compared with the first policy's under the same
-  // settings.
-  const bool policies = !experiment.parameters.empty() && experiment.parameters.back().at.empty();
-  const std::size_t a_policy =
-      policies ? experiment.cells.size() / experiment.parameters.back().values.size()
-               : experiment.cells.size();
+      << " repetitions; means with 95% confidence intervals; differences from the first cell, or "
+         "from the first policy under the same settings, paired by seed\n";
+  // With several policies the baseline of a cell is the first policy's cell of the same settings.
+  const bool has_policies =
+      !experiment.parameters.empty() && experiment.parameters.back().path.empty();
+  const std::size_t cells_per_policy =
+      has_policies ? experiment.cells.size() / experiment.parameters.back().values.size()
+                   : experiment.cells.size();
   for (std::size_t c = 0; c < experiment.cells.size(); ++c) {
     const auto runs = results.runs_of(static_cast<int>(c));
-    const std::size_t base = policies ? c % a_policy : 0;
-    const auto first = results.runs_of(static_cast<int>(base));
+    const std::size_t baseline = has_policies ? c % cells_per_policy : 0;
+    const auto baseline_runs = results.runs_of(static_cast<int>(baseline));
     out << label(experiment, experiment.cells[c]) << " (" << runs.size() << " runs)\n";
     for (const Measure& measure : measures()) {
       const std::vector<double> values = values_of(runs, measure.name);
@@ -307,16 +307,16 @@
         continue;
       char line[200];
       std::snprintf(line, sizeof line, "  %-16s %18s %-6s", measure.name,
-                    shown(mean_of(values)).c_str(), measure.unit);
+                    to_text(mean_of(values)).c_str(), measure.unit);
       out << line;
-      if (c != base) {
-        const auto [a, b] = pairs(first, runs, measure.name);
+      if (c != baseline) {
+        const auto [a, b] = paired_values(baseline_runs, runs, measure.name);
         const PairedComparison paired = compare(a, b, measure.more_is_better);
-        std::snprintf(line, sizeof line, "  %18s  %s", shown(paired.difference).c_str(),
+        std::snprintf(line, sizeof line, "  %18s  %s", to_text(paired.difference).c_str(),
                       to_string(paired.verdict));
         out << line;
         if (paired.additional_pairs)
-          out << ", " << *paired.additional_pairs << " more runs likely would";
+          out << ", " << *paired.additional_pairs << " more runs would likely decide it";
       }
       out << "\n";
     }
@@ -324,15 +324,16 @@
   return out.str();
 }
 
-std::string page(const Experiment& experiment, const Results& results, const std::string& folder) {
+std::string html_report(const Experiment& experiment, const Results& results,
+                        const std::string& folder) {
   std::ostringstream html;
   html << "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>"
-       << escaped(experiment.name)
+       << html_escaped(experiment.name)
        << "</title><style>body{font:14px/1.5 sans-serif;max-width:60em;margin:2em auto;padding:0 "
           "1em}pre{overflow:auto}svg{max-width:100%;background:#fff}</style><h1>"
-       << escaped(experiment.name) << "</h1>";
-  // A curve for each measure over the first parameter that has numbers, a line for each setting of
-  // the others.
+       << html_escaped(experiment.name) << "</h1>";
+  // One plot for each measure over the first parameter, if its values are numbers, with one line
+  // for each combination of the others.
   std::vector<std::map<int, MeasureValues>> runs;
   for (std::size_t c = 0; c < experiment.cells.size(); ++c)
     runs.push_back(results.runs_of(static_cast<int>(c)));
@@ -344,10 +345,11 @@
       const std::vector<double> values = values_of(runs[c], measure.name);
       if (!x || values.empty())
         continue;
-      std::string rest;
+      std::string others;
       for (std::size_t i = 1; i < cell.values.size(); ++i)
-        rest += (rest.empty() ? "" : ", ") + experiment.parameters[i].name + "=" + cell.values[i];
-      lines[rest][*x] = mean_of(values);
+        others +=
+            (others.empty() ? "" : ", ") + experiment.parameters[i].name + "=" + cell.values[i];
+      lines[others][*x] = mean_of(values);
     }
     if (lines.empty())
       continue;
@@ -356,7 +358,7 @@
            << " (" << measure.unit << ")'\nset grid\nset xtics rotate by -45\nset key "
            << (lines.size() > 1 ? "below maxcols 2" : "off") << "\n";
     int number = 0;
-    for (auto& [rest, points] : lines) {
+    for (auto& [others, points] : lines) {
       script << "$d" << number++ << " << EOD\n";
       for (auto& [x, mean] : points)
         script << x << " " << mean.mean << " "
@@ -365,18 +367,18 @@
     }
     script << "plot ";
     number = 0;
-    for (auto& [rest, points] : lines) {
+    for (auto& [others, points] : lines) {
       script << (number > 0 ? ", " : "") << "$d" << number
-             << " using 1:2:3 with yerrorlines title '" << rest << "'";
+             << " using 1:2:3 with yerrorlines title '" << others << "'";
       ++number;
     }
     const std::string svg = plot(script.str() + "\n", folder, std::string("plot-") + measure.name);
     html << "<h2>" << measure.name << "</h2>"
-         << (svg.empty() ? "<p>gnuplot is missing: no plot</p>" : svg);
+         << (svg.empty() ? "<p>no plot: gnuplot is not available</p>" : svg);
   }
-  html << "<h2>Figures</h2><pre>" << escaped(table(experiment, results))
-       << "</pre><h2>The first cell's day</h2><pre>" << escaped(experiment.cells.front().text)
-       << "</pre></html>\n";
+  html << "<h2>Figures</h2><pre>" << html_escaped(table(experiment, results))
+       << "</pre><h2>Scenario of the first cell</h2><pre>"
+       << html_escaped(experiment.cells.front().scenario_text) << "</pre></html>\n";
   return html.str();
 }
 
--- a/src/lab/experiment_runner.h
+++ b/src/lab/experiment_runner.h
@@ -1,5 +1,5 @@
-// Runs an experiment on all cores, keeps each run's measures in SQLite, goes on where it stopped,
-// and tells what came of it as a table and as one page with plots.
+/// Runs the cells of an experiment in parallel, stores the measures of each run in SQLite, so that
+/// an interrupted experiment resumes, and reports them as a table and as an HTML page with plots.
 #pragma once
 #include <functional>
 #include <map>
@@ -12,11 +12,11 @@
 
 namespace robinhoist::lab {
 
-using MeasureValues =
-    std::map<std::string, double>;  // by measure; one that has no meaning in a run is left out
+/// By measure. One that is undefined for a run is missing.
+using MeasureValues = std::map<std::string, double>;
 
-// Results of one experiment. Throws std::runtime_error when the file is another experiment's or
-// can't be used.
+/// The stored results of one experiment. Throws std::runtime_error when the file cannot be used or
+/// holds the results of another experiment.
 class Results {
  public:
   Results(const std::string& file, const Experiment& experiment);
@@ -25,20 +25,23 @@
   Results& operator=(const Results&) = delete;
   bool contains(int cell, int repetition) const;
   void store(int cell, int repetition, const MeasureValues& values);
-  // By repetition.
+  /// By repetition.
   std::map<int, MeasureValues> runs_of(int cell) const;
 
  private:
   sqlite3* db_ = nullptr;
 };
 
-MeasureValues play(const Cell& cell, long seed);
-// `told` hears of progress, from whichever thread; the runs that were played now.
+MeasureValues run_cell(const Cell& cell, long seed);
+/// Runs what is not in `results` yet, on `jobs` threads, and returns how many runs that were.
+/// `on_progress` may be empty; it is called from any of the threads, by one at a time.
 int run(const Experiment& experiment, Results& results, int jobs,
-        const std::function<void(int done, int all, double left_s)>& told);
+        const std::function<void(int done, int all, double seconds_left)>& on_progress);
 
 std::string table(const Experiment& experiment, const Results& results);
-// One HTML page that stands for itself; plots by gnuplot, left out with a word where it is missing.
-std::string page(const Experiment& experiment, const Results& results, const std::string& folder);
+/// A self-contained HTML page. Plots are drawn by gnuplot, whose files go to `folder`; without
+/// gnuplot the page says that they are missing.
+std::string html_report(const Experiment& experiment, const Results& results,
+                        const std::string& folder);
 
 }  // namespace robinhoist::lab
--- a/src/lab/fault_search.cpp
+++ b/src/lab/fault_search.cpp
@@ -21,15 +21,15 @@
 using day::FaultKind;
 namespace fs = std::filesystem;
 
-// What may be drawn of each kind: the ranges of its part, size and extra, and the words that its
-// notation has for them.
-struct Range {
+// The limits of what is drawn for a kind of fault, and the keys of its figures in the notation.
+struct FaultRange {
   FaultKind kind;
-  const char *size_word, *extra_word;
-  double size_least, size_most, extra_least, extra_most;
-  bool part, spans;  // durations: size is in seconds
+  const char *magnitude_key, *extra_key;  // null: the kind has no such figure
+  double min_magnitude, max_magnitude, min_extra, max_extra;
+  bool has_target_share;
+  bool magnitude_is_duration;  // in seconds
 };
-constexpr Range ranges[] = {
+constexpr FaultRange fault_ranges[] = {
     {FaultKind::crash, nullptr, nullptr, 0, 0, 0, 0, true, false},
     {FaultKind::vanish, nullptr, nullptr, 0, 0, 0, 0, true, false},
     {FaultKind::slow, "times", nullptr, 1.5, 10, 0, 0, true, false},
@@ -45,189 +45,206 @@
     {FaultKind::controller_crash, nullptr, nullptr, 0, 0, 0, 0, false, false},
 };
 
-// A day on which everything is gone tells nothing: troubles of endpoints and proxies hit half of
-// them at most.
-constexpr double part_least = 0.05, part_most = 0.5;
+// At most half of the servers or proxies are hit: a run in which all of them are down tells
+// nothing about the policy.
+constexpr double min_target_share = 0.05, max_target_share = 0.5;
 
-const Range& range_of(FaultKind kind) {
-  return *std::find_if(std::begin(ranges), std::end(ranges),
-                       [&](auto& r) { return r.kind == kind; });
+const FaultRange& range_of(FaultKind kind) {
+  return *std::find_if(std::begin(fault_ranges), std::end(fault_ranges),
+                       [&](auto& range) { return range.kind == kind; });
 }
 
-class Draw {
+class FaultGenerator {
  public:
-  Draw(const day::Scenario& base, long seed) : base_(base), chance_(static_cast<unsigned>(seed)) {}
-  double part() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
-  double between(double least, double most) { return least + part() * (most - least); }
-  int below(std::size_t count) { return static_cast<int>(part() * static_cast<double>(count)); }
-  Duration within(Duration least, Duration most) {
-    return std::chrono::milliseconds(static_cast<long>(
-        between(static_cast<double>(least / 1ms), static_cast<double>(most / 1ms))));
+  FaultGenerator(const day::Scenario& base, long seed)
+      : base_(base), random_(static_cast<unsigned>(seed)) {}
+  // At least 0, below `count`.
+  int sample_index(std::size_t count) {
+    return static_cast<int>(uniform_sample() * static_cast<double>(count));
   }
-  Fault trouble() {
-    const Range& range = ranges[below(std::size(ranges))];
-    Fault one{.kind = range.kind};
-    one.at = within(0ms, base_.length * 8 / 10);
-    one.duration = within(200ms, base_.length / 2);
-    if (range.part)
-      one.target_share = std::round(between(part_least, part_most) * 100) / 100;
-    if (range.size_word)
-      one.magnitude = std::round(between(range.size_least, range.size_most) * 100) / 100;
-    if (range.extra_word)
-      one.extra = std::round(between(range.extra_least, range.extra_most) * 100) / 100;
-    return one;
+  Fault draw() {
+    const FaultRange& range = fault_ranges[sample_index(std::size(fault_ranges))];
+    Fault fault{.kind = range.kind};
+    fault.at = sample_between(0ms, base_.length * 8 / 10);
+    fault.duration = sample_between(200ms, base_.length / 2);
+    if (range.has_target_share)
+      fault.target_share =
+          std::round(sample_between(min_target_share, max_target_share) * 100) / 100;
+    if (range.magnitude_key)
+      fault.magnitude =
+          std::round(sample_between(range.min_magnitude, range.max_magnitude) * 100) / 100;
+    if (range.extra_key)
+      fault.extra = std::round(sample_between(range.min_extra, range.max_extra) * 100) / 100;
+    return fault;
   }
-  // One trouble moved, made anew, added or taken away.
-  std::vector<Fault> changed(std::vector<Fault> all, int most) {
-    const double how = part();
-    if (all.empty() || (how < 0.2 && static_cast<int>(all.size()) < most)) {
-      all.push_back(trouble());
-    } else if (how < 0.3 && all.size() > 1) {
-      all.erase(all.begin() + below(all.size()));
+  // Adds, removes, replaces, moves or resizes one fault.
+  std::vector<Fault> mutate(std::vector<Fault> faults, int max_faults) {
+    const double choice = uniform_sample();
+    if (faults.empty() || (choice < 0.2 && static_cast<int>(faults.size()) < max_faults)) {
+      faults.push_back(draw());
+    } else if (choice < 0.3 && faults.size() > 1) {
+      faults.erase(faults.begin() + sample_index(faults.size()));
     } else {
-      Fault& one = all[static_cast<std::size_t>(below(all.size()))];
-      if (how < 0.5)
-        one = trouble();
-      else if (how < 0.7)
-        one.at =
-            std::clamp<Duration>(one.at + within(0ms, 3s) - 1500ms, 0ms, base_.length * 9 / 10);
-      else if (how < 0.85)
-        one.duration =
-            std::clamp<Duration>(one.duration * (50 + below(150)) / 100, 100ms, base_.length);
-      else if (range_of(one.kind).part)
-        one.target_share = std::clamp(one.target_share + between(-0.3, 0.3), part_least, part_most);
+      Fault& fault = faults[static_cast<std::size_t>(sample_index(faults.size()))];
+      if (choice < 0.5)
+        fault = draw();
+      else if (choice < 0.7)
+        fault.at = std::clamp<Duration>(fault.at + sample_between(0ms, 3s) - 1500ms, 0ms,
+                                        base_.length * 9 / 10);
+      else if (choice < 0.85)
+        fault.duration = std::clamp<Duration>(fault.duration * (50 + sample_index(150)) / 100,
+                                              100ms, base_.length);
+      else if (range_of(fault.kind).has_target_share)
+        fault.target_share = std::clamp(fault.target_share + sample_between(-0.3, 0.3),
+                                        min_target_share, max_target_share);
     }
-    return all;
+    return faults;
   }
 
  private:
+  double uniform_sample() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  double sample_between(double min, double max) { return min + uniform_sample() * (max - min); }
+  Duration sample_between(Duration min, Duration max) {
+    return std::chrono::milliseconds(static_cast<long>(
+        sample_between(static_cast<double>(min / 1ms), static_cast<double>(max / 1ms))));
+  }
+
   const day::Scenario& base_;
-  std::minstd_rand chance_;
+  std::minstd_rand random_;
 };
 
-Found judged(const day::Scenario& base, std::vector<Fault> faults, long seed,
-             const std::string& folder) {
-  day::Scenario day = base;
-  day.faults = faults;
-  Found found;
-  found.faults = std::move(faults);
-  const emulator::Summary summary = emulator::run(day, seed, folder);
-  found.priority_weight =
+FaultSearchResult evaluate(const day::Scenario& base, std::vector<Fault> faults, long seed,
+                           const std::string& folder) {
+  day::Scenario scenario = base;
+  scenario.faults = faults;
+  FaultSearchResult result;
+  result.faults = std::move(faults);
+  const emulator::Summary summary = emulator::run(scenario, seed, folder);
+  result.priority_weight =
       summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 100;
   audit::Report report = audit::audit(folder);
   if (!report.kept()) {
     std::istringstream lines(audit::to_text(report));
     for (std::string line; std::getline(lines, line);)
       if (line.find("broken") != std::string::npos)
-        found.broken += (found.broken.empty() ? "" : "; ") + line;
+        result.broken_rules += (result.broken_rules.empty() ? "" : "; ") + line;
   }
-  return found;
+  return result;
 }
 
-// Each of some candidates on a thread of its own, in the order given.
-std::vector<Found> all_judged(const day::Scenario& base,
-                              const std::vector<std::vector<Fault>>& candidates,
-                              const HuntSettings& settings, const std::string& folder) {
-  std::vector<Found> found(candidates.size());
+// Evaluates the candidates in parallel. Results are in the order of the candidates.
+std::vector<FaultSearchResult> evaluate_all(const day::Scenario& base,
+                                            const std::vector<std::vector<Fault>>& candidates,
+                                            const FaultSearchSettings& settings,
+                                            const std::string& folder) {
+  std::vector<FaultSearchResult> results(candidates.size());
   std::atomic<std::size_t> next{0};
   std::vector<std::thread> threads;
   for (int job = 0; job < std::max(1, settings.jobs); ++job)
     threads.emplace_back([&, job] {
       for (std::size_t at; (at = next++) < candidates.size();)
-        found[at] = judged(base, candidates[at], settings.seed, folder + "/" + std::to_string(job));
+        results[at] =
+            evaluate(base, candidates[at], settings.seed, folder + "/" + std::to_string(job));
     });
   for (std::thread& thread : threads)
     thread.join();
-  return found;
+  return results;
 }
 
-std::string spoken(Duration span) {
-  return std::to_string(span / 1ms) + "ms";
+std::string to_text(Duration duration) {
+  return std::to_string(duration / 1ms) + "ms";
 }
 
-std::string number(double value) {
+std::string to_text(double value) {
   std::ostringstream out;
   out << value;
   return out.str();
 }
 
+// Figures in seconds are written as durations.
+std::string seconds_to_text(double seconds) {
+  return to_text(Duration(static_cast<long>(seconds * 1e6)));
+}
+
 }  // namespace
 
-Found hunt(const day::Scenario& base, const HuntSettings& settings,
-           const std::function<void(const Found&)>& told) {
+FaultSearchResult find_worst_faults(const day::Scenario& base, const FaultSearchSettings& settings,
+                                    const std::function<void(const FaultSearchResult&)>& on_worse) {
   const std::string folder =
       (fs::temp_directory_path() / ("robinhoist-hunt-" + std::to_string(::getpid()))).string();
-  Draw draw(base, settings.seed);
-  Found worst = judged(base, {}, settings.seed, folder + "/0");
+  FaultGenerator generator(base, settings.seed);
+  FaultSearchResult worst = evaluate(base, {}, settings.seed, folder + "/0");
   int runs = 1;
-  const auto look = [&](const std::vector<std::vector<Fault>>& candidates) {
+  const auto try_candidates = [&](const std::vector<std::vector<Fault>>& candidates) {
     runs += static_cast<int>(candidates.size());
-    bool better = false;
-    for (Found& one : all_judged(base, candidates, settings, folder)) {
-      if (!one.worse_than(worst))
+    bool found_worse = false;
+    for (FaultSearchResult& result : evaluate_all(base, candidates, settings, folder)) {
+      if (!result.is_worse_than(worst))
         continue;
-      worst = std::move(one);
-      better = true;
+      worst = std::move(result);
+      found_worse = true;
     }
-    if (better) {
+    if (found_worse) {
       worst.runs = runs;
-      if (told)
-        told(worst);
+      if (on_worse)
+        on_worse(worst);
     }
-    return better;
   };
-  // A third at random, then uphill from the worst, the last quarter for shrinking.
+  // A third of the runs is a random search, the next ones climb from the worst result, the last
+  // quarter is for shrinking.
   const int batch = std::max(4, 2 * settings.jobs);
   while (runs + batch <= settings.runs / 3) {
-    std::vector<std::vector<Fault>> some;
+    std::vector<std::vector<Fault>> candidates;
     for (int i = 0; i < batch; ++i) {
       std::vector<Fault> faults;
-      for (int n = 1 + draw.below(static_cast<std::size_t>(settings.troubles_most)); n > 0; --n)
-        faults.push_back(draw.trouble());
-      some.push_back(std::move(faults));
+      for (int n = 1 + generator.sample_index(static_cast<std::size_t>(settings.max_faults)); n > 0;
+           --n)
+        faults.push_back(generator.draw());
+      candidates.push_back(std::move(faults));
     }
-    look(some);
+    try_candidates(candidates);
   }
   while (runs + batch <= settings.runs * 3 / 4) {
-    std::vector<std::vector<Fault>> some;
+    std::vector<std::vector<Fault>> candidates;
     for (int i = 0; i < batch; ++i)
-      some.push_back(draw.changed(worst.faults, settings.troubles_most));
-    look(some);
+      candidates.push_back(generator.mutate(worst.faults, settings.max_faults));
+    try_candidates(candidates);
   }
-  // Shrinking: whatever can be left out or made smaller while the day stays as bad, give or take a
-  // twentieth of the loss.
-  const double bad_enough = 100 - 0.95 * (100 - worst.priority_weight);
-  const bool breaks = !worst.broken.empty();
-  const auto still = [&](const Found& one) {
-    return breaks ? !one.broken.empty() : one.priority_weight <= bad_enough;
+  // Shrinking removes or reduces a fault as long as the result stays as bad: it still breaks a
+  // rule, or it loses at least 95% of the weight that the worst result lost.
+  const double max_priority_weight = 100 - 0.95 * (100 - worst.priority_weight);
+  const bool breaks_a_rule = !worst.broken_rules.empty();
+  const auto is_as_bad = [&](const FaultSearchResult& result) {
+    return breaks_a_rule ? !result.broken_rules.empty()
+                         : result.priority_weight <= max_priority_weight;
   };
-  for (bool smaller = true; smaller && runs < settings.runs;) {
-    smaller = false;
-    std::vector<std::vector<Fault>> some;
+  for (bool shrunk = true; shrunk && runs < settings.runs;) {
+    shrunk = false;
+    std::vector<std::vector<Fault>> candidates;
     for (std::size_t i = 0; i < worst.faults.size(); ++i) {
       std::vector<Fault> fewer = worst.faults;
       fewer.erase(fewer.begin() + static_cast<long>(i));
-      some.push_back(fewer);
+      candidates.push_back(fewer);
     }
     for (std::size_t i = 0; i < worst.faults.size(); ++i) {
-      std::vector<Fault> less = worst.faults;
-      if (less[i].duration > 400ms) {
-        less[i].duration = less[i].duration * 7 / 10;
-        some.push_back(less);
+      std::vector<Fault> reduced = worst.faults;
+      if (reduced[i].duration > 400ms) {
+        reduced[i].duration = reduced[i].duration * 7 / 10;
+        candidates.push_back(reduced);
       }
-      less = worst.faults;
-      if (range_of(less[i].kind).part && less[i].target_share > 0.15) {
-        less[i].target_share = std::round(less[i].target_share * 70) / 100;
-        some.push_back(less);
+      reduced = worst.faults;
+      if (range_of(reduced[i].kind).has_target_share && reduced[i].target_share > 0.15) {
+        reduced[i].target_share = std::round(reduced[i].target_share * 70) / 100;
+        candidates.push_back(reduced);
       }
     }
-    runs += static_cast<int>(some.size());
-    for (Found& one : all_judged(base, some, settings, folder)) {
-      if (!still(one))
+    runs += static_cast<int>(candidates.size());
+    for (FaultSearchResult& result : evaluate_all(base, candidates, settings, folder)) {
+      if (!is_as_bad(result))
         continue;
-      worst = std::move(one);
-      smaller = true;
-      break;  // the first that will do: leaving out comes before making smaller
+      worst = std::move(result);
+      shrunk = true;
+      break;  // candidates with fewer faults come first
     }
   }
   worst.runs = runs;
@@ -235,27 +252,26 @@
   return worst;
 }
 
-std::string day_text(const std::string& base, const std::vector<Fault>& faults,
-                     const std::string& comment) {
+std::string scenario_text(const std::string& base, const std::vector<Fault>& faults,
+                          const std::string& comment) {
   settings::SexpReader form = settings::SexpReader::from_text(base, "base");
   std::string text = "; " + comment + "\n" + form.to_text_without("day", "trouble");
-  // The (day ...) form is the last that is written: its end is the text's last parenthesis.
+  // The (day ...) form is written last, so the last parenthesis of the text closes it.
   const std::size_t end = text.rfind(')');
   std::string added;
-  for (const Fault& one : faults) {
-    const Range& range = range_of(one.kind);
-    added += "\n  (trouble " + std::string(day::to_string(one.kind)) + " (at " + spoken(one.at) +
-             ") (for " + spoken(one.duration) + ")";
-    if (range.part)
-      added += " (part " + number(one.target_share) + ")";
-    if (range.size_word)
-      added += " (" + std::string(range.size_word) + " " +
-               (range.spans ? spoken(Duration(static_cast<long>(one.magnitude * 1e6)))
-                            : number(one.magnitude)) +
+  for (const Fault& fault : faults) {
+    const FaultRange& range = range_of(fault.kind);
+    added += "\n  (trouble " + std::string(day::to_string(fault.kind)) + " (at " +
+             to_text(fault.at) + ") (for " + to_text(fault.duration) + ")";
+    if (range.has_target_share)
+      added += " (part " + to_text(fault.target_share) + ")";
+    if (range.magnitude_key)
+      added += " (" + std::string(range.magnitude_key) + " " +
+               (range.magnitude_is_duration ? seconds_to_text(fault.magnitude)
+                                            : to_text(fault.magnitude)) +
                ")";
-    if (range.extra_word)
-      added += " (" + std::string(range.extra_word) + " " +
-               spoken(Duration(static_cast<long>(one.extra * 1e6))) + ")";
+    if (range.extra_key)
+      added += " (" + std::string(range.extra_key) + " " + seconds_to_text(fault.extra) + ")";
     added += ")";
   }
   text.insert(end, added);
--- a/src/lab/fault_search.h
+++ b/src/lab/fault_search.h
@@ -1,40 +1,43 @@
-// The hunt for bad days: troubles are drawn, the worst day found is changed for the worse step by
-// step, and what comes out is shrunk to the smallest day that is still as bad. Every run is
-// audited: a day on which a rule breaks beats any loss of priority weight.
+/// A search for the faults that a scenario copes with worst.
+///
+/// Draws faults at random, mutates the worst set found, and shrinks the result to the smallest set
+/// that is about as bad. Every run is audited: a broken rule is worse than any loss of priority
+/// weight.
 #pragma once
 #include <functional>
 #include <string>
+#include <vector>
 
 #include "day/scenario.h"
 
 namespace robinhoist::lab {
 
-struct HuntSettings {
-  int runs = 400;  // in all, shrinking included
-  long seed = 1;   // of what is drawn, and of each run
+struct FaultSearchSettings {
+  int runs = 400;  ///< in all, shrinking included
+  long seed = 1;   ///< of the search and of each run
   int jobs = 1;
-  int troubles_most = 4;
+  int max_faults = 4;
 };
 
-struct Found {
+/// A set of faults and the outcome of its run.
+struct FaultSearchResult {
   std::vector<day::Fault> faults{};
-  double priority_weight = 100;  // % in time
-  std::string broken{};          // the rules, if any, with the first case
-  int runs = 0;
-  bool worse_than(const Found& other) const {
-    if (broken.empty() != other.broken.empty())
-      return !broken.empty();
+  double priority_weight = 100;  ///< in time, in percent of what was asked
+  std::string broken_rules{};    ///< with the first case of each; empty if all are kept
+  int runs = 0;                  ///< of the search so far
+  bool is_worse_than(const FaultSearchResult& other) const {
+    if (broken_rules.empty() != other.broken_rules.empty())
+      return !broken_rules.empty();
     return priority_weight < other.priority_weight;
   }
 };
 
-// `told` hears of each worse day.
-Found hunt(const day::Scenario& base, const HuntSettings& settings,
-           const std::function<void(const Found&)>& told);
+/// `on_worse` is called for each result that is worse than the ones before it; may be empty.
+FaultSearchResult find_worst_faults(const day::Scenario& base, const FaultSearchSettings& settings,
+                                    const std::function<void(const FaultSearchResult&)>& on_worse);
 
-// The base day's text with these troubles in place of its own, as a file that `day` and `emulate`
-// play.
-std::string day_text(const std::string& base, const std::vector<day::Fault>& faults,
-                     const std::string& comment);
+/// The text of a .day file: the base scenario with these faults instead of its own.
+std::string scenario_text(const std::string& base, const std::vector<day::Fault>& faults,
+                          const std::string& comment);
 
 }  // namespace robinhoist::lab
--- a/src/lab/stats.cpp
+++ b/src/lab/stats.cpp
@@ -7,11 +7,12 @@
 
 namespace robinhoist::lab {
 namespace {
-constexpr double level = 0.95;
-constexpr int most_more = 100000;
+constexpr double confidence_level = 0.95;
+constexpr int max_pairs = 100000;
 
-double t_of(int count) {
-  return boost::math::quantile(boost::math::students_t(count - 1), 0.5 + level / 2);
+// The factor from the standard error of `count` values to half the confidence interval.
+double t_quantile(int count) {
+  return boost::math::quantile(boost::math::students_t(count - 1), 0.5 + confidence_level / 2);
 }
 }  // namespace
 
@@ -30,7 +31,7 @@
     return mean;
   }
   mean.standard_deviation = std::sqrt(squares / (mean.count - 1));
-  mean.half_width = t_of(mean.count) * mean.standard_deviation / std::sqrt(mean.count);
+  mean.half_width = t_quantile(mean.count) * mean.standard_deviation / std::sqrt(mean.count);
   return mean;
 }
 
@@ -41,18 +42,18 @@
     differences.push_back(second[i] - first[i]);
   PairedComparison paired;
   paired.difference = mean_of(differences);
-  const double d = std::abs(paired.difference.mean);
-  if (paired.difference.count >= 2 && d > paired.difference.half_width) {
+  const double distance = std::abs(paired.difference.mean);
+  if (paired.difference.count >= 2 && distance > paired.difference.half_width) {
     paired.verdict =
         (paired.difference.mean > 0) == more_is_better ? Verdict::better : Verdict::worse;
     return paired;
   }
-  if (paired.difference.count < 2 || d == 0)
+  if (paired.difference.count < 2 || distance == 0)
     return paired;
-  // The interval shrinks with the root of the count: the least count at which it would leave zero
-  // out.
-  for (int count = paired.difference.count + 1; count < most_more; count += 1 + count / 50)
-    if (t_of(count) * paired.difference.standard_deviation / std::sqrt(count) < d) {
+  // The interval shrinks with the square root of the count. Find the smallest count at which it
+  // would exclude zero, with a growing step: an estimate is enough.
+  for (int count = paired.difference.count + 1; count < max_pairs; count += 1 + count / 50)
+    if (t_quantile(count) * paired.difference.standard_deviation / std::sqrt(count) < distance) {
       paired.additional_pairs = count - paired.difference.count;
       break;
     }
@@ -60,8 +61,8 @@
 }
 
 const char* to_string(Verdict verdict) {
-  static const char* const words[] = {"better", "worse", "can't tell"};
-  return words[static_cast<int>(verdict)];
+  static const char* const names[] = {"better", "worse", "undecided"};
+  return names[static_cast<int>(verdict)];
 }
 
 }  // namespace robinhoist::lab
--- a/src/lab/stats.h
+++ b/src/lab/stats.h
@@ -1,4 +1,5 @@
-// Means with confidence intervals, paired comparisons and a verdict, by Boost.Math. Free of I/O.
+/// Means with confidence intervals and paired comparisons, by Student's t distribution. Free of
+/// I/O.
 #pragma once
 #include <optional>
 #include <vector>
@@ -6,21 +7,23 @@
 namespace robinhoist::lab {
 
 struct Mean {
-  double mean = 0, half_width = 0;  // half the width of the 95% interval; infinite for one value
+  double mean = 0;
+  double half_width = 0;  ///< of the 95% confidence interval; infinite for a single value
   double standard_deviation = 0;
   int count = 0;
 };
 Mean mean_of(const std::vector<double>& values);
 
-enum class Verdict { better, worse, cannot_tell };
+enum class Verdict { better, worse, undecided };
 
 struct PairedComparison {
-  Mean difference{};  // of the second from the first, pair by pair: the same seed in both
-  Verdict verdict = Verdict::cannot_tell;
-  std::optional<int> additional_pairs{};  // so many more pairs would likely tell, if the difference
-                                          // is what it seems
+  Mean difference{};  ///< second minus first, pair by pair
+  Verdict verdict = Verdict::undecided;
+  /// How many more pairs would likely decide it, if the true difference is the one observed.
+  std::optional<int> additional_pairs{};
 };
-// `more_is_better`; runs that are missing on either side must be left out of both.
+/// Whether `second` is better than `first`. The values at the same index must come from runs with
+/// the same seed.
 PairedComparison compare(const std::vector<double>& first, const std::vector<double>& second,
                          bool more_is_better);
 const char* to_string(Verdict verdict);
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -213,10 +213,10 @@
   EXPECT_EQ(lab::compare(a, more, false).verdict, Verdict::worse);
   EXPECT_EQ(lab::compare(more, a, true).verdict, Verdict::worse);
   const lab::PairedComparison unsure = lab::compare(a, noise, true);
-  EXPECT_EQ(unsure.verdict, Verdict::cannot_tell);
+  EXPECT_EQ(unsure.verdict, Verdict::undecided);
   ASSERT_TRUE(unsure.additional_pairs);
   EXPECT_GT(*unsure.additional_pairs, 10);
-  EXPECT_EQ(lab::compare(a, a, true).verdict, Verdict::cannot_tell);
+  EXPECT_EQ(lab::compare(a, a, true).verdict, Verdict::undecided);
   EXPECT_FALSE(lab::compare({1}, {2}, true).more);
   // Student's t for five degrees of freedom is 2.5706.
   const lab::Mean mean = lab::mean_of(a);
@@ -264,7 +264,7 @@
   for (const lab::Cell& cell : experiment.cells) {
     strata.insert(static_cast<int>((std::stod(cell.values[0]) - 100) / 10));
     ones += cell.values[1] == "1";
-    EXPECT_EQ(std::to_string(cell.day.deployment.proxies), cell.values[1]);
+    EXPECT_EQ(std::to_string(cell.scenario.deployment.proxies), cell.values[1]);
   }
   EXPECT_EQ(strata.size(), 10u);
   EXPECT_EQ(ones, 5);
