--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -16,99 +16,104 @@
 namespace robinhoist::cli {
 namespace {
 
-struct Words {
+struct Options {
   std::string file{}, out{};
   int jobs = static_cast<int>(std::max(1u, std::thread::hardware_concurrency()));
 };
 
-int experiment(const Words& words, bool play) {
-  const lab::Experiment experiment = lab::read(words.file);
-  const std::string folder = words.out.empty() ? "found/lab-" + experiment.name : words.out;
+// Runs what is missing of an experiment, if `run`, and writes the report.
+int experiment(const Options& options, bool run) {
+  const lab::Experiment experiment = lab::read(options.file);
+  const std::string folder = options.out.empty() ? "found/lab-" + experiment.name : options.out;
   std::filesystem::create_directories(folder);
   lab::Results results(folder + "/results.sqlite", experiment);
-  if (play) {
+  if (run) {
     std::cerr << experiment.name << ": " << experiment.cells.size() << " cells, "
-              << experiment.repetitions << " repetitions, on " << words.jobs << " threads\n";
-    int shown = -1;
-    lab::run(experiment, results, words.jobs, [&](int done, int all, double left_s) {
-      if (const int part = 100 * done / all; part / 5 != shown) {
-        shown = part / 5;
-        std::fprintf(stderr, "  %d of %d, about %.0f s left\n", done, all, left_s);
+              << experiment.repetitions << " repetitions, on " << options.jobs << " threads\n";
+    int last_report = -1;
+    lab::run(experiment, results, options.jobs, [&](int done, int all, double seconds_left) {
+      if (const int percent = 100 * done / all; percent / 5 != last_report) {
+        last_report = percent / 5;
+        std::fprintf(stderr, "  %d of %d, about %.0f s left\n", done, all, seconds_left);
       }
     });
   }
   std::cout << lab::table(experiment, results);
-  const std::string page = folder + "/report.html";
-  std::ofstream(page) << lab::page(experiment, results, folder);
-  std::cout << "report in " << page << "\n";
+  const std::string report = folder + "/report.html";
+  std::ofstream(report) << lab::html_report(experiment, results, folder);
+  std::cout << "report written to " << report << "\n";
   return 0;
 }
 
-int hunt(const Words& words, lab::HuntSettings settings) {
-  std::ifstream in(words.file, std::ios::binary);
+int search_faults(const Options& options, lab::FaultSearchSettings settings) {
+  std::ifstream in(options.file, std::ios::binary);
   std::ostringstream text;
   text << in.rdbuf();
-  const day::Scenario base = day::read(settings::SexpReader::from_text(text.str(), words.file));
-  if (const std::string why = emulator::why_not(base); !why.empty())
-    throw std::runtime_error(words.file + ": can't be emulated: " + why);
-  settings.jobs = words.jobs;
-  const auto shown = [](const lab::Found& found) {
-    std::string faults;
-    for (const day::Fault& one : found.faults)
-      faults += std::string(" ") + day::to_string(one.kind);
-    std::printf("  after %d runs: revenue %.1f%%%s,%s\n", found.runs, found.priority_weight,
-                found.broken.empty() ? "" : (", " + found.broken).c_str(), faults.c_str());
+  const day::Scenario base = day::read(settings::SexpReader::from_text(text.str(), options.file));
+  if (const std::string reason = emulator::why_not(base); !reason.empty())
+    throw std::runtime_error(options.file + ": cannot be emulated: " + reason);
+  settings.jobs = options.jobs;
+  const auto print = [](const lab::FaultSearchResult& result) {
+    std::string kinds;
+    for (const day::Fault& fault : result.faults)
+      kinds += std::string(" ") + day::to_string(fault.kind);
+    std::printf("  after %d runs: revenue %.1f%%%s,%s\n", result.runs, result.priority_weight,
+                result.broken_rules.empty() ? "" : (", " + result.broken_rules).c_str(),
+                kinds.c_str());
     std::fflush(stdout);
   };
-  const lab::Found found = lab::hunt(base, settings, shown);
+  const lab::FaultSearchResult worst = lab::find_worst_faults(base, settings, print);
   std::printf("shrunk, ");
-  shown(found);
-  const std::string out = words.out.empty() ? "found/hunted.day" : words.out;
+  print(worst);
+  const std::string out = options.out.empty() ? "found/hunted.day" : options.out;
   if (const auto folder = std::filesystem::path(out).parent_path(); !folder.empty())
     std::filesystem::create_directories(folder);
   char comment[200];
   std::snprintf(comment, sizeof comment,
                 "Found by `robinhoist lab hunt` on %s, seed %ld: revenue %.1f%%%s.",
-                words.file.c_str(), settings.seed, found.priority_weight,
-                found.broken.empty() ? "" : ", a rule broken");
-  std::ofstream(out) << lab::day_text(text.str(), found.faults, comment);
-  std::printf("saved as %s: play it with --seed %ld\n", out.c_str(), settings.seed);
-  return found.broken.empty() ? 0 : 1;
+                options.file.c_str(), settings.seed, worst.priority_weight,
+                worst.broken_rules.empty() ? "" : ", a rule broken");
+  std::ofstream(out) << lab::scenario_text(text.str(), worst.faults, comment);
+  std::printf("saved to %s; run it with --seed %ld\n", out.c_str(), settings.seed);
+  return worst.broken_rules.empty() ? 0 : 1;
 }
 
 }  // namespace
 
 void add_lab(CLI::App& app, int& status) {
-  auto words = std::make_shared<Words>();
+  auto options = std::make_shared<Options>();
   CLI::App* lab = app.add_subcommand("lab", "Experiments in simulated time");
   lab->require_subcommand(1);
-  for (const bool play : {true, false}) {
-    CLI::App* sub = lab->add_subcommand(
-        play ? "run" : "report",
-        play ? "Play an experiment's runs, those that are not there yet, and report"
-             : "Report what is there, without playing anything");
-    sub->add_option("FILE", words->file, "The experiment, as docs/lab.md describes")->required();
-    sub->add_option("--out", words->out, "Folder for results and report (default found/lab-NAME)");
-    sub->add_option("--jobs", words->jobs, "Threads")
+  for (const bool run : {true, false}) {
+    CLI::App* sub =
+        lab->add_subcommand(run ? "run" : "report",
+                            run ? "Run an experiment, resuming where it was interrupted, and report"
+                                : "Report the stored results without running anything");
+    sub->add_option("FILE", options->file, "The experiment, as docs/lab.md describes")->required();
+    sub->add_option("--out", options->out,
+                    "Folder for results and report (default found/lab-NAME)");
+    sub->add_option("--jobs", options->jobs, "Threads")
         ->check(CLI::Range(1, 1024))
         ->capture_default_str();
-    sub->callback([words, play, &status] { status = experiment(*words, play); });
+    sub->callback([options, run, &status] { status = experiment(*options, run); });
   }
-  auto settings = std::make_shared<lab::HuntSettings>();
-  CLI::App* hunts = lab->add_subcommand(
-      "hunt", "Search for the worst day: a broken rule, or the least revenue; then shrink it");
-  hunts->add_option("DAY", words->file, "The base day, whose own troubles are left out")
+  auto settings = std::make_shared<lab::FaultSearchSettings>();
+  CLI::App* hunt = lab->add_subcommand(
+      "hunt",
+      "Search for the worst faults, which break a rule or lose the most revenue, then "
+      "shrink them");
+  hunt->add_option("DAY", options->file, "The base scenario, whose own faults are left out")
       ->required();
-  hunts->add_option("--runs", settings->runs, "Runs in all")
+  hunt->add_option("--runs", settings->runs, "Runs in all")
       ->check(CLI::Range(20, 1000000))
       ->capture_default_str();
-  hunts->add_option("--seed", settings->seed, "For all that is drawn")
+  hunt->add_option("--seed", settings->seed, "Seed of the search and of its runs")
       ->check(CLI::Range(1L, 1000000000L));
-  hunts->add_option("--out", words->out, "The day found (default found/hunted.day)");
-  hunts->add_option("--jobs", words->jobs, "Threads")
+  hunt->add_option("--out", options->out, "File for the scenario found (default found/hunted.day)");
+  hunt->add_option("--jobs", options->jobs, "Threads")
       ->check(CLI::Range(1, 1024))
       ->capture_default_str();
-  hunts->callback([words, settings, &status] { status = hunt(*words, *settings); });
+  hunt->callback([options, settings, &status] { status = search_faults(*options, *settings); });
 }
 
 }  // namespace robinhoist::cli
--- a/src/cli/lab.h
+++ b/src/cli/lab.h
@@ -1,4 +1,4 @@
-// `robinhoist lab ...`: experiments in simulated time.
+/// `robinhoist lab ...`: experiments in simulated time.
 #pragma once
 
 // NOLINTNEXTLINE(readability-identifier-naming): the name is that of the library CLI11
@@ -8,7 +8,8 @@
 
 namespace robinhoist::cli {
 
-// Exit status: 0 done, 1 (hunt) a rule broke, 2 bad input.
+/// Adds the sub-commands, whose run sets `status` to the exit status: 0 done, 1 (hunt) a rule was
+/// broken, 2 bad input.
 void add_lab(CLI::App& app, int& status);
 
 }  // namespace robinhoist::cli
--- a/src/cli/release.h
+++ b/src/cli/release.h
@@ -1,4 +1,4 @@
-// `robinhoist release ...`: releases created, seen, watched and steered from the command line.
+/// `robinhoist release ...`: creates, inspects, watches and controls releases.
 #pragma once
 
 // NOLINTNEXTLINE(readability-identifier-naming): the name is that of the library CLI11
@@ -8,8 +8,8 @@
 
 namespace robinhoist::cli {
 
-// Exit status: 0 done, 1 refused, 2 bad input or no controller, 3 (watch --until-done) the release
-// was sent back.
+/// Adds the sub-commands, whose run sets `status` to the exit status: 0 done, 1 rejected, 2 bad
+/// input or no response from the controller, 3 (watch --until-done) the release was rolled back.
 void add_release(CLI::App& app, int& status);
 
 }  // namespace robinhoist::cli
--- a/src/cli/steps.h
+++ b/src/cli/steps.h
@@ -1,5 +1,4 @@
-// `robinhoist steps ...`: plans looked at without a controller, and a controller's steps seen and
-// steered.
+/// `robinhoist steps ...`: checks migration plans, and shows and controls a controller's steps.
 #pragma once
 
 // NOLINTNEXTLINE(readability-identifier-naming): the name is that of the library CLI11
@@ -9,8 +8,8 @@
 
 namespace robinhoist::cli {
 
-// Adds the sub-command; `status` gets the exit status of whichever ran. Exit status: 0 done, 1
-// refused or not all done, 2 bad input or no controller, 3 a step waits for the operator.
+/// Adds the sub-commands, whose run sets `status` to the exit status: 0 done, 1 rejected or not all
+/// steps done, 2 bad input or no response from the controller, 3 a step waits for the operator.
 void add_steps(CLI::App& app, int& status);
 
 }  // namespace robinhoist::cli
--- a/src/cli/txn.h
+++ b/src/cli/trace.h
@@ -1,4 +1,4 @@
-// `robinhoist request ID`: one request's whole way, from the proxies that traced it.
+/// `robinhoist txn ID`: the trace of one request, from the proxies that sampled it.
 #pragma once
 
 // NOLINTNEXTLINE(readability-identifier-naming): the name is that of the library CLI11
@@ -8,7 +8,8 @@
 
 namespace robinhoist::cli {
 
-// Exit status: 0 told, 1 no proxy knows it, 2 bad input or no proxy answers.
+/// Adds the sub-command, whose run sets `status` to the exit status: 0 found, 1 no proxy has the
+/// trace, 2 bad input or no proxy responds.
 void add_trace(CLI::App& app, int& status);
 
 }  // namespace robinhoist::cli
