--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -35,11 +35,11 @@
   }
 }
 
-void Clients::begin(TimePoint start) {
-  start_ = start;
+void Clients::start(TimePoint start_time) {
+  start_time_ = start_time;
   begun_ = true;
   for (const Fault& fault : scenario_.faults)
-    loop_.at(start + fault.at, [this, &fault] { begin_fault(fault); });
+    loop_.at(start_time + fault.at, [this, &fault] { begin_fault(fault); });
   send_due();
 }
 
@@ -114,7 +114,7 @@
   const auto call = service_pools_[client_try.proxy]->call(
       request, std::max(Duration(1), left) + 2 * scenario_.answer_slack,
       [this, client_try](http::CallResult result, http::Response&& response) {
-        end(client_try, result, response);
+        finish(client_try, result, response);
       });
   calls_[client_try.id] = {client_try.proxy, call};
   if (client_try.leaves == TimePoint{})
@@ -124,12 +124,12 @@
     if (at == calls_.end())
       return;
     service_pools_[at->second.first]->cancel(at->second.second);
-    end(client_try, http::CallResult::cancelled, {});
+    finish(client_try, http::CallResult::cancelled, {});
   });
 }
 
-void Clients::end(const load::Try& client_try, http::CallResult result,
-                  const http::Response& response) {
+void Clients::finish(const load::Try& client_try, http::CallResult result,
+                     const http::Response& response) {
   if (calls_.erase(client_try.id) == 0)
     return;
   load::End end = load::End::broken;
--- a/src/day/clients.h
+++ b/src/day/clients.h
@@ -25,7 +25,7 @@
  public:
   Clients(net::Loop& loop, const Scenario& scenario, unsigned salt,
           const std::vector<ProxyPorts>& proxies, record::Writer& record);
-  void begin(TimePoint start);
+  void start(TimePoint start_time);
   bool over() const { return load_.over(); }
   std::size_t open() const { return load_.open(); }
   void set_proxy_up(int number, bool up);
@@ -36,12 +36,14 @@
  private:
   void send_due();
   void send(const load::Try& client_try);
-  void end(const load::Try& client_try, http::CallResult result, const http::Response& response);
+  void finish(const load::Try& client_try, http::CallResult result, const http::Response& response);
   void begin_fault(const Fault& fault);
   void report_wrong_answer(int proxy, const std::string& node);
   /// The load's clock starts at the scenario's start.
-  TimePoint now() const { return TimePoint(loop_.now() - start_); }
-  TimePoint loop_time(TimePoint load_time) const { return start_ + load_time.time_since_epoch(); }
+  TimePoint now() const { return TimePoint(loop_.now() - start_time_); }
+  TimePoint loop_time(TimePoint load_time) const {
+    return start_time_ + load_time.time_since_epoch();
+  }
 
   net::Loop& loop_;
   const Scenario& scenario_;
@@ -51,7 +53,7 @@
   std::vector<std::unique_ptr<http::ConnectionPool>> service_pools_{}, admin_pools_{};  // by proxy
   std::map<std::int64_t, std::pair<int, http::ConnectionPool::Id>> calls_{};  // proxy and call
   net::Loop::Timer timer_ = net::Loop::no_timer;
-  TimePoint start_{};
+  TimePoint start_time_{};
   bool begun_ = false;
 };
 
--- a/src/day/environment.cpp
+++ b/src/day/environment.cpp
@@ -357,14 +357,14 @@
   log_.info("trouble", {{"is", to_string(fault.kind)}});
 }
 
-void Environment::begin(TimePoint start) {
+void Environment::start(TimePoint start_time) {
   registry_->set_delay(sample_between(scenario_.min_registry_delay, scenario_.max_registry_delay));
   controller_->set_publish_delay(
       sample_between(scenario_.min_publish_delay, scenario_.max_publish_delay));
   for (const Fault& fault : scenario_.faults)
-    loop_.at(start + fault.at, [this, &fault] { begin_fault(fault); });
+    loop_.at(start_time + fault.at, [this, &fault] { begin_fault(fault); });
   for (const ScheduledRelease& release : scenario_.releases)
-    loop_.at(start + release.at, [this, &release] { submit(release); });
+    loop_.at(start_time + release.at, [this, &release] { submit(release); });
   record_rollout_changes();
   update_shared_slowdown();
 }
--- a/src/day/environment.h
+++ b/src/day/environment.h
@@ -29,8 +29,8 @@
 
   int registry_port() const { return registry_->port(); }
   int controller_port() const { return controller_port_; }
-  /// Schedules the scenario's faults and releases from `start` on.
-  void begin(TimePoint start);
+  /// Schedules the scenario's faults and releases relative to `start_time`.
+  void start(TimePoint start_time);
   /// Whether a server is registered in every slot.
   bool all_servers_registered() const;
 
--- a/src/day/scenario_runner.cpp
+++ b/src/day/scenario_runner.cpp
@@ -243,8 +243,8 @@
     }
   }
   std::stable_sort(events.begin(), events.end(), [](auto& a, auto& b) { return a.at < b.at; });
-  environment_thread.loop.call([&] { environment.begin(start); });
-  clients_thread.loop.call([&] { clients.begin(start); });
+  environment_thread.loop.call([&] { environment.start(start); });
+  clients_thread.loop.call([&] { clients.start(start); });
   RunResult result;
   const auto now = [&] { return TimePoint(net::steady_now() - epoch); };
   std::size_t next = 0;
