--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -217,7 +217,7 @@
   ASSERT_TRUE(unsure.additional_pairs);
   EXPECT_GT(*unsure.additional_pairs, 10);
   EXPECT_EQ(lab::compare(a, a, true).verdict, Verdict::undecided);
-  EXPECT_FALSE(lab::compare({1}, {2}, true).more);
+  EXPECT_FALSE(lab::compare({1}, {2}, true).additional_pairs);
   // Student's t for five degrees of freedom is 2.5706.
   const lab::Mean mean = lab::mean_of(a);
   EXPECT_NEAR(mean.half_width, 2.5706 * mean.standard_deviation / std::sqrt(6), 1e-4);
