--- a/src/cli/release.cpp
+++ b/src/cli/release.cpp
@@ -340,7 +340,7 @@
     sub->add_option("NAME", options->name, "Name of the release")->required();
     return sub;
   };
-  CLI::App* creates = add("create", "Create a release and start its rollout",
+  CLI::App* creates = add("create", "Create a release and submit its build",
                           [options] { return create(*options); });
   creates->add_option("--build", options->build, "Number of the build")->required();
   creates->add_option("--name", options->name, "Name of the release (default build-N)");
--- a/src/lab/fault_search.cpp
+++ b/src/lab/fault_search.cpp
@@ -190,8 +190,8 @@
         on_worse(worst);
     }
   };
-  // A third of the runs samples at random, the next ones are a hill climb from the worst result, the last
-  // quarter is for shrinking.
+  // A third of the runs samples at random, the next ones are a hill climb from the worst result,
+  // the last quarter is for shrinking.
   const int batch = std::max(4, 2 * settings.jobs);
   while (runs + batch <= settings.runs / 3) {
     std::vector<std::vector<Fault>> candidates;
