--- a/src/day/environment.cpp
+++ b/src/day/environment.cpp
@@ -418,7 +418,7 @@
   record::told_list(proxy_updates_, loop_.now(), proxy, update.entries, update.complete);
 }
 
-// A proxy goes by the newest release that has begun; updates of older ones have no effect on it.
+// A proxy applies the newest release that has begun; updates of older ones have no effect on it.
 void Environment::record_release_update(const std::string& proxy,
                                         const objects::Snapshot& snapshot) {
   const releases::Release release = releases::decode(snapshot.full);
--- a/src/standin/server_pool.h
+++ b/src/standin/server_pool.h
@@ -29,7 +29,7 @@
 };
 
 struct PoolSettings {
-  Duration dedup_window{};               ///< the servers share the marks of completed keys
+  Duration dedup_window{};               ///< of keys; the servers of the pool deduplicate together
   std::vector<Duration> default_work{};  ///< by request class, for requests without X-Work-Us
   machine::Cancelled cancellation = machine::Cancelled::nothing;
   std::size_t max_clients = 10000;  ///< connections that a server accepts
