--- a/src/day/scenario.h
+++ b/src/day/scenario.h
@@ -55,8 +55,8 @@
 
 struct Scenario {
   deployment::Deployment deployment{};
-  std::string
-      deployment_text{};  ///< source of `deployment`, written to the proxies' settings files
+  /// The source of `deployment`, which the proxies' settings files include.
+  std::string deployment_text{};
   Duration length{};
   int server_slots = 1, cell_size = 4;
   machine::Build initial_build{};
