--- a/src/emulator/simulated_controller.cpp
+++ b/src/emulator/simulated_controller.cpp
@@ -23,14 +23,14 @@
       membership_({simulation.day.deployment.proxies, lease, retention}) {}
 
 void SimulatedController::start() {
-  const day::Day& day = simulation_.day;
+  const day::Scenario& day = simulation_.day;
   const auto& deployment = day.deployment;
   if (saved_.machines.empty())
-    rollout_ = std::make_unique<rollout::Rollout>(deployment.rollout, day.places, day.first.number,
-                                                  deployment.proxies);
+    rollout_ = std::make_unique<rollout::Rollout>(deployment.rollout, day.server_slots,
+                                                  day.initial_build.number, deployment.proxies);
   else
     rollout_ = std::make_unique<rollout::Rollout>(
-        deployment.rollout, day.places, deployment.proxies, saved_, simulation_.engine.now());
+        deployment.rollout, day.server_slots, deployment.proxies, saved_, simulation_.engine.now());
   published_version_ = 0;
   logged_changes_ = 0;
   for (const int machine : servers_.listed())
@@ -177,7 +177,7 @@
   simulation_.engine.in(heartbeat_interval, [this] { begin_heartbeats(); });
 }
 
-void SimulatedController::submit(const day::Offer& offer) {
+void SimulatedController::submit(const day::ScheduledRelease& offer) {
   if (!rollout_) {
     simulation_.engine.in(submit_retry_interval, [this, &offer] { submit(offer); });
     return;
--- a/src/emulator/simulated_servers.cpp
+++ b/src/emulator/simulated_servers.cpp
@@ -15,15 +15,15 @@
 SimulatedServers::SimulatedServers(Simulation& simulation, Fleet& fleet,
                                    SimulatedRegistry& registry)
     : simulation_(simulation), fleet_(fleet), registry_(registry) {
-  for (int slot = 0; slot < simulation.day.places; ++slot)
+  for (int slot = 0; slot < simulation.day.server_slots; ++slot)
     speeds_.push_back(1 + simulation.day.speed_spread * (2 * simulation.uniform_sample() - 1));
 }
 
 const machine::Build& SimulatedServers::build(int number) const {
-  for (const day::Offer& offer : simulation_.day.offers)
+  for (const day::ScheduledRelease& offer : simulation_.day.releases)
     if (offer.build.number == number)
       return offer.build;
-  return simulation_.day.first;
+  return simulation_.day.initial_build;
 }
 
 bool SimulatedServers::runs(const Machine& machine) const {
@@ -50,16 +50,17 @@
 }
 
 void SimulatedServers::start(const rollout::Command& command) {
-  const day::Day& day = simulation_.day;
+  const day::Scenario& day = simulation_.day;
   machines_[command.machine] = {.name = "node-" + std::to_string(command.machine),
                                 .slot = command.slot,
                                 .build = command.build};
-  const bool from_the_beginning = command.build == day.first.number && command.machine < day.places;
+  const bool from_the_beginning =
+      command.build == day.initial_build.number && command.machine < day.server_slots;
   if (from_the_beginning) {
     boot(command.machine, false);
     return;
   }
-  simulation_.engine.in(simulation_.sample_between(day.boot_least, day.boot_most),
+  simulation_.engine.in(simulation_.sample_between(day.min_boot_time, day.max_boot_time),
                         [this, machine = command.machine] { boot(machine, true); });
 }
 
@@ -67,7 +68,7 @@
   const auto found = machines_.find(machine);
   if (found == machines_.end() || runs(found->second))
     return;
-  const day::Day& day = simulation_.day;
+  const day::Scenario& day = simulation_.day;
   Machine& booting = found->second;
   ServerSpec spec;
   spec.name = booting.name;
@@ -84,7 +85,7 @@
 }
 
 void SimulatedServers::list(int machine) {
-  const day::Day& day = simulation_.day;
+  const day::Scenario& day = simulation_.day;
   Machine& listed = machines_.at(machine);
   registry::Endpoint endpoint;
   endpoint.name = listed.name;
@@ -108,11 +109,12 @@
     return;
   }
   fleet_.silence(stopping.server);
-  simulation_.engine.in(simulation_.day.silent_after, [this, machine, name = stopping.name] {
-    const auto found = machines_.find(machine);
-    if (found == machines_.end() || !found->second.listed)
-      registry_.remove(name);
-  });
+  simulation_.engine.in(simulation_.day.silent_removal_delay,
+                        [this, machine, name = stopping.name] {
+                          const auto found = machines_.find(machine);
+                          if (found == machines_.end() || !found->second.listed)
+                            registry_.remove(name);
+                        });
 }
 
 void SimulatedServers::crash(int machine, bool silently) {
@@ -174,7 +176,7 @@
 
 void SimulatedServers::begin_shared_harm() {
   double factor = 1;
-  for (const day::Offer& offer : simulation_.day.offers)
+  for (const day::ScheduledRelease& offer : simulation_.day.releases)
     if (offer.build.flaw == machine::Flaw::shared)
       factor += (offer.build.strength - 1) *
                 fleet_.share_of_traffic(offer.build.number, shared_harm_window);
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -5,7 +5,7 @@
 
 #include "audit/audit.h"
 #include "emulator/run.h"
-#include "lab/lab.h"
+#include "lab/experiment_runner.h"
 #include "scripted_test.h"
 
 namespace robinhoist::emulator {
@@ -115,7 +115,7 @@
   near(shared.took_ms, 1000.0 / (100 - 70));
 }
 
-day::Day day_of(const std::string& changed_from = "", const std::string& changed_to = "") {
+day::Scenario day_of(const std::string& changed_from = "", const std::string& changed_to = "") {
   std::ifstream in(ROOT "/days/short.day");
   std::stringstream text;
   text << in.rdbuf();
@@ -141,7 +141,7 @@
 }
 
 TEST(Run, is_the_same_to_the_bit_by_its_seed) {
-  const day::Day day = day_of();
+  const day::Scenario day = day_of();
   const Summary a = run(day, 3, folder("a")), b = run(day, 3, folder("b")),
                 other = run(day, 4, folder("c"));
   for (const char* file : {"nodes.jsonl", "clients.jsonl", "told.jsonl", "umpires.jsonl"}) {
@@ -212,15 +212,15 @@
   EXPECT_EQ(lab::compare(a, more, true).verdict, Verdict::better);
   EXPECT_EQ(lab::compare(a, more, false).verdict, Verdict::worse);
   EXPECT_EQ(lab::compare(more, a, true).verdict, Verdict::worse);
-  const lab::Paired unsure = lab::compare(a, noise, true);
-  EXPECT_EQ(unsure.verdict, Verdict::cannot_tell);
-  ASSERT_TRUE(unsure.more);
-  EXPECT_GT(*unsure.more, 10);
-  EXPECT_EQ(lab::compare(a, a, true).verdict, Verdict::cannot_tell);
-  EXPECT_FALSE(lab::compare({1}, {2}, true).more);
+  const lab::PairedComparison unsure = lab::compare(a, noise, true);
+  EXPECT_EQ(unsure.verdict, Verdict::undecided);
+  ASSERT_TRUE(unsure.additional_pairs);
+  EXPECT_GT(*unsure.additional_pairs, 10);
+  EXPECT_EQ(lab::compare(a, a, true).verdict, Verdict::undecided);
+  EXPECT_FALSE(lab::compare({1}, {2}, true).additional_pairs);
   // Student's t for five degrees of freedom is 2.5706.
   const lab::Mean mean = lab::mean_of(a);
-  EXPECT_NEAR(mean.half, 2.5706 * mean.sd / std::sqrt(6), 1e-4);
+  EXPECT_NEAR(mean.half_width, 2.5706 * mean.standard_deviation / std::sqrt(6), 1e-4);
 }
 
 // One that was stopped goes on where it was, and gives what an undisturbed one gives; another
@@ -245,7 +245,7 @@
   EXPECT_EQ(lab::run(whole, results, 2, {}), 0);
   EXPECT_EQ(lab::run(whole, fresh, 4, {}), 6);
   EXPECT_EQ(lab::table(whole, results), lab::table(whole, fresh));
-  EXPECT_EQ(results.of(1).size(), 3u);
+  EXPECT_EQ(results.runs_of(1).size(), 3u);
   EXPECT_THROW(lab::Results(at + "/r.sqlite", written(3, "50 120")), std::runtime_error);
   EXPECT_THROW(written(3, "50 fast"), settings::ValidationError);
   fs::remove_all(at);
@@ -264,7 +264,7 @@
   for (const lab::Cell& cell : experiment.cells) {
     strata.insert(static_cast<int>((std::stod(cell.values[0]) - 100) / 10));
     ones += cell.values[1] == "1";
-    EXPECT_EQ(std::to_string(cell.day.deployment.proxies), cell.values[1]);
+    EXPECT_EQ(std::to_string(cell.scenario.deployment.proxies), cell.values[1]);
   }
   EXPECT_EQ(strata.size(), 10u);
   EXPECT_EQ(ones, 5);
@@ -272,7 +272,7 @@
 }
 
 TEST(Run, refuses_a_day_with_a_database) {
-  const day::Day day = day::read(settings::SexpReader::from_file(ROOT "/days/steps.day"));
+  const day::Scenario day = day::read(settings::SexpReader::from_file(ROOT "/days/steps.day"));
   EXPECT_NE(why_not(day), "");
   EXPECT_THROW(run(day, 1, ""), std::runtime_error);
 }
