--- a/fuzz/framing_fuzz.cpp
+++ b/fuzz/framing_fuzz.cpp
@@ -25,7 +25,7 @@
     out += piece;
     while (responses.read(out) == http::ParseResult::complete) {
       http::Headers kept;
-      http::copy_end_to_end(responses.take().headers, kept);
+      http::copy_end_to_end_headers(responses.take().headers, kept);
       responses.expect(false);
     }
   }
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -117,7 +117,7 @@
   return {text.data(), text.size()};
 }
 
-void copy_end_to_end(const Headers& from, Headers& to) {
+void copy_end_to_end_headers(const Headers& from, Headers& to) {
   const std::string_view connection = from.get("Connection");
   for (const Header& field : from.all()) {
     const bool hop_by_hop =
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -70,7 +70,7 @@
 std::string percent_decoded(std::string_view text);
 
 /// Copies the fields that belong to the message itself and not to the hop (RFC 9110, 7.6.1).
-void copy_end_to_end(const Headers& from, Headers& to);
+void copy_end_to_end_headers(const Headers& from, Headers& to);
 
 /// A response of plain text.
 Response text_response(int status, std::string_view text);
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -105,7 +105,7 @@
   read_hints(request.headers.get(wire_names::request_info), parsed.info);
   parsed.forwarded.method = request.method;
   parsed.forwarded.target = std::move(request.target);
-  http::copy_end_to_end(request.headers, parsed.forwarded.headers);
+  http::copy_end_to_end_headers(request.headers, parsed.forwarded.headers);
   parsed.forwarded.body = std::move(request.body);
   return parsed;
 }
@@ -201,7 +201,7 @@
 
 http::Response PlatformProtocol::succeeded(http::Response&& from, const std::string&, int) const {
   http::Headers end_to_end;
-  http::copy_end_to_end(from.headers, end_to_end);
+  http::copy_end_to_end_headers(from.headers, end_to_end);
   http::Response response;
   for (const auto& [name, value] : end_to_end.all())
     if (!http::equals_ignoring_case(name, wire_names::server_load))
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -94,7 +94,7 @@
     return parsed;
   parsed.forwarded.method = request.method;
   parsed.forwarded.target = request.target;
-  http::copy_end_to_end(request.headers, parsed.forwarded.headers);
+  http::copy_end_to_end_headers(request.headers, parsed.forwarded.headers);
   parsed.forwarded.headers.set(request_header, settings_.name + "." + std::to_string(request_id));
   parsed.forwarded.body = std::move(exchange.request.body);
   return parsed;
@@ -170,7 +170,7 @@
                                        int build) const {
   http::Response response;
   response.status = from.status;
-  http::copy_end_to_end(from.headers, response.headers);
+  http::copy_end_to_end_headers(from.headers, response.headers);
   response.headers.add(endpoint_header, endpoint);
   response.headers.add(build_header, std::to_string(build));
   response.body = std::move(from.body);
