--- a/src/http/connection_pool.cpp
+++ b/src/http/connection_pool.cpp
@@ -67,7 +67,7 @@
     connection->abandon();
 }
 
-bool ConnectionPool::recall(Id id) {
+bool ConnectionPool::cancel_if_unsent(Id id) {
   const auto connection = find(id);
   if (!connection || connection->written())
     return false;
--- a/src/http/connection_pool.h
+++ b/src/http/connection_pool.h
@@ -63,7 +63,7 @@
   void cancel(Id id);
   /// Takes back a call that has not been written yet; `done` does not run. False: it has been
   /// written.
-  bool recall(Id id);
+  bool cancel_if_unsent(Id id);
   void close_idle();
 
   /// Connections that are open or coming up.
--- a/src/proxy/router_decisions.cpp
+++ b/src/proxy/router_decisions.cpp
@@ -197,7 +197,7 @@
     if (!request || i >= request->attempts.size())
       return;
     const InFlightAttempt& attempt = request->attempts[i];
-    if (!attempt.ended && upstreams_.at(attempt.endpoint).connections->recall(attempt.call))
+    if (!attempt.ended && upstreams_.at(attempt.endpoint).connections->cancel_if_unsent(attempt.call))
       attempt_ended({.request_id = request_id, .attempt = i}, {Outcome::obsolete}, {});
   }
 }
@@ -208,7 +208,7 @@
   std::vector<AttemptId> recalled;
   for (const AttemptId& id : in_flight_.open_attempts()) {
     const InFlightAttempt& attempt = in_flight_.at(id.request_id).attempts[id.attempt];
-    if (outdated(attempt) && upstreams_.at(attempt.endpoint).connections->recall(attempt.call))
+    if (outdated(attempt) && upstreams_.at(attempt.endpoint).connections->cancel_if_unsent(attempt.call))
       recalled.push_back(id);
   }
   std::sort(recalled.begin(), recalled.end());
