--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -121,7 +121,7 @@
       http::Request request;
       request.target = "/v1/releases?watch=1";
       stream->start(
-          request, http::StreamClient::SilenceLimits{100s, 100s},
+          request, http::StreamClient::InactivityLimits{100s, 100s},
           [&](std::string& body) {
             for (std::size_t end; (end = body.find('\n')) != std::string::npos;
                  body.erase(0, end + 1)) {
--- a/src/http/stream_client.cpp
+++ b/src/http/stream_client.cpp
@@ -14,7 +14,7 @@
   stop();
 }
 
-void StreamClient::start(const Request& request, const SilenceLimits& limits, OnData on_data,
+void StreamClient::start(const Request& request, const InactivityLimits& limits, OnData on_data,
                          Ended ended) {
   stop();
   reader_ = std::make_unique<StreamReader>(limits_);
--- a/src/http/stream_client.h
+++ b/src/http/stream_client.h
@@ -23,7 +23,7 @@
   /// Consumes what it can from the front of the body. True: that was a sign of life.
   using OnData = std::function<bool(std::string& body)>;
   /// How long no sign of life may come.
-  struct SilenceLimits {
+  struct InactivityLimits {
     Duration first;  ///< from the start to the first sign
     Duration next;   ///< from one sign to the next
   };
@@ -35,7 +35,7 @@
 
   /// Starts a watch; one that goes on ends without a word. Silence beyond the limits ends it too:
   /// the peer may be gone without its connection being closed, and a connection may never come up.
-  void start(const Request& request, const SilenceLimits& limits, OnData on_data, Ended ended);
+  void start(const Request& request, const InactivityLimits& limits, OnData on_data, Ended ended);
   /// Ends it without a word.
   void stop();
   bool running() const { return stream_ != nullptr; }
--- a/src/platform/watch.h
+++ b/src/platform/watch.h
@@ -24,7 +24,7 @@
  public:
   struct Settings {
     std::string what{};  ///< what is watched, for the log
-    http::StreamClient::SilenceLimits silence{};
+    http::StreamClient::InactivityLimits silence{};
     Duration max_retry_delay{};
     unsigned salt = 1;
   };
