--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -6,9 +6,12 @@
 
 namespace robinhoist::http {
 
-Exchange::Exchange(std::weak_ptr<ServerConnection> connection, Request request, TimePoint at,
-                   bool first)
-    : request(std::move(request)), at(at), first(first), connection_(std::move(connection)) {}
+Exchange::Exchange(std::weak_ptr<ServerConnection> connection, Request request,
+                   TimePoint received_at, bool first_on_connection)
+    : request(std::move(request)),
+      received_at(received_at),
+      first_on_connection(first_on_connection),
+      connection_(std::move(connection)) {}
 
 Exchange::~Exchange() {
   if (!answered_)
--- a/src/http/exchange.h
+++ b/src/http/exchange.h
@@ -15,7 +15,8 @@
 /// Holding it costs nothing but memory; dropped without an answer, it answers 500.
 class Exchange {
  public:
-  Exchange(std::weak_ptr<ServerConnection> connection, Request request, TimePoint at, bool first);
+  Exchange(std::weak_ptr<ServerConnection> connection, Request request, TimePoint received_at,
+           bool first_on_connection);
   ~Exchange();
   Exchange(const Exchange&) = delete;
   Exchange& operator=(const Exchange&) = delete;
@@ -34,11 +35,11 @@
   std::size_t unwritten() const;
 
   bool answered() const { return answered_; }
-  bool gone() const { return connection_.expired(); }
+  bool client_disconnected() const { return connection_.expired(); }
 
   Request request;
-  TimePoint at;        ///< when the request had come whole
-  bool first = false;  ///< whether it is the first on its connection
+  TimePoint received_at;             ///< when the request had been received completely
+  bool first_on_connection = false;  ///< whether it is the first request on its connection
   /// Runs when the client has left before the answer, or when the stream has ended.
   std::function<void()> on_disconnect{};
 
--- a/src/platform/protocol.cpp
+++ b/src/platform/protocol.cpp
@@ -146,7 +146,8 @@
     return proxy::Rejection{400, "needs one Idempotency-Key"};
   const double time_left_ms = std::min(*timeout_ms, to_millis(request_class.deadline));
   // One tick is kept for the response's way to the client.
-  parsed.info.deadline = exchange.at + from_millis(time_left_ms) - module_settings_.requests.tick;
+  parsed.info.deadline =
+      exchange.received_at + from_millis(time_left_ms) - module_settings_.requests.tick;
   parsed.info.is_retry = headers.get(wire_names::client_retry) == "1";
   parsed.client_id = *id;
   return {};
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -143,8 +143,8 @@
   if (!(info.cost_hint_ms >= 0))
     return Rejection{400, "header " + names.cost_hint + " is not a number from 0"};
   info.is_retry = headers.has(names.retry);
-  info.deadline =
-      exchange.at + from_millis(std::min(remaining_ms, max_ms)) - settings_.response_reserve;
+  info.deadline = exchange.received_at + from_millis(std::min(remaining_ms, max_ms)) -
+                  settings_.response_reserve;
   return {};
 }
 
--- a/src/proxy/request_tracer.cpp
+++ b/src/proxy/request_tracer.cpp
@@ -61,7 +61,7 @@
   http::Headers& headers = request.forwarded.headers;
   const auto parent = tracing::parse_traceparent(headers.get(trace_header));
   const std::string name = proxy_name_ + "." + std::to_string(info.request_id);
-  request.trace = traces_.begin(name, parent, request.exchange->at);
+  request.trace = traces_.begin(name, parent, request.exchange->received_at);
   if (!request.trace)
     return;
   headers.set(trace_header,
--- a/src/proxy/router_decisions.cpp
+++ b/src/proxy/router_decisions.cpp
@@ -164,7 +164,7 @@
     const auto& classes = module_settings_.requests.request_classes;
     const Duration objective =
         classes[static_cast<std::size_t>(request->request_class)].latency_objective;
-    const bool is_late = loop_.now() - request->exchange->at > objective;
+    const bool is_late = loop_.now() - request->exchange->received_at > objective;
     counters_.late += is_late ? 1 : 0;
     finish(*request, protocol_.succeeded(std::move(response), upstream.name, upstream.build),
            {.outcome = wire_names::succeeded, .reason = wire_names::response_received});
@@ -197,7 +197,8 @@
     if (!request || i >= request->attempts.size())
       return;
     const InFlightAttempt& attempt = request->attempts[i];
-    if (!attempt.ended && upstreams_.at(attempt.endpoint).connections->cancel_if_unsent(attempt.call))
+    if (!attempt.ended &&
+        upstreams_.at(attempt.endpoint).connections->cancel_if_unsent(attempt.call))
       attempt_ended({.request_id = request_id, .attempt = i}, {Outcome::obsolete}, {});
   }
 }
@@ -208,7 +209,8 @@
   std::vector<AttemptId> recalled;
   for (const AttemptId& id : in_flight_.open_attempts()) {
     const InFlightAttempt& attempt = in_flight_.at(id.request_id).attempts[id.attempt];
-    if (outdated(attempt) && upstreams_.at(attempt.endpoint).connections->cancel_if_unsent(attempt.call))
+    if (outdated(attempt) &&
+        upstreams_.at(attempt.endpoint).connections->cancel_if_unsent(attempt.call))
       recalled.push_back(id);
   }
   std::sort(recalled.begin(), recalled.end());
--- a/src/standin/nodes.cpp
+++ b/src/standin/nodes.cpp
@@ -166,7 +166,7 @@
          next_id_++);
     return exchange->abort_connection();
   }
-  const Duration by = there.by + (exchange->first ? node.handshake : Duration{});
+  const Duration by = there.by + (exchange->first_on_connection ? node.handshake : Duration{});
   const int request_class = deployment_.match_request_class(request.method, request.path());
   if (request_class < 0)
     return exchange->answer(http::text_response(404, "no such product\n"));
--- a/tests/soak/services.cpp
+++ b/tests/soak/services.cpp
@@ -84,7 +84,7 @@
 
 void Services::push_change() {
   for (const http::ExchangePtr& watch : list_watches_) {
-    if (watch->gone() || !watch->write(list_.last_change_line()))
+    if (watch->client_disconnected() || !watch->write(list_.last_change_line()))
       continue;
     list_.note_told(false);
   }
