--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,13 +1,13 @@
-/// The two clocks that hosts read. Everything below the hosts gets the time handed to it.
+/// The two clocks that a process reads. Code that does no I/O gets the time as a parameter instead.
 #pragma once
 #include "time/time_types.h"
 
 namespace robinhoist::net {
 
-/// The machine's steady clock, the same in all of its processes.
+/// The machine's steady clock, which all of its processes share.
 SteadyTime steady_now();
 
-/// Time since 1970, for what crosses machines.
+/// Wall-clock time since 1970, for timestamps that other machines read.
 WallTime wall_now();
 
 }  // namespace robinhoist::net
--- a/src/net/fd_watcher.h
+++ b/src/net/fd_watcher.h
@@ -1,5 +1,4 @@
-/// A file descriptor that an event loop reads: listeners, timers, signals, wake-ups from other
-/// threads.
+/// A file descriptor watched by an event loop: a listener, timerfd, signalfd or eventfd.
 #pragma once
 #include <Poco/Net/SocketNotification.h>
 #include <Poco/Net/SocketReactor.h>
@@ -10,16 +9,16 @@
 
 namespace robinhoist::net {
 
-/// Owns a file descriptor and calls back on the loop's thread whenever it is readable.
+/// Owns a file descriptor and runs a callback on the loop's thread whenever it is readable.
 class FdWatcher {
  public:
-  /// Takes the descriptor over and closes it at the end. Watches from the start.
+  /// Takes ownership of the descriptor, which the destructor closes. Watching is enabled initially.
   FdWatcher(Poco::Net::SocketReactor& reactor, int fd, std::function<void()> on_readable);
   ~FdWatcher();
   FdWatcher(const FdWatcher&) = delete;
   FdWatcher& operator=(const FdWatcher&) = delete;
 
-  /// Stops and starts watching; the descriptor stays open.
+  /// Enables or disables watching; the descriptor stays open.
   void enable(bool enabled);
 
  private:
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -13,8 +13,8 @@
 namespace robinhoist::net {
 namespace {
 
-constexpr int backlog = 1024;        // connections that the kernel queues
-constexpr int max_accepts_per_event = 64;  // then the loop's other sockets have their turn
+constexpr int backlog = 1024;              // connections that the kernel queues
+constexpr int max_accepts_per_event = 64;  // so that the loop's other sockets are served in between
 constexpr Duration descriptor_retry_interval = std::chrono::milliseconds(50);
 
 bool out_of_descriptors(int error) {
@@ -74,7 +74,7 @@
     if (fd >= 0)
       on_accept_(fd);
     else if (errno != EINTR && errno != ECONNABORTED)
-      break;  // a client that broke off must not hide those behind it
+      break;  // ECONNABORTED ends only one client's connection; the queue may hold others
   }
   loop_.cancel(retry_timer_);
   paused_ = true;
@@ -98,7 +98,7 @@
     }
     if (!out_of_descriptors(errno))
       return;
-    // Without a descriptor the socket stays readable, and the loop would spin on it.
+    // While no descriptor is available the socket stays readable, and the loop would spin on it.
     ++fd_exhaustions_;
     watcher_->enable(false);
     retry_timer_ = loop_.in(descriptor_retry_interval, [this] { watcher_->enable(!paused_); });
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,4 @@
-/// A listening TCP socket on a loop.
+/// A listening TCP socket on an event loop.
 #pragma once
 #include <functional>
 #include <memory>
@@ -9,11 +9,11 @@
 
 namespace robinhoist::net {
 
-/// Accepts connections and hands their descriptors on, which then belong to whoever got them.
+/// Accepts connections and passes their descriptors to a callback, which takes ownership of them.
 class Listener {
  public:
-  /// `address` is host:port; port 0 takes any that is free, and port() tells which. Throws
-  /// std::runtime_error with the address when it cannot be listened on.
+  /// `address` is host:port; port 0 selects a free port, which port() returns. Throws
+  /// std::runtime_error that names the address when it cannot listen on it.
   Listener(Loop& loop, const std::string& address, std::function<void(int fd)> on_accept);
   ~Listener();
   Listener(const Listener&) = delete;
@@ -21,12 +21,12 @@
 
   int port() const { return port_; }
 
-  /// Accepts those who wait in the kernel's queue, then closes the socket: a connection that the
-  /// kernel has accepted is not left to break.
+  /// Accepts all connections in the kernel's queue, then closes the socket. Closing it with queued
+  /// connections would reset them.
   void finish();
-  /// While paused, new clients keep their place in the kernel's queue.
+  /// While paused, new connections wait in the kernel's queue.
   void pause(bool paused);
-  /// How often the process had no file descriptor left for a new connection.
+  /// How often a connection could not be accepted because no file descriptor was available.
   long fd_exhaustions() const { return fd_exhaustions_; }
 
  private:
@@ -38,7 +38,7 @@
   int port_ = 0;
   bool paused_ = false;
   std::function<void(int)> on_accept_;
-  std::unique_ptr<FdWatcher> watcher_{};  // empty: closed
+  std::unique_ptr<FdWatcher> watcher_{};  // null once the socket is closed
   Loop::Timer retry_timer_ = Loop::no_timer;
   long fd_exhaustions_ = 0;
 };
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr std::size_t max_lateness_samples = 8192;
-constexpr long reactor_timeout_s = 3600;  // the reactor's own time-outs are not used
+constexpr long reactor_timeout_s = 3600;  // the reactor's own time-out is not used
 constexpr long nanoseconds_per_second = 1'000'000'000;
 
-// An exception of one task must not cost the others their turn: it goes to the handler that the
-// reactor gives the exceptions of its own handlers.
+// Passes an exception of a task to the error handler that the reactor uses for its own handlers, so
+// that the remaining tasks still run.
 void run_task(const Loop::Task& task) {
   try {
     task();
@@ -67,7 +67,8 @@
   arm();
 }
 
-// An alarm that is earlier than needed is left as it is: it finds nothing due and sets the next.
+// Sets the timerfd to the earliest timer. An alarm that is too early is kept: when it fires, no
+// timer is due and the alarm is set again.
 void Loop::arm() {
   if (tasks_.empty())
     return;
@@ -85,7 +86,8 @@
 void Loop::run_due_timers() {
   reset_counter(timer_fd_);
   armed_for_ = TimePoint{};
-  const TimePoint until = now();  // what falls due meanwhile waits for sockets to have their turn
+  const TimePoint until =
+      now();  // timers that become due meanwhile run after the sockets' handlers
   while (!tasks_.empty() && tasks_.begin()->first.due <= until) {
     const auto next = tasks_.extract(tasks_.begin());
     record_lateness(next.key().due);
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,8 +1,8 @@
-/// One thread's event loop.
+/// The event loop of one thread.
 ///
-/// POCO's SocketReactor watches sockets; timers run off a timerfd, because the reactor's own
-/// time-outs are whole milliseconds and fire only when nothing else happens; an eventfd brings work
-/// from other threads. Unless stated otherwise, methods belong to the loop's thread.
+/// POCO's SocketReactor watches sockets. Timers use a timerfd, because the reactor's own time-outs
+/// are in whole milliseconds and fire only when no socket is ready. An eventfd wakes the loop for
+/// tasks from other threads. Unless stated otherwise, methods must be called on the loop's thread.
 #pragma once
 #include <Poco/Net/SocketReactor.h>
 
@@ -22,57 +22,57 @@
 
 namespace robinhoist::net {
 
-/// Names a timer that is set, for Loop::cancel(). Timers that are due at the same time run in the
-/// order in which they were set.
+/// Identifies a timer that is set, for Loop::cancel(). Timers that are due at the same time run in
+/// the order in which they were set.
 struct TimerHandle {
   TimePoint due{};
-  std::uint64_t id = 0;  ///< 0: none is set
+  std::uint64_t id = 0;  ///< 0: no timer
   // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads the generated comparison
   auto operator<=>(const TimerHandle&) const = default;
 };
 
-/// The event loop: sockets, timers and tasks of one thread, in order of time.
+/// Runs the socket handlers, timers and posted tasks of one thread.
 class Loop : public Poco::Net::SocketReactor {
  public:
   using Task = std::function<void()>;
 
   using Timer = TimerHandle;
-  /// The timer that is not set; cancelling it does nothing.
+  /// A handle to no timer; cancelling it has no effect.
   static constexpr Timer no_timer{};
 
-  /// `epoch` is the steady time that now() counts from; the machine's own zero by default.
-  /// Throws std::runtime_error when no file descriptor is left.
+  /// `epoch` is the steady time at which now() is zero; by default the zero of the steady clock.
+  /// Throws std::runtime_error when the timerfd or the eventfd cannot be created.
   explicit Loop(SteadyTime epoch = SteadyTime{});
   ~Loop() override;
 
-  /// The present time of this run. From any thread.
+  /// The current time of this run. Callable from any thread.
   TimePoint now() const { return TimePoint(steady_now() - epoch_); }
   SteadyTime epoch() const { return epoch_; }
 
   /// Runs a task at a point in time, or as soon as possible after it.
   Timer at(TimePoint when, Task task);
-  /// Runs a task after a wait.
+  /// Runs a task after a delay.
   Timer in(Duration wait, Task task) { return at(now() + wait, std::move(task)); }
-  /// Takes a timer back, if it has not run, and resets the name.
+  /// Cancels a timer that has not run yet, and resets the handle to no_timer.
   void cancel(Timer& timer);
 
-  /// Runs a task on the loop's thread, in the order of the calls. From any thread.
+  /// Runs a task on the loop's thread, in the order of the calls. Callable from any thread.
   void post(Task task);
-  /// Ends run() soon. From any thread.
+  /// Makes run() return soon. Callable from any thread.
   void quit();
-  /// Runs a task on the loop's thread and waits for its end; rethrows what it throws. From any
-  /// thread but the loop's own.
+  /// Runs a task on the loop's thread, waits for its end and rethrows what it throws. Callable from
+  /// any thread except the loop's.
   void call(const Task& task);
 
-  /// Runs a task at the start of each turn in which anything is ready, before the handlers of all
-  /// sockets; the reactor has no other order among those. It replaces the task of an earlier call;
-  /// an empty one takes it back.
+  /// Runs a task at the start of each iteration in which any socket is ready, before all socket
+  /// handlers; the order of the socket handlers among themselves is unspecified. Replaces the task
+  /// of an earlier call; an empty task removes it.
   void before_each_iteration(Task task) { before_iteration_ = std::move(task); }
 
-  /// For tests of long lives: as if so much time had passed. What falls due meanwhile runs next.
+  /// For tests of long runs: advances the loop's clock. Timers that become due run next.
   void advance(Duration time);
-  /// For measurements: how late timers ran, in microseconds, as a quantile (0 to 1) of the last few
-  /// thousand. Nothing before the first.
+  /// For measurements: a quantile (0 to 1) of how late the last few thousand timers ran, in
+  /// microseconds. Empty before the first.
   std::optional<std::int32_t> lateness(double quantile) const;
   /// How many timers are set.
   std::size_t timers() const { return tasks_.size(); }
@@ -91,7 +91,7 @@
   int event_fd_;
   std::map<Timer, Task> tasks_{};
   std::uint64_t next_timer_id_ = 1;
-  TimePoint armed_for_{};  // what the timerfd is set to; zero: not set
+  TimePoint armed_for_{};  // the time the timerfd is set to; zero: not set
   Task before_iteration_{};
   std::mutex posted_mutex_{};
   std::vector<Task> posted_{};
@@ -101,7 +101,7 @@
   std::unique_ptr<FdWatcher> event_watcher_;
 };
 
-/// Timers that end with their owner, so that no task runs on an object that is gone.
+/// A set of timers that is cancelled on destruction, so that no task runs on a destroyed owner.
 class Timers {
  public:
   explicit Timers(Loop& loop) : loop_(loop) {}
--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -26,7 +26,7 @@
 
 Signals::Signals(Loop& loop, std::initializer_list<int> signals, std::function<void(int)> on_signal)
     : loop_(loop), fd_(blocked_signals_fd(signals)), on_signal_(std::move(on_signal)) {
-  // The watcher wakes the loop; the signals are read at the start of the turn.
+  // The watcher wakes the loop; the signals are read at the start of the iteration.
   watcher_ = std::make_unique<FdWatcher>(loop, fd_, [this] { read_pending(); });
   loop_.before_each_iteration([this] { read_pending(); });
 }
--- a/src/net/signals.h
+++ b/src/net/signals.h
@@ -1,4 +1,4 @@
-/// POSIX signals as events on a loop.
+/// POSIX signals as events of an event loop.
 #pragma once
 #include <functional>
 #include <initializer_list>
@@ -9,14 +9,14 @@
 
 namespace robinhoist::net {
 
-/// Blocks some signals for the process and hands each one that comes to a callback on the loop's
-/// thread. All signals that have come by the start of a turn of the loop are handed over before any
-/// socket of that turn, so that a response that came with a signal is written by a process that
-/// knows of it. Has to be made before any other thread is started, so that all threads inherit the
-/// blocked set. A loop has one Signals at most.
+/// Blocks a set of signals for the process and passes each one received to a callback on the loop's
+/// thread. All signals that are pending at the start of a loop iteration are passed on before any
+/// socket is handled, so that responses written in that iteration take them into account. Must be
+/// created before any other thread is started, so that all threads inherit the signal mask. A loop
+/// has at most one Signals object.
 class Signals {
  public:
-  /// Throws std::runtime_error when no file descriptor is left.
+  /// Throws std::runtime_error when the signalfd cannot be created.
   Signals(Loop& loop, std::initializer_list<int> signals, std::function<void(int)> on_signal);
   ~Signals();
   Signals(const Signals&) = delete;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::size_t read_chunk_bytes = std::size_t{64} * 1024;
-// An empty buffer gives its memory back above this: large messages are rare.
+// An empty buffer with a larger capacity is released, because large messages are rare.
 constexpr std::size_t max_idle_buffer_bytes = std::size_t{4} * 1024;
 
 template <class Notification>
@@ -57,7 +57,7 @@
   const bool failed =
       fd < 0 || (::connect(fd, address.addr(), address.length()) < 0 && errno != EINPROGRESS);
   if (failed) {
-    // Told later like any other refusal, so that callers need no second path.
+    // Reported asynchronously like any other refusal, so that callers need no second code path.
     loop.in(Duration(0), [stream] {
       if (stream->owner_)
         stream->close(CloseReason::refused);
@@ -111,9 +111,9 @@
   }
 }
 
-// POCO goes on polling for what a removed observer wanted while others of the socket stay, so that
-// a loop would spin on a socket that can always be written. All are removed, and those still wanted
-// come back.
+// Removes all observers of the socket and adds the ones still needed again. While any observer of a
+// socket remains, POCO goes on polling for the events of those that were removed; the loop would
+// then spin on a socket that is always writable.
 void Stream::reregister_handlers() {
   if (!registered_)
     return;
@@ -192,7 +192,7 @@
     return;
   if (state_ == State::open && unwritten() == 0) {
     const ssize_t sent = ::send(fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
-    if (sent > 0)  // an error shows again when the socket is writable
+    if (sent > 0)  // an error is reported again when the socket becomes writable
       bytes.remove_prefix(static_cast<std::size_t>(sent));
     if (bytes.empty())
       return;
@@ -205,7 +205,7 @@
   want_write(true);
 }
 
-// False: the connection has broken.
+// Returns false when the connection has failed.
 bool Stream::flush() {
   while (unwritten() > 0) {
     const ssize_t sent = ::send(fd(), output_.data() + written_, unwritten(), MSG_NOSIGNAL);
@@ -242,7 +242,7 @@
       close(CloseReason::reset);
   } else if (!finishing_) {
     close(CloseReason::by_peer);
-  } else if (unwritten() > 0) {  // the peer may still read
+  } else if (unwritten() > 0) {  // the peer has closed its side but may still read
     peer_eof_ = true;
     want_read(false);
   } else {
@@ -278,7 +278,7 @@
     owner_->on_written(*this);
 }
 
-// False: the connection did not come up, or its owner has closed it at once.
+// Returns false when the connection could not be established or its owner has closed it at once.
 bool Stream::handle_connected() {
   int error = 0;
   socklen_t length = sizeof error;
@@ -299,8 +299,7 @@
   const auto self = shared_from_this();
   if (state_ == State::connecting)
     close(CloseReason::refused);
-  else if (!reading_)  // else what came before the error is read first, and reading meets the error
-                       // after it
+  else if (!reading_)  // if reading, recv() returns the earlier bytes first and then the error
     close(CloseReason::reset);
 }
 
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,4 +1,4 @@
-/// A non-blocking TCP connection on a loop.
+/// A non-blocking TCP connection on an event loop.
 #pragma once
 #include <Poco/Net/SocketAddress.h>
 #include <Poco/Net/StreamSocket.h>
@@ -13,57 +13,56 @@
 
 /// How a connection ended.
 enum class CloseReason {
-  by_peer,  ///< the peer ended its side
-  reset,    ///< it broke
-  refused,  ///< it never came up
-  local     ///< we ended it, and the peer has followed
+  by_peer,  ///< the peer closed its side
+  reset,    ///< the connection failed
+  refused,  ///< the connection was never established
+  local     ///< finish() closed our side, and the peer has then closed its own
 };
 
-/// A TCP connection. It reads while its owner lets it, writes at once as far as the kernel takes it
-/// and keeps the rest, and tells its end once.
+/// A TCP connection. It reads unless the owner has stopped reading, writes immediately what the
+/// kernel accepts, buffers the rest, and reports its end once.
 class Stream : public std::enable_shared_from_this<Stream> {
  public:
-  /// Whoever a stream reports to. The owner outlives its part in the stream: it calls drop() before
-  /// it goes.
+  /// Receives the events of a stream. An owner must call drop() before it is destroyed.
   struct Owner {
     virtual ~Owner() = default;
-    /// The connection is up; not for adopted ones.
+    /// The connection is established. Not called for adopted connections.
     virtual void on_open(Stream&) {}
-    /// input() has grown.
+    /// Bytes have been appended to input().
     virtual void on_bytes(Stream&) = 0;
-    /// All that was to be written is with the kernel.
+    /// The kernel has accepted all bytes written so far.
     virtual void on_written(Stream&) {}
     virtual void on_closed(Stream&, CloseReason reason) = 0;
   };
 
-  /// Begins to connect; how it went comes by on_open or on_closed, never from inside this call.
+  /// Starts to connect. The result is reported by on_open() or on_closed(), never inside this call.
   static std::shared_ptr<Stream> connect(Loop& loop, const Poco::Net::SocketAddress& address,
                                          Owner& owner);
-  /// Takes over the descriptor of a connection that is up.
+  /// Takes ownership of the descriptor of an established connection.
   static std::shared_ptr<Stream> adopt(Loop& loop, int fd, Owner& owner);
   ~Stream();
 
-  /// What has been received and not yet consumed; the owner erases what it has used from the front.
+  /// Bytes received and not yet processed; the owner erases processed bytes from the front.
   std::string& input() { return input_; }
   void write(std::string_view bytes);
-  /// Bytes that the kernel has not taken yet.
+  /// Bytes that the kernel has not accepted yet.
   std::size_t unwritten() const { return output_.size() - written_; }
-  /// Stops and starts reading: back-pressure towards the peer.
+  /// Stops or resumes reading, to apply back-pressure to the peer.
   void read(bool enabled);
 
-  /// Ends the connection gracefully once all is written: sending ends, and what comes is read and
-  /// thrown away until the peer ends too. A close with unread bytes would be a reset, which may
-  /// destroy what was written. The owner hears of it by on_closed, later and once, and bounds the
-  /// time.
+  /// Closes the connection gracefully: shuts down sending once all bytes are written, then discards
+  /// input until the peer closes its side too. Closing with unread input would reset the
+  /// connection, and the peer might lose the last bytes written. The end is reported later by
+  /// on_closed(); the owner has to limit the wait.
   void finish();
-  /// Ends the connection now, without a further word to the owner. With `reset` the peer sees it
-  /// break.
+  /// Closes the connection now, without any further call to the owner. With `reset` the peer gets a
+  /// TCP reset.
   void drop(bool reset = false);
 
   bool open() const { return state_ == State::open; }
-  /// Whether there is nothing to be read, not even the peer's end.
+  /// Whether the input buffer and the socket hold neither bytes nor the peer's end of stream.
   bool nothing_to_read() const;
-  /// Whether the peer has ended its side, though what it sent before may be unread.
+  /// Whether the peer has closed its side; bytes that it sent before may be unread.
   bool peer_ended() const;
   std::string peer() const { return peer_; }
 
@@ -89,7 +88,7 @@
   Loop& loop_;
   Poco::Net::StreamSocket socket_;
   State state_;
-  Owner* owner_;  // null: nobody is to hear of anything any more
+  Owner* owner_;  // null: events are no longer reported
   std::string input_{};
   std::string output_{};
   std::size_t written_ = 0;  // of output_
@@ -97,7 +96,7 @@
   bool registered_ = false;
   bool reading_ = false;
   bool writing_ = false;
-  bool read_enabled_ = true;  // as the owner wants it
+  bool read_enabled_ = true;  // as set by read()
   bool finishing_ = false;
   bool peer_eof_ = false;
 };
