--- a/src/settings/scalar.cpp
+++ b/src/settings/scalar.cpp
@@ -13,10 +13,10 @@
   double microseconds;
 };
 
-/// In the order in which they are tried: "ms" ends in "s" too.
+/// In the order in which they are tried: "ms" before "s", because "ms" also ends in "s".
 constexpr Unit units[] = {{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"m", 6e7}, {"h", 3.6e9}};
 
-/// Longer durations, of some 31 years, are no durations.
+/// Values of this size (about 31 years) or more are rejected.
 constexpr double max_duration_us = 1e15;
 
 }  // namespace
--- a/src/settings/scalar.h
+++ b/src/settings/scalar.h
@@ -7,13 +7,14 @@
 
 namespace robinhoist::settings {
 
-/// A finite number; nothing when the whole word is not one.
+/// Parses a finite number; empty when the whole word is not one.
 std::optional<double> parse_number(const std::string& word);
 
-/// A number with a unit, such as 40us, 250ms, 1.5s, 2m or 1h; nothing when the word is not one.
+/// Parses a number with a unit, such as 40us, 250ms, 1.5s, 2m or 1h; empty when the word is not
+/// one.
 std::optional<Duration> parse_duration(const std::string& word);
 
-/// As error messages show them.
+/// Format a number and a duration for error messages.
 std::string format_number(double value);
 std::string format_duration(Duration duration);
 
--- a/src/settings/sexp.cpp
+++ b/src/settings/sexp.cpp
@@ -29,7 +29,7 @@
   text += '"';
 }
 
-/// One part of a dotted path: a key, and the form's first word where one is given in brackets.
+/// One part of a dotted path: a key, and the form's first word if it is given in brackets.
 struct PathPart {
   std::string key;
   std::string name;
--- a/src/settings/sexp_parser.cpp
+++ b/src/settings/sexp_parser.cpp
@@ -20,8 +20,8 @@
   return std::isspace(static_cast<unsigned char>(c)) != 0;
 }
 
-/// sfsexp keeps no positions. This scan of the same text finds the line of each value, in the order
-/// in which a parser meets them, and rejects what sfsexp would misread or not balance.
+/// Finds the line of each value, in the order in which a parser reaches them, because sfsexp keeps
+/// no positions. Also rejects unbalanced parentheses and text that sfsexp would misread.
 class LineScanner {
  public:
   LineScanner(const std::string& text, const std::string& file) : text_(text), file_(file) {}
@@ -30,7 +30,7 @@
     for (position_ = 0; position_ < text_.size(); ++position_)
       scan_character(text_[position_]);
     if (!open_lines_.empty())
-      throw_syntax_error(file_, open_lines_.back(), "a ( that nothing closes");
+      throw_syntax_error(file_, open_lines_.back(), "unclosed (");
     return std::move(value_lines_);
   }
 
@@ -43,8 +43,8 @@
       scan_delimiter(c);
     } else if (c == '"') {
       scan_quoted();
-    } else if (has_no_meaning(c)) {
-      throw_error("a character that has no meaning here; put text in quotes");
+    } else if (is_invalid(c)) {
+      throw_error("invalid character outside a quoted string");
     } else if (!in_word_) {
       in_word_ = true;
       value_lines_.push_back(line_);
@@ -62,14 +62,14 @@
         throw_error("forms nested deeper than " + std::to_string(max_depth));
     } else if (c == ')') {
       if (open_lines_.empty())
-        throw_error("a ) closes nothing");
+        throw_error("unmatched )");
       open_lines_.pop_back();
     }
   }
 
   void scan_quoted() {
     if (in_word_)
-      throw_error("a quote inside a word");
+      throw_error("quote inside a word");
     const int first_line = line_;
     value_lines_.push_back(line_);
     for (++position_; position_ < text_.size() && text_[position_] != '"'; ++position_) {
@@ -79,14 +79,14 @@
         ++position_;
     }
     if (position_ >= text_.size())
-      throw_syntax_error(file_, first_line, "a quoted text never ends");
+      throw_syntax_error(file_, first_line, "unterminated quoted string");
     if (position_ + 1 < text_.size() && !may_follow_quoted(text_[position_ + 1]))
-      throw_error("something stands straight after a quoted text");
+      throw_error("missing separator after a quoted string");
   }
 
   static bool may_follow_quoted(char c) { return is_space(c) || std::strchr("();", c); }
 
-  static bool has_no_meaning(char c) {
+  static bool is_invalid(char c) {
     const auto code = static_cast<unsigned char>(c);
     return c == '\'' || c == '#' || c == '\\' || code < ' ' || code >= 0x7f;
   }
@@ -125,7 +125,7 @@
     return value;
   }
 
-  /// Whether each line has been given to one value.
+  /// Whether each line has been assigned to a value.
   bool has_used_all_lines() const { return next_ == lines_.size(); }
 
  private:
@@ -138,13 +138,13 @@
   void operator()(sexp_t* tree) const { destroy_sexp(tree); }
 };
 
-/// The forms of one file as one list.
+/// Parses the forms of one file into one list.
 Sexp parse_forms(const std::string& text, const std::string& name, int file) {
   if (text.size() > max_text_size)
     throw ValidationError(name + ": larger than 4 MiB", 1);
   std::vector<int> lines = LineScanner(text, name).scan();
   if (lines.empty())
-    throw ValidationError(name + ": holds nothing", 1);
+    throw ValidationError(name + ": contains no forms", 1);
   std::string list = "(" + text + "\n)";
   const std::unique_ptr<sexp_t, TreeDeleter> tree(parse_sexp(list.data(), list.size()));
   if (!tree)
@@ -160,7 +160,7 @@
 /// The name of an included file, relative to the file that includes it.
 std::string included_name(const Sexp& include, const std::string& name) {
   if (include.items.size() != 2 || include.items[1].is_list)
-    throw_syntax_error(name, include.line, "include: wants one file name");
+    throw_syntax_error(name, include.line, "include: expects one file name");
   const std::string& other = include.items[1].atom;
   const std::size_t slash = name.rfind('/');
   if (other.starts_with('/') || slash == std::string::npos)
@@ -180,10 +180,10 @@
 
 Sexp parse_sexp_text(const std::string& text, const std::string& name, ProblemList& problems) {
   if (problems.file_count() >= max_files)
-    throw ValidationError(name + ": more than 16 files include each other", 1);
+    throw ValidationError(name + ": more than 16 included files", 1);
   const int file = problems.add_file(name);
   Sexp root{.line = 1, .file = file, .is_list = true};
-  root.items.push_back(Sexp{.line = 1, .file = file});  // In place of a key.
+  root.items.push_back(Sexp{.line = 1, .file = file});  // The empty key.
   for (Sexp& form : parse_forms(text, name, file).items) {
     if (!form.has_key("include")) {
       root.items.push_back(std::move(form));
--- a/src/settings/sexp_reader.cpp
+++ b/src/settings/sexp_reader.cpp
@@ -95,7 +95,7 @@
   return settings::override_value(*root_, path, words);
 }
 
-/// The form with that key, which must not be given twice.
+/// Returns the form with that key, and reports a duplicate.
 const Sexp* SexpReader::find_form(const char* key, bool is_required) {
   read_keys_.emplace_back(key);
   const Sexp* found = nullptr;
@@ -105,7 +105,7 @@
       continue;
     if (found)
       add_problem_at(item, path_of(key),
-                     "given twice; first on line " + std::to_string(found->line));
+                     "duplicate key; first given on line " + std::to_string(found->line));
     else
       found = &item;
   }
@@ -114,7 +114,7 @@
   return found;
 }
 
-/// The value of (key VALUE).
+/// Returns the value of (key VALUE).
 const Sexp* SexpReader::find_value(const char* key, bool is_required) {
   const Sexp* form = find_form(key, is_required);
   if (!form)
@@ -130,7 +130,7 @@
   if (!value)
     return fallback.value_or("");
   if (value->atom.empty() && !fallback)
-    add_wrong_value(*value, key, "a text");
+    add_wrong_value(*value, key, "a non-empty string");
   return value->atom;
 }
 
@@ -167,7 +167,7 @@
     return *duration;
   add_wrong_value(
       *value, key,
-      "a span such as 250ms, from " + format_duration(min) + " to " + format_duration(max));
+      "a duration such as 250ms, from " + format_duration(min) + " to " + format_duration(max));
   return min;
 }
 
@@ -192,14 +192,14 @@
                       "a number from " + format_number(min) + " to " + format_number(max));
   }
   if (numbers.size() < min_count)
-    add_wrong_value(*form, key, "a list of " + std::to_string(min_count) + " or more");
+    add_wrong_value(*form, key, "a list of at least " + std::to_string(min_count) + " numbers");
   return numbers;
 }
 
 SexpReader SexpReader::child(const char* key) {
   if (const Sexp* form = find_form(key, true))
     return reader_of(form, key);
-  // The problems of an empty form that stands for the missing one are dropped.
+  // Reads an empty form instead of the missing one, and discards the problems found in it.
   static const Sexp empty_form{.is_list = true, .items = {Sexp{}}};
   SexpReader reader = reader_of(&empty_form, key);
   reader.problems_ = std::make_shared<ProblemList>();
@@ -227,8 +227,8 @@
   }
   if (children.size() < min_count)
     add_problem_at(*form_, path_of(key),
-                   std::to_string(children.size()) + " given, " + std::to_string(min_count) +
-                       " needed at least");
+                   std::to_string(children.size()) + " given, at least " +
+                       std::to_string(min_count) + " required");
   return children;
 }
 
--- a/src/settings/sexp_reader.h
+++ b/src/settings/sexp_reader.h
@@ -1,8 +1,8 @@
-/// Checked reading of settings and other files that are written as S-expressions.
+/// Validating reader of settings and other files that are written as S-expressions.
 ///
-/// A file is a sequence of (key value ...) forms. A SexpReader reads one form key by key. Whatever
-/// is wrong is collected, each problem with file, line, path of the key, value and what is allowed,
-/// and finish() throws all of them together:
+/// A file is a sequence of (key value ...) forms. A SexpReader reads one form key by key. It
+/// collects all problems, each with the file, line, path of the key, value and allowed values, and
+/// finish() throws them together:
 ///
 ///     auto reader = SexpReader::from_file(file);
 ///     auto cache = reader.child("cache");
@@ -24,26 +24,28 @@
 
 namespace robinhoist::settings {
 
-/// Reads one form. Copies share the text and its problems; the text lives as long as any of them.
+/// Reads one form. Copies share the text and its list of problems.
 class SexpReader {
  public:
-  /// A reader of all forms of a file. Throws ValidationError when it cannot be read or parsed.
+  /// A reader of the top-level forms of a file. Throws ValidationError when the file cannot be read
+  /// or parsed.
   static SexpReader from_file(const std::string& file);
-  /// The same for a text; `name` stands for its file in messages.
+  /// The same for a text; messages name `name` as its file.
   static SexpReader from_text(const std::string& text, const std::string& name);
 
-  /// Each reads the value of the form (key VALUE), which may be given once. Without a `fallback`
-  /// the key is required. After a problem they return some allowed value.
+  /// Each of these reads the value of the form (key VALUE), which may be given once. Without a
+  /// `fallback` the key is required. If there is a problem, they report it and return an arbitrary
+  /// allowed value.
   std::string text(const char* key, const std::optional<std::string>& fallback = {});
   double number(const char* key, double min, double max, std::optional<double> fallback = {});
   int integer(const char* key, int min, int max, std::optional<int> fallback = {});
   Duration duration(const char* key, Duration min, Duration max,
                     std::optional<Duration> fallback = {});
-  /// Written as yes or no.
+  /// The value is written as yes or no.
   bool boolean(const char* key, std::optional<bool> fallback = {});
-  /// The numbers of (key NUMBER ...); optional when `min_count` is 0.
+  /// The numbers of (key NUMBER ...). The key is optional when `min_count` is 0.
   std::vector<double> numbers(const char* key, double min, double max, std::size_t min_count);
-  /// A word that names one of the given values.
+  /// A word that is the name of one of the given values.
   template <class Enum>
   Enum enumerator(const char* key, std::initializer_list<std::pair<const char*, Enum>> names,
                   std::optional<Enum> fallback = {}) {
@@ -60,32 +62,33 @@
     return names.begin()->second;
   }
 
-  /// The form (key ...). A missing one is reported once; its own keys are not.
+  /// The form (key ...). If it is missing, that is one problem; the keys that it lacks are not
+  /// reported.
   SexpReader child(const char* key);
   std::optional<SexpReader> optional_child(const char* key);
-  /// All forms with that key, in their order.
+  /// All forms with that key, in the order of the file.
   std::vector<SexpReader> children(const char* key, std::size_t min_count = 0);
-  /// The words of this form that are no (key value) forms: of (node a1 (port 1)) the word 0 is a1.
-  /// `what` names a missing one in its problem.
+  /// A word of this form outside its (key value) forms: word 0 of (node a1 (port 1)) is a1. `what`
+  /// describes the word in the problem that is reported when it is missing.
   std::string positional(std::size_t index, const char* what);
   std::size_t positional_count() const;
 
   bool has(const char* key) const;
-  /// A problem that only the caller can see, such as two settings at odds; of this form or of one
-  /// of its keys.
+  /// Reports a problem of this form, or of one of its keys, that the caller has found, such as two
+  /// settings that contradict each other.
   void add_problem(const std::string& what) const;
   void add_problem(const char* key, const std::string& what) const;
-  /// Reports keys that were not read. On the reader of the whole file it then throws a
-  /// ValidationError if there were any problems.
+  /// Reports keys that were not read as unknown. On the top-level reader, it then throws a
+  /// ValidationError if there are any problems.
   void finish();
 
-  /// The form (key ...) as text that parses to the same; empty when there is none.
+  /// The form (key ...) as text that parses to the same value; empty when there is no such form.
   std::string to_text(const char* key) const;
-  /// All forms as text, a line each.
+  /// All forms as text, one per line.
   std::string to_text() const;
-  /// The same with the form `key` last, and without its forms `left_out`.
+  /// The same with the form `key` last and without the forms `left_out` inside it.
   std::string to_text_without(const char* key, const char* left_out) const;
-  /// Changes a value before anything is read; see settings::override_value().
+  /// Changes a value before any value is read; see settings::override_value().
   bool override_value(const std::string& path, const std::string& words);
 
  private:
@@ -98,7 +101,7 @@
   void add_wrong_value(const Sexp& value, const std::string& key, const std::string& allowed) const;
   void add_problem_at(const Sexp& value, const std::string& path, const std::string& what) const;
 
-  std::shared_ptr<Sexp> root_;  ///< Owns form_.
+  std::shared_ptr<Sexp> root_;  ///< Owns the tree that form_ points into.
   const Sexp* form_;
   std::shared_ptr<ProblemList> problems_;
   std::string path_;
