--- a/src/migration/lease.h
+++ b/src/migration/lease.h
@@ -10,23 +10,23 @@
 
 namespace robinhoist::migration {
 
-/// Acquires and renews the lease in the journal. Each acquisition has a larger fencing token, which
-/// the target checks too: clocks only decide who tries.
+/// Acquires and renews the lease in the journal. Each acquisition gets a larger fencing token. The
+/// target checks the token as well, so that wrong clocks can only affect which runner tries to act.
 class Lease {
  public:
   Lease(net::Loop& loop, journal::Journal& journal, const log::Logger& log, std::string holder,
         Duration length);
 
-  /// Renews the lease when it is held, else tries to acquire it. Throws journal::JournalError.
+  /// Renews the lease if it is held; otherwise tries to acquire it. Throws journal::JournalError.
   void renew_or_acquire();
-  /// The target has seen a newer token.
+  /// Records that the lease was lost, because the target has seen a newer token.
   void lose() { token_ = 0; }
 
   bool is_held() const { return token_ > 0; }
   /// The fencing token; 0 when the lease is not held.
   std::int64_t token() const { return token_; }
-  /// Whether it is held and has not ended by this process's own clock: a process that was suspended
-  /// for longer than the lease must not act on it.
+  /// Whether the lease is held and has not expired by this process's clock. A process that was
+  /// suspended for longer than the lease must not act on it.
   bool is_valid() const { return is_held() && loop_.now() < valid_until_; }
 
  private:
--- a/src/migration/plan.cpp
+++ b/src/migration/plan.cpp
@@ -48,10 +48,9 @@
     step.before_stage = reader.integer("before-wave", 0, 1000);
     if (step.before_stage < 1 || step.before_stage >= stages)
       reader.add_problem("before-wave", "wave " + std::to_string(step.before_stage) +
-                                            " is none of those between 1 and " +
-                                            std::to_string(stages - 1));
+                                            " is not between 1 and " + std::to_string(stages - 1));
   } else if (reader.has("before-wave")) {
-    reader.add_problem("before-wave", "has a meaning for a migrate step only");
+    reader.add_problem("before-wave", "is only allowed in a migrate step");
   }
 }
 
@@ -64,9 +63,12 @@
       reader.enumerator<bool>("on-back", {{"keep", false}, {"undo", true}},
                               is_contract ? std::optional<bool>(false) : std::nullopt);
   if (step.rollback_with_release && step.rollback_statement.empty())
-    reader.add_problem("undo is missing: a wave may still go back, and on-back says undo");
+    reader.add_problem(
+        "undo is missing, but on-back is undo and the release may still be rolled back");
   if (is_contract && step.rollback_with_release)
-    reader.add_problem("on-back", "a contract step runs only when the release can't be sent back");
+    reader.add_problem(
+        "on-back",
+        "must be keep: a contract step runs only when the release can no longer be rolled back");
   step.idempotent = reader.boolean("idempotent", false);
   step.transactional = reader.boolean("transactional", true);
 }
@@ -76,13 +78,14 @@
   step.key_column = reader.text("key");
   step.batch_rows = reader.integer("batch", 1, max_batch_rows);
   if (!step.transactional)
-    reader.add_problem("transactional", "a data step keeps its cursor in its transaction");
+    reader.add_problem("transactional",
+                       "must be yes: a data step stores its cursor in its transaction");
   if (!binds(step.apply_statement, ":after") || !binds(step.apply_statement, ":upto"))
-    reader.add_problem("apply", "of a data step must bind :after and :upto");
+    reader.add_problem("apply", "must bind :after and :upto in a data step");
   step.rollback_in_batches = binds(step.rollback_statement, ":upto");
   if (binds(step.rollback_statement, ":after") != step.rollback_in_batches)
     reader.add_problem("undo",
-                       "must bind both :after and :upto, then it runs in batches, or neither");
+                       "must bind both :after and :upto, to run in batches, or neither of them");
 }
 
 void read_retry(SexpReader& reader, Step& step) {
@@ -121,7 +124,7 @@
   return step;
 }
 
-/// Steps of a lower rank run first.
+/// Steps with a lower rank run first.
 int rank_of(const Step& step) {
   constexpr int after_all_stages = 1 << 20;
   switch (step.phase) {
@@ -141,19 +144,19 @@
     for (const std::string& dependency : steps[i].dependencies) {
       auto found = positions.find(dependency);
       if (found == positions.end()) {
-        readers[i].add_problem("needs " + dependency + ", which is no step of this plan");
+        readers[i].add_problem("needs " + dependency + ", which is not a step of this plan");
         continue;
       }
       const Step& other = steps[found->second];
       if (rank_of(other) > rank_of(steps[i]))
-        readers[i].add_problem("is a " + std::string(to_string(steps[i].phase)) +
-                               " step and needs " + dependency + ", which runs later, in " +
+        readers[i].add_problem("runs in phase " + std::string(to_string(steps[i].phase)) +
+                               ", but needs " + dependency + ", which runs later, in phase " +
                                to_string(other.phase));
     }
 }
 
-/// The order in which the steps run: by phase and stage, then by dependencies, then as written.
-/// Steps in a dependency cycle are left out and reported.
+/// Returns the steps in the order in which they run: by phase and stage, then by dependencies, then
+/// as written. Reports a dependency cycle and leaves out the steps that depend on it.
 std::vector<Step> in_order(const std::vector<Step>& steps, const StepPositions& positions,
                            const std::vector<SexpReader>& readers) {
   std::vector<std::size_t> remaining(steps.size());
@@ -172,7 +175,7 @@
                          is_placed_or_unknown);
     });
     if (ready == remaining.end()) {
-      readers[remaining.front()].add_problem("needs itself, by way of the steps that it needs");
+      readers[remaining.front()].add_problem("is part of a dependency cycle, or depends on one");
       break;
     }
     placed.insert(steps[*ready].id);
@@ -204,11 +207,11 @@
   for (SexpReader& step_reader : readers) {
     Step step = read_step(step_reader, stages);
     if (!positions.emplace(step.id, plan.steps.size()).second)
-      step_reader.add_problem("a second step of that id");
+      step_reader.add_problem("duplicate step id");
     auto before = applied.find(std::to_string(plan.build) + "/" + step.id);
     if (before != applied.end() && before->second != step.digest)
-      step_reader.add_problem("has been applied with other content (digest " + before->second +
-                              ", now " + step.digest + "): give it a new id");
+      step_reader.add_problem("has been applied with different content (digest " + before->second +
+                              ", now " + step.digest + "); use a new id");
     plan.steps.push_back(std::move(step));
   }
   reader.finish();
--- a/src/migration/plan_state_machine.cpp
+++ b/src/migration/plan_state_machine.cpp
@@ -8,10 +8,10 @@
 
 using namespace std::chrono_literals;
 
-/// Above this share of unsuccessful requests the pause between batches doubles; below it shrinks
-/// by a quarter.
+/// Above this share of unsuccessful requests the pause between batches doubles; otherwise it is
+/// reduced by a quarter.
 constexpr double max_unsuccessful_share = 0.02;
-/// Reports of fewer requests are ignored.
+/// Reports with fewer requests are ignored.
 constexpr long min_requests = 20;
 constexpr std::size_t max_batch_samples = 16;
 constexpr Duration min_batch_pause = 20ms;
@@ -37,7 +37,7 @@
   return -1;
 }
 
-/// A migrate step is due while the stage before the one that needs it runs.
+/// A migrate step is due from the stage before the one that requires it.
 bool PlanStateMachine::is_due(int index) const {
   if (!release_.offered || release_.rolling_back || release_.rolled_back)
     return false;
@@ -66,7 +66,7 @@
     case StepState::maybe_rolled_back:
       return true;
     case StepState::not_applied:
-      return progress.cursor > 0;  // Some batches have run.
+      return progress.cursor > 0;  // Some batches have been applied.
     case StepState::rolled_back:
       break;
   }
@@ -86,7 +86,8 @@
                 .cursor = rolls_back_all ? beyond_all_keys : progress.cursor};
 }
 
-/// A step that may have run is probed; it is run again only when it is idempotent.
+/// Probes a step that may have run. If it can't be probed, runs it again if it is idempotent, and
+/// otherwise leaves the decision to the operator.
 std::optional<Action> PlanStateMachine::resolve_unknown(int index, Direction direction) {
   const Step& step = plan_.steps[index];
   Progress& progress = progress_[index];
@@ -103,7 +104,7 @@
     return start_run(index, direction);
   progress.blocked = true;
   progress.undecidable = true;
-  progress.reason = "it may have run, nothing can tell, and it must not run twice";
+  progress.reason = "it may have run; it has neither a marker nor a check, and is not idempotent";
   action.reason = progress.reason;
   return action;
 }
@@ -154,7 +155,7 @@
         return next_rollback_action(index, now);
     return {};
   }
-  // Strictly in order: a step that is not due, or that waits, holds up all that follow.
+  // Strictly in order: a step that is not due, or that waits, blocks all steps after it.
   for (int index = 0; index < count && is_due(index); ++index)
     if (!is_finished(index))
       return next_apply_action(index, now);
@@ -179,8 +180,8 @@
   for (int i = 1; i < progress.failures && delay < step.max_retry_delay; ++i)
     delay *= 2;
   delay = std::min(delay, step.max_retry_delay);
-  // The jitter comes from the step's digest: the same events give the same delays, and different
-  // steps different ones.
+  // The jitter is derived from the step's digest, so that the same events result in the same delays
+  // and different steps have different delays.
   const std::string& digest = step.digest;
   const int jitter = digest.empty() ? 0 : digest[progress.failures % digest.size()] % 16;
   progress.retry_at = now + delay / 2 + delay * jitter / 32;
@@ -188,7 +189,7 @@
 
 void PlanStateMachine::add_batch_sample(Progress& progress, std::int64_t cursor, TimePoint now) {
   auto& samples = progress.recent_batches;
-  // Batches of an apply and of a rollback have no pace in common.
+  // An apply and a rollback may progress at different rates, so their samples are not mixed.
   if (samples.size() > 1) {
     const bool was_ascending = samples[1].cursor > samples[0].cursor;
     const bool is_ascending = cursor > samples.back().cursor;
@@ -241,7 +242,7 @@
     schedule_retry(progress, plan_.steps[index], now);
   } else if (was_verification && applied == ProbeResult::no) {
     progress.blocked = true;
-    progress.reason = "it was applied, but its check says that it is not";
+    progress.reason = "it was applied, but its check query reports that it is not";
   } else {
     progress.retry_at = TimePoint{};
   }
@@ -273,13 +274,13 @@
       break;
     case StepResult::not_run:
     case StepResult::fenced: {
-      // It speaks of the last attempt alone.
+      // The result only covers the last attempt; an earlier one may still have run.
       if (progress.earlier_attempt_unresolved) {
         progress.state = is_apply ? StepState::maybe_applied : StepState::maybe_rolled_back;
         break;
       }
-      // A rollback that changed nothing leaves what was there: the whole step, or those batches
-      // that had run when the release rolled back.
+      // After a rollback that changed nothing, the step is still applied as far as it was before:
+      // completely, or the batches that had run when the release was rolled back.
       const bool stays_applied = !is_apply && progress.fully_applied;
       progress.state = stays_applied ? StepState::applied : StepState::not_applied;
       break;
@@ -305,7 +306,7 @@
     progress.fully_applied |= !was_rollback;
     return;
   }
-  // With a cursor, the batches that were there before the rollback are there still.
+  // A cursor above 0 means that the batches up to it are still applied.
   progress.state = was_rollback && cursor == 0 ? StepState::rolled_back : StepState::not_applied;
   progress.fully_applied = false;
   progress.cursor = cursor;
@@ -398,7 +399,7 @@
   return true;
 }
 
-// The texts below stand in the journal and in the API's JSON; readers depend on them.
+// The texts below are stored in the journal and sent in the API's JSON, and must not change.
 
 const char* to_string(StepState state) {
   switch (state) {
--- a/src/migration/plan_state_machine.h
+++ b/src/migration/plan_state_machine.h
@@ -1,9 +1,10 @@
 /// Decides which step of a migration plan runs next, which steps must be probed before they are
 /// repeated, and which rollout stage may take traffic.
 ///
-/// It does no I/O and reads no clock. The host reports events with the on_ and set_ functions, and
-/// asks next_action() for one action at a time. It journals the intent of each action before it
-/// acts and the result after; after a restart it feeds the journal to the replay_ functions.
+/// The state machine does no I/O and reads no clock. The caller reports events with the on_ and
+/// set_ functions and gets one action at a time from next_action(). It writes the intent of each
+/// action to the journal before it acts and the result afterwards; after a restart it passes the
+/// journal's entries to the replay_ functions.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -21,10 +22,10 @@
 /// How a run of a step, or of one batch of a data step, ended.
 enum class StepResult {
   done,
-  more,     ///< A batch is done, and there are more.
-  not_run,  ///< It is known to have changed nothing.
-  unknown,  ///< It may have run.
-  fenced,   ///< The target has seen the token of a newer runner.
+  more,     ///< A batch is done, and more batches remain.
+  not_run,  ///< The run is known to have changed nothing.
+  unknown,  ///< The step may have run.
+  fenced,   ///< The target has seen the fencing token of a newer runner.
 };
 
 /// Whether a step is applied, according to the target.
@@ -32,34 +33,35 @@
 
 enum class ActionKind {
   run,                ///< Run the step, or its next batch.
-  query_marker,       ///< Ask the target for the step's marker: it may have run.
-  run_check,          ///< Ask the step's check query: it may have run.
-  verify,             ///< Ask the check query of a step that was applied.
-  wait_for_operator,  ///< Nothing can tell whether it has run; an operator must decide.
+  query_marker,       ///< Query the marker of a step that may have run.
+  run_check,          ///< Run the check query of a step that may have run.
+  verify,             ///< Run the check query of a step that was applied.
+  wait_for_operator,  ///< Whether the step has run cannot be determined; an operator must decide.
 };
 
-/// The key before which a rollback in batches begins when the whole step is to be rolled back. It
-/// is above every key.
+/// The initial cursor of a rollback in batches of a fully applied step. It is greater than every
+/// key.
 constexpr std::int64_t beyond_all_keys = std::int64_t{1} << 53;
 
-/// What the host has to do next.
+/// The next action of the caller.
 struct Action {
   ActionKind kind;
-  int step = -1;  ///< Index in the plan.
+  int step = -1;  ///< Index of the step in the plan.
   Direction direction = Direction::apply;
   int attempt = 0;
-  /// Data steps: the key after which the next batch begins; of a rollback, at which it ends.
+  /// Data steps: the key after which the next batch begins; for a rollback, the key at which it
+  /// ends.
   std::int64_t cursor = 0;
-  std::string reason{};  ///< Of wait_for_operator.
+  std::string reason{};  ///< Why an operator must decide; empty for other actions.
 };
 
-/// The state of the release, as far as migrations are concerned.
+/// The state of the release that determines which steps are due.
 struct ReleaseState {
-  int stage = -1;  ///< The stage now running; -1 before the first.
+  int stage = -1;  ///< The current stage; -1 before the first.
   bool offered = false;
-  bool rolling_back = false;  ///< Its endpoints may still serve.
-  bool rolled_back = false;   ///< None of its endpoints serve any more.
-  bool finalized = false;     ///< Released, and can't be rolled back any more.
+  bool rolling_back = false;  ///< Being rolled back; its endpoints may still serve requests.
+  bool rolled_back = false;   ///< Rolled back; none of its endpoints serves requests.
+  bool finalized = false;     ///< Released; can no longer be rolled back.
   bool operator==(const ReleaseState&) const = default;
 };
 
@@ -68,16 +70,16 @@
 /// What is known about one step.
 struct Progress {
   StepState state = StepState::not_applied;
-  bool fully_applied = false;  ///< It was applied to its end; stays while a rollback is under way.
-  bool verified = false;       ///< Its check agreed that it is applied.
-  bool blocked = false;        ///< It waits for the operator.
-  bool skipped = false;        ///< The operator took it as done.
-  bool undecidable = false;    ///< Nothing can tell whether it has run.
-  bool earlier_attempt_unresolved = false;  ///< One before the last may have run, too.
-  int failures = 0;                         ///< In a row.
+  bool fully_applied = false;  ///< Was applied completely; stays true during a rollback.
+  bool verified = false;       ///< The check query confirmed that it is applied.
+  bool blocked = false;        ///< Waits for the operator.
+  bool skipped = false;        ///< The operator declared it done.
+  bool undecidable = false;    ///< Whether it has run cannot be determined.
+  bool earlier_attempt_unresolved = false;  ///< An attempt before the last may also have run.
+  int failures = 0;                         ///< Number of consecutive failures.
   TimePoint retry_at{};
-  std::int64_t cursor = 0;   ///< Data steps: the last key of the batches that are done.
-  std::int64_t max_key = 0;  ///< Data steps: the largest key of the table; 0 when not known.
+  std::int64_t cursor = 0;   ///< Data steps: the last key of the finished batches.
+  std::int64_t max_key = 0;  ///< Data steps: the largest key of the table; 0 if unknown.
   std::string reason{};      ///< Why the last attempt failed.
 
   struct BatchSample {
@@ -87,10 +89,10 @@
   std::deque<BatchSample> recent_batches{};
 };
 
-/// How far a data step has come, by its keys.
+/// The progress of a data step, estimated from its keys.
 struct Estimate {
   double fraction_done = 0;
-  /// At the pace of the last few batches; nothing before there are two.
+  /// Derived from the rate of the last batches; empty before the second batch.
   std::optional<Duration> time_left{};
 };
 
@@ -99,25 +101,27 @@
   explicit PlanStateMachine(Plan plan);
 
   void set_release(const ReleaseState& release) { release_ = release; }
-  /// Whether this runner holds the lease; without it there is no action.
+  /// Sets whether this runner holds the lease; without it there is no next action.
   void set_lease_held(bool held) { lease_held_ = held; }
   void set_paused(bool paused) { paused_ = paused; }
-  /// The largest key of a data step's table, for the estimate.
+  /// Sets the largest key of a data step's table, for the estimate.
   void set_max_key(int step, std::int64_t key) { progress_[step].max_key = key; }
 
-  /// The run that next_action() asked for has ended.
+  /// Reports the end of the run that next_action() returned.
   void on_run_result(int step, Direction direction, StepResult result, std::int64_t cursor,
                      const std::string& reason, TimePoint now);
-  /// The probe that next_action() asked for was answered.
+  /// Reports the answer to the probe that next_action() returned.
   void on_probe_result(int step, ProbeResult applied, std::int64_t cursor,
                        const std::string& reason, TimePoint now);
-  /// Outcomes of client requests since the last report; `failed` were late, shed or failed. Data
-  /// steps slow down when there are too many of them.
+  /// Reports outcomes of client requests since the last report; `failed` counts those that were
+  /// late, shed or failed. Data steps slow down when too many requests fail.
   void on_client_outcomes(long requests, long failed, TimePoint now);
 
-  /// The operator knows that it is safe to run the step again. False when it is not waiting.
+  /// The operator has made sure that the step may run again. Returns false when the step is not
+  /// waiting.
   bool retry(int step);
-  /// The operator takes the step as done. False when it is done already or something runs.
+  /// The operator declares the step done. Returns false when the step is already done or an action
+  /// is in progress.
   bool skip(int step);
 
   void replay_intent(int step, Direction direction);
@@ -125,14 +129,14 @@
   void replay_probe_result(int step, ProbeResult applied, std::int64_t cursor);
   void replay_skip(int step) { mark_skipped(step); }
 
-  /// The next action, if there is one now. Until its result is reported there is no other.
+  /// Returns the next action, if there is one now. There is no other until its result is reported.
   std::optional<Action> next_action(TimePoint now);
-  /// When next_action() should be asked again; nothing when only an event can change its answer.
+  /// When next_action() must be called again; empty when only an event can lead to an action.
   std::optional<TimePoint> next_check_at() const;
-  /// Why a stage may not take traffic yet; nothing when it may.
+  /// Why a stage may not take traffic yet; empty when it may.
   std::optional<std::string> blocking_reason(int stage) const;
   bool allows(int stage) const { return !blocking_reason(stage); }
-  /// Whether nothing is left to do in the present state of the release.
+  /// Whether no work remains in the current state of the release.
   bool is_complete() const;
 
   const Plan& plan() const { return plan_; }
@@ -142,9 +146,9 @@
   bool is_rolling_back() const { return release_.rolled_back; }
   /// The pause between two batches of a data step.
   Duration batch_pause() const { return batch_pause_; }
-  /// Of a data step under way; nothing before its first batch and once it is done.
+  /// The progress of a data step; empty before its first batch and once it is done.
   std::optional<Estimate> estimate(int step) const;
-  /// The index of a step; -1 when the plan has none of that id.
+  /// The index of a step; -1 when the plan has no step with that id.
   int find_step(const std::string& id) const;
 
  private:
--- a/src/migration/runner.cpp
+++ b/src/migration/runner.cpp
@@ -77,15 +77,15 @@
   const Plan plan = read_plan(reader.child("plan"), settings_.stages, journal_.applied_digests());
   const PlanRun* replaced = find(plan.build);
   if (replaced && replaced->machine.is_busy())
-    reader.add_problem("a step of the plan that it replaces is running; try again");
+    reader.add_problem("a step of the plan to be replaced is running; try again later");
   check_applied_steps_remain(plan, reader);
   reader.finish();
   journal_.save_plan(plan.build, text, operator_name);
   crash_point("plan saved");
   store(rebuild(plan));
-  log_.info("plan taken", {{"build", log::text(plan.build)},
-                           {"steps", log::text(plan.steps.size())},
-                           {"who", operator_name}});
+  log_.info("migration plan accepted", {{"build", log::text(plan.build)},
+                                        {"steps", log::text(plan.steps.size())},
+                                        {"who", operator_name}});
   return plan.build;
 }
 
@@ -98,11 +98,11 @@
     const std::string id = key.substr(prefix.size());
     if (std::none_of(plan.steps.begin(), plan.steps.end(),
                      [&](const Step& step) { return step.id == id; }))
-      reader.add_problem("step " + id + " has been applied and is missing now");
+      reader.add_problem("step " + id + " has been applied but is missing from the plan");
   }
 }
 
-/// Replaces the run of the same build, or adds it in its place.
+/// Replaces the run of the same build, or inserts it in the order of builds.
 void Runner::store(std::unique_ptr<PlanRun> run) {
   const int build = run->machine.plan().build;
   auto position = std::find_if(runs_.begin(), runs_.end(), [&](const auto& other) {
@@ -121,7 +121,7 @@
 }
 
 std::optional<std::string> Runner::blocking_reason(int build, int stage) const {
-  // An earlier release that still has steps to finish or to roll back goes first.
+  // Steps of earlier releases that are unfinished or must be rolled back run first.
   for (const auto& earlier : runs_) {
     const int earlier_build = earlier->machine.plan().build;
     if (earlier_build < build && !earlier->machine.is_complete())
@@ -165,7 +165,7 @@
   running_actions_ = true;
   loop_.cancel(action_timer_);
   try {
-    // Nothing new begins while an earlier result is not in the journal.
+    // No action starts before all earlier results have been written to the journal.
     step_journal_.flush();
     if (lease_.is_valid())
       run_next_plan();
@@ -177,7 +177,7 @@
     on_changed();
 }
 
-/// Runs what is due of the oldest plan that has anything left to do.
+/// Executes the due actions of the oldest plan that is not complete.
 void Runner::run_next_plan() {
   for (const auto& run : runs_) {
     while (auto action = run->machine.next_action(loop_.now()))
@@ -229,7 +229,7 @@
   try {
     step_journal_.write_intent(plan, action, lease_.token());
   } catch (const journal::JournalError& error) {
-    // A step does not run unless its intent is in the journal.
+    // A step must not run unless its intent has been written to the journal.
     step_journal_.discard_pending();
     run.machine.on_run_result(action.step, action.direction, StepResult::fenced, action.cursor,
                               error.what(), loop_.now());
@@ -320,8 +320,8 @@
   if (step < 0)
     return "no such step";
   if (!run->machine.retry(step))
-    return "step " + id + " does not wait";
-  log_.info("step tried again", {{"step", id}, {"who", operator_name}, {"why", reason}});
+    return "step " + id + " is not waiting for a retry";
+  log_.info("step retry requested", {{"step", id}, {"who", operator_name}, {"why", reason}});
   run_due_actions();
   return "";
 }
@@ -335,7 +335,7 @@
   if (step < 0)
     return "no such step";
   if (!run->machine.skip(step))
-    return "step " + id + " is done already, or running";
+    return "step " + id + " is already done, or an action is in progress";
   try {
     step_journal_.write_skip(run->machine.plan(), step, operator_name, reason, lease_.token());
   } catch (const journal::JournalError& error) {
--- a/src/migration/runner.h
+++ b/src/migration/runner.h
@@ -1,7 +1,8 @@
-/// Runs the steps of migration plans: journals each intent, calls the target, journals the result.
+/// Runs the steps of migration plans: writes each intent to the journal, calls the target, and
+/// writes the result to the journal.
 ///
-/// Plans run one after the other: the steps of a later release wait until an earlier plan has
-/// nothing left to do. What runs next is decided by PlanStateMachine.
+/// Plans run one after the other: the steps of a later release wait until the earlier plans are
+/// complete. PlanStateMachine decides what runs next.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -23,11 +24,11 @@
 namespace robinhoist::migration {
 
 struct RunnerSettings {
-  std::string holder{};     ///< Names this process in the lease and in the journal.
-  Duration lease_length{};  ///< It is renewed after a third of it.
-  int stages = 1;           ///< Of the rollout.
+  std::string holder{};     ///< Name of this process in the lease and in the journal.
+  Duration lease_length{};  ///< The lease is renewed after a third of this time.
+  int stages = 1;           ///< Number of stages of the rollout.
   Duration journal_retry_delay = std::chrono::milliseconds(500);
-  /// Called between any two writes; tests end the runner there.
+  /// Called between any two writes; tests simulate a crash there.
   std::function<void(const char* point)> on_crash_point{};
 };
 
@@ -35,48 +36,49 @@
 /// outlive the runner.
 class Runner {
  public:
-  /// Loads the plans of the journal and rebuilds their state. Throws journal::JournalError, or
-  /// settings::ValidationError when a stored plan does not fit the settings any more.
+  /// Loads the plans from the journal and rebuilds their state. Throws journal::JournalError, or
+  /// settings::ValidationError when a stored plan is not valid with the current settings.
   Runner(net::Loop& loop, const RunnerSettings& settings, journal::Journal& journal, Target& target,
          const log::Logger& log);
   ~Runner();
   Runner(const Runner&) = delete;
   Runner& operator=(const Runner&) = delete;
 
-  /// Takes a new plan, or an edited one of the same build, and returns its build. Throws
-  /// settings::ValidationError with all that is wrong with it, journal::JournalError when it cannot
-  /// be stored.
+  /// Accepts a new plan, or an edited plan of the same build, and returns its build. Throws
+  /// settings::ValidationError with all problems of the plan, or journal::JournalError when it
+  /// cannot be stored.
   int accept_plan(const std::string& text, const std::string& name,
                   const std::string& operator_name);
   void set_release(int build, const ReleaseState& release);
   void on_client_outcomes(long requests, long failed);
-  /// Runs what is due, and calls on_changed.
+  /// Executes the due actions and calls on_changed.
   void run_due_actions();
 
-  /// Why a stage of a build may not take traffic yet; nothing when it may. Builds without a plan
-  /// only wait for the plans of earlier ones.
+  /// Why a stage of a build may not take traffic yet; empty when it may. A build without a plan
+  /// only waits for the plans of earlier builds.
   std::optional<std::string> blocking_reason(int build, int stage) const;
   bool allows(int build, int stage) const { return !blocking_reason(build, stage); }
 
-  /// The operator's commands. retry() and skip() return why they were rejected; empty when done.
+  /// Commands of the operator. retry() and skip() return why the command was rejected; empty if it
+  /// was accepted.
   void set_paused(bool paused, const std::string& operator_name, const std::string& reason);
   std::string retry(int build, const std::string& step, const std::string& operator_name,
                     const std::string& reason);
   std::string skip(int build, const std::string& step, const std::string& operator_name,
                    const std::string& reason);
 
-  /// Asks the target whether the applied steps still are; `done` gets the result as JSON.
+  /// Asks the target whether the applied steps are still applied; `done` gets the result as JSON.
   void verify(std::function<void(const std::string& json)> done);
 
   std::string status_json() const;
   std::vector<StepSummary> step_summaries(int build) const;
   bool has_plan(int build) const { return find(build) != nullptr; }
-  /// Whether no plan has anything left to do.
+  /// Whether all plans are complete.
   bool is_complete() const;
   /// Whether any step waits for the operator.
   bool is_blocked() const;
 
-  /// Called after each change that may let a stage take traffic, or stop it from doing so.
+  /// Called after each change that may affect whether a stage may take traffic.
   std::function<void()> on_changed{};
 
  private:
@@ -110,7 +112,7 @@
   std::vector<std::unique_ptr<PlanRun>> runs_{};  ///< By build, oldest first.
   net::Loop::Timer lease_timer_ = net::Loop::no_timer;
   net::Loop::Timer action_timer_ = net::Loop::no_timer;
-  bool running_actions_ = false;  ///< run_due_actions() is on the stack.
+  bool running_actions_ = false;  ///< Whether run_due_actions() is on the call stack.
 };
 
 }  // namespace robinhoist::migration
--- a/src/migration/status.h
+++ b/src/migration/status.h
@@ -1,4 +1,4 @@
-/// The state of all migration plans as the API and the command line show it.
+/// The state of all migration plans, as reported by the API and the command line.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -15,7 +15,7 @@
   std::string state;
 };
 
-/// What the status report is made of. The state machines are borrowed for the call.
+/// The input of the status report. The state machines must stay valid during the call.
 struct StatusReport {
   bool holds_lease = false;
   std::int64_t token = 0;
@@ -23,10 +23,10 @@
   std::vector<const PlanStateMachine*> plans{};
 };
 
-/// The steps of a plan in their order.
+/// Summarizes the steps of a plan, in the order in which they run.
 std::vector<StepSummary> summarize_steps(const PlanStateMachine& machine);
 
-/// The body of GET /v1/steps.
+/// Formats the body of GET /v1/steps.
 std::string to_json(const StatusReport& report);
 
 }  // namespace robinhoist::migration
--- a/src/migration/step_journal.cpp
+++ b/src/migration/step_journal.cpp
@@ -6,8 +6,8 @@
 namespace robinhoist::migration {
 namespace {
 
-// The enumerator whose name stands in a field of an entry. Throws journal::JournalError with the
-// row and the field if it is none of these.
+// Returns the enumerator that a field of an entry names. Throws journal::JournalError with the row
+// and the field if the name is unknown.
 template <class Enumerator>
 Enumerator enumerator_named(const std::string& name, std::initializer_list<Enumerator> known,
                             const journal::Entry& entry, const char* field) {
--- a/src/migration/step_journal.h
+++ b/src/migration/step_journal.h
@@ -1,4 +1,5 @@
-/// What the migration runner writes to the journal, and how a plan's state is rebuilt from it.
+/// The migration runner's journal entries: writing them, and rebuilding the state of a plan from
+/// them.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -9,15 +10,15 @@
 
 namespace robinhoist::migration {
 
-/// Writes the entries of one runner. Entries that the journal has not taken, for the disk is full
-/// or failing, are kept and written first, in their order, with the next one.
+/// Writes the entries of one runner. Entries that could not be written, for example because the
+/// disk was full, stay pending; they are written in order before the next entry.
 class StepJournal {
  public:
-  /// `holder` is the runner, named in each entry that no operator is named in.
+  /// `holder` is the name of the runner, recorded in each entry that does not name an operator.
   StepJournal(journal::Journal& journal, std::string holder);
 
-  /// Each returns once the entry is durable and throws journal::JournalError when it cannot be
-  /// written; the entry is then pending.
+  /// Each of these returns once the entry is durable. When the entry cannot be written, it stays
+  /// pending and journal::JournalError is thrown.
   void write_intent(const Plan& plan, const Action& action, std::int64_t token);
   void write_run_result(const Plan& plan, const Action& action, StepResult result,
                         std::int64_t cursor, const std::string& reason, std::int64_t token);
@@ -26,12 +27,12 @@
   void write_skip(const Plan& plan, int step, const std::string& operator_name,
                   const std::string& reason, std::int64_t token);
 
-  /// Writes the pending entries. Throws journal::JournalError when the journal does not take them.
+  /// Writes the pending entries. Throws journal::JournalError when one cannot be written.
   void flush();
-  /// Forgets the pending entries.
+  /// Drops the pending entries.
   void discard_pending() { pending_.clear(); }
 
-  /// Why the journal takes nothing at present; empty when it works.
+  /// Why entries cannot be written at present; empty when the journal works.
   const std::string& error() const { return error_; }
   void set_error(const std::string& error) { error_ = error; }
 
@@ -46,8 +47,8 @@
   std::string error_{};
 };
 
-/// Applies one entry of the journal to the state of its plan. Entries of steps that the plan does
-/// not have are ignored. Throws journal::JournalError, with the row, for one that makes no sense.
+/// Applies one journal entry to the state of its plan. Ignores entries of steps that the plan does
+/// not have. Throws journal::JournalError, which names the row, for an entry with an unknown word.
 void replay(PlanStateMachine& machine, const journal::Entry& entry);
 
 }  // namespace robinhoist::migration
--- a/src/migration/target.cpp
+++ b/src/migration/target.cpp
@@ -36,23 +36,23 @@
   return request;
 }
 
-// Without a default, so that a result that is not named here does not compile.
+// The switch has no default, so that the compiler reports a missing result.
 const char* call_failure_text(http::CallResult result) {
   switch (result) {
     case http::CallResult::answered:
       return "";
     case http::CallResult::connect_failed:
-      return "not reached";
+      return "connection failed";
     case http::CallResult::not_sent:
-      return "no connection free";
+      return "no free connection";
     case http::CallResult::connection_lost:
-      return "connection broke";
+      return "connection lost";
     case http::CallResult::malformed:
-      return "garbled answer";
+      return "malformed response";
     case http::CallResult::timed_out:
-      return "no answer in time";
+      return "timed out";
     case http::CallResult::cancelled:
-      return "called off";
+      return "cancelled";
   }
   return "unknown";
 }
@@ -134,7 +134,7 @@
       (response.status == http::status_ok || response.status == status_changed_nothing);
   if (!is_answer)
     return {.applied = ProbeResult::unknown, .reason = failure_text(result, response)};
-  // A query that cannot be run, because a table is missing, says that the step is not applied.
+  // A query that fails, for example because a table is missing, shows that the step is not applied.
   if (response.status == status_changed_nothing)
     return {.applied = ProbeResult::no, .reason = response.body};
   try {
--- a/src/migration/target.h
+++ b/src/migration/target.h
@@ -1,13 +1,12 @@
 /// HTTP client of a migration target: the database, or its adapter, that the steps run on.
 ///
-/// The target can record a step's marker in the step's own transaction, and rejects a runner whose
-/// lease token is older than one that it has seen. Its protocol:
+/// The target can record the marker of a step in the transaction of the step, and rejects a runner
+/// whose lease token is older than one that it has seen. Its protocol:
 ///
 ///     POST /v1/steps/run   {token, mark, digest, undo, statement, transactional, table, key,
-///     batch,
-///                           after, lock_ms}
+///                           batch, after, lock_ms}
 ///                          200 {result: done|more, after, last}
-///                          409 fenced
+///                          409 fenced: the token is too old
 ///                          422 {why}: known to have changed nothing
 ///     POST /v1/steps/mark  {token, mark}   200 {applied, after}
 ///     POST /v1/query       {statement}     200 {value}
@@ -25,19 +24,19 @@
 struct RunOutcome {
   StepResult result;
   std::int64_t cursor = 0;   ///< Data steps: the last key of the batch.
-  std::int64_t max_key = 0;  ///< Data steps: the largest key of the table; 0 when not reported.
-  std::string reason{};      ///< Why it was not done.
+  std::int64_t max_key = 0;  ///< Data steps: the largest key of the table; 0 if not reported.
+  std::string reason{};      ///< Why the step was not done.
 };
 
-/// What the target says about a step that may have been applied.
+/// The target's answer whether a step is applied.
 struct ProbeOutcome {
   ProbeResult applied;
-  std::int64_t cursor = 0;  ///< Data steps: the last key of the batches that are marked.
-  std::string reason{};     ///< Why there is no answer.
+  std::int64_t cursor = 0;  ///< Data steps: the last key recorded in the marker.
+  std::string reason{};     ///< Why there is no answer, or the error of the check query.
 };
 
-/// Each call runs its handler exactly once, later, with whatever came of it: failures of the
-/// connection are results too. No handler runs once the Target is gone.
+/// Each call runs its handler exactly once, asynchronously; failures of the connection are reported
+/// as results too. No handler runs after the Target has been destroyed.
 class Target {
  public:
   using RunHandler = std::function<void(const RunOutcome&)>;
@@ -45,11 +44,11 @@
 
   Target(net::Loop& loop, const std::string& address);
 
-  /// Runs a step, or the batch of a data step that begins after `cursor`. `token` is that of the
-  /// lease.
+  /// Runs a step, or the batch of a data step that begins after `cursor`. `token` is the fencing
+  /// token of the lease.
   void run(int build, const Step& step, Direction direction, std::int64_t cursor,
            std::int64_t token, RunHandler handler);
-  /// Asks for the marker of a transactional step.
+  /// Queries the marker of a transactional step.
   void query_marker(int build, const Step& step, std::int64_t token, ProbeHandler handler);
   /// Runs the check query of a step.
   void run_check(const Step& step, ProbeHandler handler);
--- a/src/migration/verification.cpp
+++ b/src/migration/verification.cpp
@@ -19,7 +19,7 @@
   return "not answered";
 }
 
-/// The state that is reported without asking the target; empty for a step that was applied.
+/// The state that is reported without a query to the target; empty for a step that was applied.
 std::string known_state(const Progress& progress) {
   if (progress.skipped)
     return "skipped";
--- a/src/migration/verification.h
+++ b/src/migration/verification.h
@@ -1,4 +1,4 @@
-/// Asks the target again whether the steps that were applied still are. Changes nothing.
+/// Verifies with the target that the applied steps are still applied. Changes nothing.
 #pragma once
 #include <functional>
 #include <memory>
@@ -11,16 +11,17 @@
 
 namespace robinhoist::migration {
 
-/// One pass over all plans, one step after the other: by the step's check query, else by its
-/// marker. It keeps itself alive until it is done; the target and the lease must outlive it.
+/// One pass over the steps of all plans, in sequence. Each step is verified by its check query or,
+/// if it has none, by its marker. The object keeps itself alive until the pass is done; the target
+/// and the lease must outlive it.
 class Verification : public std::enable_shared_from_this<Verification> {
  public:
-  /// Gets the result of all steps as JSON.
+  /// Receives the results of all steps as JSON.
   using DoneHandler = std::function<void(const std::string& json)>;
 
   Verification(Target& target, const Lease& lease, DoneHandler done);
 
-  /// Adds the steps of a plan in their present state. Before start().
+  /// Adds the steps of a plan in their current state. Must be called before start().
   void add_plan(const PlanStateMachine& machine);
   void start();
 
@@ -28,11 +29,12 @@
   struct Item {
     int build;
     Step step;
-    std::string state{};  ///< Empty until it is known.
+    std::string state{};  ///< Empty until known.
     std::string reason{};
   };
 
-  /// Asks for the next step whose state is not known; reports when there is none.
+  /// Queries the target for the next step with an unknown state; reports the result if none is
+  /// left.
   void verify_next();
   void on_answer(const ProbeOutcome& outcome);
   std::string to_json() const;
--- a/tests/migration_runner_test.cpp
+++ b/tests/migration_runner_test.cpp
@@ -289,8 +289,8 @@
     environment.run_on_loop([&] { target.reset(); });
     return reason;
   };
-  EXPECT_EQ(reason_of(standin::DbFault::drop_on_commit), "connection broke");
-  EXPECT_EQ(reason_of(standin::DbFault::hang), "no answer in time");
+  EXPECT_EQ(reason_of(standin::DbFault::drop_on_commit), "connection lost");
+  EXPECT_EQ(reason_of(standin::DbFault::hang), "timed out");
 }
 
 TEST(MigrationRunner, CopesWithFaultsOfTheDatabase) {
@@ -376,9 +376,9 @@
   ASSERT_TRUE(environment.wait_until_allowed(0));
   environment.run_on_loop([&] {
     Runner& runner = environment.runner();
-    expect_rejected(runner, plan_with("n + 1", "n + 2"), "has been applied with other content");
+    expect_rejected(runner, plan_with("n + 1", "n + 2"), "has been applied with different content");
     expect_rejected(runner, plan_with("step counter", "step another"),
-                    "step counter has been applied and is missing now");
+                    "step counter has been applied but is missing from the plan");
     EXPECT_EQ(runner.accept_plan(plan_with("(batch 4)", "(batch 5)"), "plan", "test"), build);
     environment.set_release(first_stage);
   });
--- a/tests/migration_target_test.cpp
+++ b/tests/migration_target_test.cpp
@@ -54,11 +54,11 @@
 
 // Guards against texts shifted by one result: the operator reads them to decide on a retry.
 TEST_F(MigrationTargetCalls, EachFailureIsNamedByItsCause) {
-  EXPECT_EQ(reason_at_port(tests::free_port()), "not reached");
-  EXPECT_EQ(reason_of("close"), "connection broke");
-  EXPECT_EQ(reason_of("reset"), "connection broke");
-  EXPECT_EQ(reason_of("garbage"), "garbled answer");
-  EXPECT_EQ(reason_of("silence"), "no answer in time");
+  EXPECT_EQ(reason_at_port(tests::free_port()), "connection failed");
+  EXPECT_EQ(reason_of("close"), "connection lost");
+  EXPECT_EQ(reason_of("reset"), "connection lost");
+  EXPECT_EQ(reason_of("garbage"), "malformed response");
+  EXPECT_EQ(reason_of("silence"), "timed out");
 }
 
 // Guards against a step that waits for the operator although it was never sent: all connections to
@@ -79,7 +79,7 @@
   loop.run();
   ASSERT_EQ(outcomes.size(), more_than_connections);
   EXPECT_EQ(outcomes.front().result, StepResult::not_run);
-  EXPECT_EQ(outcomes.front().reason, "no connection free");
+  EXPECT_EQ(outcomes.front().reason, "no free connection");
   EXPECT_EQ(outcomes.back().result, StepResult::unknown);
   EXPECT_EQ(endpoint.requests(), more_than_connections - 1);
 }
