--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -47,14 +47,15 @@
   return entries;
 }
 
-/// What the entries of a step tell of its being applied.
+/// What the entries of a step show about whether it is applied.
 struct AppliedStep {
-  std::string digest{};         ///< Of the last attempt to apply it; empty: there was none.
-  int unresolved_attempts = 0;  ///< Of those that nothing has told of whether they ran.
+  std::string digest{};         ///< Digest of the last attempt to apply it; empty: no attempt.
+  int unresolved_attempts = 0;  ///< Number of attempts that may have run.
 };
 
-/// Returns whether nothing of the step is applied any more.
-bool note_entry(AppliedStep& step, const Entry& entry) {
+/// Updates `step` by one entry. Returns whether the entry shows that no part of the step is
+/// applied.
+bool update_applied_step(AppliedStep& step, const Entry& entry) {
   const bool is_apply = entry.direction == "apply";
   if (entry.what == entry_kind::intent) {
     if (is_apply) {
@@ -76,7 +77,7 @@
     step.unresolved_attempts = 0;
   if (entry.outcome != "not-run")
     return false;
-  // It speaks of the last attempt alone.
+  // The result only covers the last attempt; an earlier one may still have run.
   step.unresolved_attempts = std::max(0, step.unresolved_attempts - 1);
   return step.unresolved_attempts == 0 && entry.after == 0;
 }
@@ -93,7 +94,7 @@
   if (sqlite3_open_v2(file.c_str(), &database_, flags, nullptr) != SQLITE_OK) {
     const std::string reason = database_ ? sqlite3_errmsg(database_) : "out of memory";
     sqlite3_close(database_);
-    throw JournalError(file + ": can't be opened: " + reason);
+    throw JournalError(file + ": cannot be opened: " + reason);
   }
   try {
     sqlite3_busy_timeout(database_, busy_timeout_ms);
@@ -149,7 +150,7 @@
   Query query(database_, (std::string(select_entries) + "ORDER BY id").c_str());
   for (const Entry& entry : read_entries(query)) {
     const std::string key = std::to_string(entry.build) + "/" + entry.step;
-    if (note_entry(steps[key], entry))
+    if (update_applied_step(steps[key], entry))
       steps.erase(key);
   }
   std::map<std::string, std::string> digests;
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -1,7 +1,7 @@
 /// The durable state of the controller, in one SQLite database (WAL, synchronous=FULL).
 ///
 /// It holds the journal of migration steps, the plans, the lease of the migration runner, the API's
-/// objects with their recent changes, and named values. It stores; it decides nothing.
+/// objects with their recent changes, and named values. It contains no decision logic.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,8 +14,8 @@
 
 namespace robinhoist::journal {
 
-/// The journal cannot be read or written, is no journal, or is of a newer version. what() names the
-/// cause.
+/// The journal cannot be read or written, is not a journal, or has a newer schema version. what()
+/// gives the cause.
 struct JournalError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -28,30 +28,30 @@
 inline constexpr const char* skip = "skipped";
 }  // namespace entry_kind
 
-/// One line of the journal of steps. The fields are the columns of its table.
+/// One entry of the journal of steps. The fields are named after the columns of its table.
 struct Entry {
   std::int64_t id = 0;
   std::int64_t at_ms = 0;  ///< Since 1970.
   int build = 0;
   std::string step{};
   std::string what{};       ///< One of entry_kind.
-  std::string direction{};  ///< apply, undo
-  std::string outcome{};    ///< Of a run: its result; of a probe: yes, no, unknown.
-  std::int64_t after = 0;   ///< The cursor of a data step.
-  std::int64_t token = 0;   ///< Of the lease.
+  std::string direction{};  ///< "apply" or "undo".
+  std::string outcome{};    ///< The result of a run, or the answer to a probe: yes, no, unknown.
+  std::int64_t after = 0;   ///< Data steps: the cursor.
+  std::int64_t token = 0;   ///< The fencing token of the lease.
   int attempt = 0;
   std::string digest{};
   std::string who{};
   std::string why{};
 };
 
-/// For an entry with a word that is not known: names its row, the field and the word.
+/// The error of an entry with an unknown word; names the row, the field and the word.
 JournalError unreadable_entry(const Entry& entry, const char* field, const std::string& word);
 
-/// A change of one of the API's objects. The body before it is kept for watches with a selector.
+/// A change of one of the API's objects. The previous body is kept for watches with a selector.
 struct ObjectChange {
   std::int64_t version = 0;
-  int change = 0;  ///< As objects::Change.
+  int change = 0;  ///< A value of objects::Change.
   std::string name{};
   std::string body{};
   std::string before{};
@@ -60,21 +60,21 @@
 /// The idempotency key of a request that created an object.
 struct RequestKey {
   std::string key{};
-  std::string digest{};  ///< Of the request's body.
-  std::string name{};    ///< Of the object that it created.
+  std::string digest{};  ///< Digest of the request's body.
+  std::string name{};    ///< Name of the created object.
 };
 
-/// A named value.
+/// A named value of the controller's state.
 struct StateValue {
   std::string key{};
   std::string value{};
 };
 
-/// Not thread-safe. All functions but the destructor throw JournalError. Whatever a function writes
-/// is durable when it returns.
+/// Not thread-safe. All functions except the destructor may throw JournalError. Writes are durable
+/// when the function returns.
 class Journal {
  public:
-  /// Opens a file, creates it, or upgrades it from an older version.
+  /// Opens the file. Creates it if it does not exist, and upgrades it from an older version.
   explicit Journal(const std::string& file);
   ~Journal();
   Journal(const Journal&) = delete;
@@ -85,44 +85,47 @@
   void append(const Entry& entry);
   /// The entries of a build, oldest first.
   std::vector<Entry> entries(int build) const;
-  /// The last entries of all builds, newest first.
+  /// The last `count` entries of all builds, newest first.
   std::vector<Entry> latest(std::size_t count) const;
-  /// The digests of the steps that were applied, by "build/id". Steps that are known to have
-  /// changed nothing, or that were rolled back, are left out: they may be edited.
+  /// The digests of the applied steps, by "build/id". Steps that are known to have changed nothing,
+  /// or that were rolled back, are left out, because they may be edited.
   std::map<std::string, std::string> applied_digests() const;
 
   void save_plan(int build, const std::string& text, const std::string& who);
-  std::map<int, std::string> plans() const;  ///< Texts by build.
+  std::map<int, std::string> plans() const;  ///< The texts of the plans, by build.
 
-  /// Acquires the lease and returns its token, which only grows; nothing while another holder's
-  /// lease runs. Times are in ms since 1970. A lease that ends implausibly late, because a clock
-  /// has jumped, is ignored.
+  /// Acquires the lease and returns its fencing token, which is larger than all earlier tokens.
+  /// Returns nothing while another holder's lease is valid. Times are in ms since 1970. A lease
+  /// that expires implausibly late, because a clock has jumped, is ignored.
   std::optional<std::int64_t> acquire_lease(const std::string& holder, std::int64_t now_ms,
                                             std::int64_t length_ms);
-  /// False when the lease is not held with that token any more.
+  /// Returns false when the lease is no longer held with that token.
   bool renew_lease(const std::string& holder, std::int64_t token, std::int64_t now_ms,
                    std::int64_t length_ms);
 
-  /// Changes of objects with the key of the request that made them and a value, written as one.
+  /// Changes of objects, the key of the request that made them, and a named value, which are
+  /// written in one transaction.
   struct Commit {
     std::vector<ObjectChange> changes{};
     std::optional<RequestKey> key{};
     std::optional<StateValue> state{};
   };
-  /// All but the last `max_changes` changes are dropped, and keys older than `key_lifetime_ms`.
+  /// Writes a commit. Deletes all but the last `max_changes` changes, and, if the commit has a key,
+  /// keys older than `key_lifetime_ms`.
   void commit(const Commit& commit, std::size_t max_changes, std::int64_t key_lifetime_ms);
-  std::map<std::string, std::string> objects() const;  ///< Bodies by name.
+  std::map<std::string, std::string> objects() const;  ///< The bodies of the objects, by name.
   std::vector<ObjectChange> changes() const;           ///< Oldest first.
-  std::int64_t object_version() const;                 ///< Of the last change.
+  std::int64_t object_version() const;                 ///< The version of the last change.
   std::optional<RequestKey> find_request_key(const std::string& key) const;
 
   void set_state(const std::string& key, const std::string& value);
   std::optional<std::string> state(const std::string& key) const;
 
-  /// Imports and measurements write many entries in one transaction, durable at its end.
+  /// Begin and end a transaction for many entries, as imports and benchmarks write them. The
+  /// entries are durable once it has ended.
   void begin_batch();
   void end_batch();
-  /// For tests: lets the file grow by at most so many pages from now.
+  /// For tests: limits the further growth of the file to `pages` pages.
   void limit_growth(int pages);
 
  private:
--- a/src/journal/schema.cpp
+++ b/src/journal/schema.cpp
@@ -19,17 +19,17 @@
   Query(database, sql.c_str()).execute();
 }
 
-/// The single value of a query. The statement ends before the next begins: an open one would keep
-/// the journal mode from being changed.
+/// Returns the single value of a query. The statement is finalized before the next one begins,
+/// because SQLite cannot change the journal mode while a statement is open.
 std::int64_t query_integer(sqlite3* database, const char* sql) {
   Query query(database, sql);
   query.next_row();
   return query.integer(0);
 }
 
-// The statements are stored in the database as they are written here: their text must not change.
+// SQLite stores the text of these statements in the database; it must not change.
 
-/// Steps and plans of migrations, the lease of the runner, the controller's state.
+/// Creates the tables of migration steps and plans, the runner's lease and the controller's state.
 void create_version_1(sqlite3* database) {
   execute(database, "PRAGMA application_id=" + std::to_string(application_id));
   execute(database,
@@ -46,7 +46,7 @@
   execute(database, "CREATE TABLE state (key TEXT PRIMARY KEY, value TEXT NOT NULL)");
 }
 
-/// Who made an entry or a plan, and why.
+/// Adds who made an entry or a plan, and why.
 void upgrade_to_version_2(sqlite3* database) {
   execute(database, "ALTER TABLE entries ADD COLUMN who TEXT NOT NULL DEFAULT ''");
   execute(database, "ALTER TABLE entries ADD COLUMN why TEXT NOT NULL DEFAULT ''");
@@ -54,7 +54,7 @@
   execute(database, "CREATE INDEX entries_by_build ON entries (build, id)");
 }
 
-/// The API's objects, their changes, and the idempotency keys of requests.
+/// Adds the tables of the API's objects, their changes, and the idempotency keys of requests.
 void upgrade_to_version_3(sqlite3* database) {
   execute(database, "CREATE TABLE objects (name TEXT PRIMARY KEY, body TEXT NOT NULL)");
   execute(database,
@@ -87,10 +87,10 @@
   const int found_version = static_cast<int>(query_integer(database, "PRAGMA user_version"));
   const bool is_empty = query_integer(database, "SELECT count(*) FROM sqlite_master") == 0;
   if (!is_empty && found_application != application_id)
-    throw JournalError("is a database of something else");
+    throw JournalError("is a database of another application");
   if (found_version > schema_version)
-    throw JournalError("is of version " + std::to_string(found_version) +
-                       ", newer than this program's " + std::to_string(schema_version));
+    throw JournalError("has schema version " + std::to_string(found_version) +
+                       ", newer than the supported version " + std::to_string(schema_version));
   if (!is_empty) {
     Query check(database, "PRAGMA quick_check(1)");
     check.next_row();
--- a/src/journal/sqlite.h
+++ b/src/journal/sqlite.h
@@ -8,7 +8,7 @@
 
 namespace robinhoist::journal {
 
-/// A prepared statement. Values are bound in order, then rows are read. All functions throw
+/// A prepared statement. Values are bound in order before rows are read. Failures are reported as
 /// JournalError with SQLite's message.
 class Query {
  public:
@@ -19,12 +19,12 @@
 
   Query& bind(std::int64_t value);
   Query& bind(const std::string& value);
-  /// Moves on to the next row; false when there is none.
+  /// Advances to the next row; returns false when there is none.
   bool next_row();
-  /// Runs the statement to its end.
+  /// Runs the statement to completion.
   void execute();
 
-  /// The columns of the present row, from 0. NULL reads as 0 and as "".
+  /// The columns of the current row, counted from 0. NULL is returned as 0 or "".
   std::int64_t integer(int column) const;
   std::string text(int column) const;
 
@@ -36,7 +36,7 @@
   int bound_ = 0;
 };
 
-/// Begins a write transaction, and rolls it back unless commit() was called.
+/// Begins a write transaction. The destructor rolls it back unless commit() was called.
 class Transaction {
  public:
   explicit Transaction(sqlite3* database);
@@ -44,7 +44,7 @@
   Transaction(const Transaction&) = delete;
   Transaction& operator=(const Transaction&) = delete;
 
-  /// Durable when it returns.
+  /// The changes are durable when it returns.
   void commit();
 
  private:
--- a/src/json/framer.h
+++ b/src/json/framer.h
@@ -1,7 +1,7 @@
-/// Cuts a stream of JSON objects into single objects.
+/// Splits a stream of JSON objects into single objects.
 ///
-/// The objects may be laid out over several lines and arrive in pieces of any size. Whether an
-/// object is valid JSON is left to the parser. It does no I/O.
+/// The objects may span several lines and arrive in pieces of any size. The framer does not check
+/// whether an object is valid JSON, and does no I/O.
 #pragma once
 #include <cstddef>
 #include <string_view>
@@ -10,25 +10,26 @@
 
 enum class FrameStatus {
   incomplete,  ///< More input is needed.
-  object,      ///< A whole object is in Framer::object().
-  malformed,   ///< Something other than blanks stands between objects, or an object is too long.
+  object,      ///< Framer::object() returns a complete object.
+  malformed,   ///< There is something other than whitespace between objects, or an object is too
+               ///< long.
 };
 
-/// Scans a buffer that grows at its end, and from whose front the caller removes what consume()
-/// says.
+/// Scans a buffer to which the caller appends input, and from whose front it removes the number of
+/// bytes that consume() returns.
 class Framer {
  public:
   /// An object longer than `max_object_size` bytes is malformed.
   explicit Framer(std::size_t max_object_size) : max_object_size_(max_object_size) {}
 
-  /// Goes on through the buffer from where the last call stopped.
+  /// Continues to scan the buffer where the last call stopped.
   FrameStatus next(std::string_view buffer) {
     for (; position_ < buffer.size(); ++position_) {
       const char c = buffer[position_];
       if (depth_ == 0) {
         if (c == '\n')
           ++lines_;
-        if (is_blank(c))
+        if (is_whitespace(c))
           continue;
         if (c != '{')
           return FrameStatus::malformed;
@@ -47,13 +48,14 @@
     return FrameStatus::incomplete;
   }
 
-  /// The last whole object; a view of the buffer that next() got.
+  /// The last complete object, as a view of the buffer passed to next().
   std::string_view object() const { return object_; }
 
-  /// How many line ends there were between objects.
+  /// The number of line ends between objects so far.
   std::size_t lines() const { return lines_; }
 
-  /// How many bytes at the front of the buffer are not needed any more. The caller removes them.
+  /// Returns the number of bytes at the front of the buffer that are no longer needed; the caller
+  /// must remove them.
   std::size_t consume() {
     const std::size_t consumed = depth_ > 0 ? object_begin_ : position_;
     position_ -= consumed;
@@ -62,9 +64,9 @@
   }
 
  private:
-  static bool is_blank(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
+  static bool is_whitespace(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
 
-  /// Takes one character inside an object; true when it is the object's last.
+  /// Scans one character inside an object; returns whether it is the last one of the object.
   bool ends_object(char c) {
     if (in_string_) {
       scan_string(c);
--- a/src/json/reader.h
+++ b/src/json/reader.h
@@ -1,8 +1,8 @@
-/// Checked reading of JSON objects.
+/// Validating reader of JSON objects.
 ///
 /// A document is parsed with parse_object(); its fields are then read by name and type. A field
-/// that is missing or has another type throws DecodeError, whose text names the field. The caller
-/// adds where the document came from.
+/// that is missing or has a different type is reported as a DecodeError that names the field. The
+/// caller adds the origin of the document.
 #pragma once
 #include <rapidjson/document.h>
 #include <rapidjson/error/en.h>
@@ -23,12 +23,12 @@
 
 using Value = rapidjson::Value;
 
-/// The input is not valid JSON, or does not have the expected fields. what() says what is wrong.
+/// The input is not valid JSON, or does not have the expected fields. what() describes the problem.
 struct DecodeError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// The value of a field; throws DecodeError when the object does not have it.
+/// The value of a field. Throws DecodeError when the object does not have the field.
 inline const Value& member(const Value& object, const char* field) {
   auto found = object.FindMember(field);
   if (found == object.MemberEnd())
@@ -36,7 +36,7 @@
   return found->value;
 }
 
-/// Throws the DecodeError of a field that is not what was `expected`.
+/// Throws a DecodeError for a field that is not of the `expected` kind.
 [[noreturn]] inline void throw_wrong_type(const char* field, const char* expected) {
   throw DecodeError(std::string("field ") + field + " is not " + expected);
 }
@@ -101,7 +101,7 @@
   return value;
 }
 
-/// Milliseconds, which may have a fraction, as a duration.
+/// Converts milliseconds, which may have a fraction, to a duration.
 inline Duration duration_from_ms(double ms) {
   constexpr double us_per_ms = 1e3;
   return Duration(std::llround(ms * us_per_ms));
@@ -123,10 +123,11 @@
   throw DecodeError(std::string("field ") + field + " holds the unknown word '" + given + "'");
 }
 
-/// Parses a text that must be one JSON object. The DecodeError of a syntax error gives its offset.
+/// Parses a text that must be one JSON object. The DecodeError of a syntax error contains its
+/// offset.
 inline rapidjson::Document parse_object(std::string_view text) {
   rapidjson::Document document;
-  // Iterative parsing keeps deeply nested input from using up the stack.
+  // Iterative parsing prevents a stack overflow on deeply nested input.
   document.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(
       text.data(), text.size());
   if (document.HasParseError())
--- a/src/json/writer.h
+++ b/src/json/writer.h
@@ -1,4 +1,4 @@
-/// Builds a JSON text, value by value.
+/// Writes a JSON text value by value.
 #pragma once
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
@@ -12,8 +12,9 @@
 
 namespace robinhoist::json {
 
-/// Writes objects and arrays. Inside an object each value takes its key; inside an array the key is
-/// nullptr. Every begin_ needs its end_ before text() is read. Calls can be chained.
+/// Writes objects and arrays. Values inside an object need a key; inside an array the key is
+/// nullptr. Every begin_ call needs a matching end_ call before text() is read. Calls can be
+/// chained.
 class Writer {
  public:
   Writer& begin_object(const char* key = nullptr) {
@@ -64,7 +65,7 @@
     writer_.Uint64(value);
     return *this;
   }
-  /// A number that JSON cannot express (infinite, not a number) is written as null.
+  /// A number that JSON cannot represent (infinity, NaN) is written as null.
   Writer& put(const char* key, double value) {
     write_key(key);
     if (std::isfinite(value))
@@ -73,7 +74,7 @@
       writer_.Null();
     return *this;
   }
-  /// A duration as milliseconds with a fraction.
+  /// Writes a duration as milliseconds with a fraction.
   Writer& put_ms(const char* key, Duration value) {
     constexpr double us_per_ms = 1e3;
     return put(key, static_cast<double>(value.count()) / us_per_ms);
@@ -88,7 +89,7 @@
     writer_.Null();
     return *this;
   }
-  /// All that has been written so far.
+  /// The text written so far.
   std::string text() const { return {buffer_.GetString(), buffer_.GetSize()}; }
 
  private:
--- a/src/log/logger.cpp
+++ b/src/log/logger.cpp
@@ -7,8 +7,9 @@
 namespace robinhoist::log {
 namespace {
 
-/// Appends a value in logfmt: quoted when it is empty or holds blanks, quotes or control
-/// characters. Control characters become blanks, so that an entry stays one line.
+/// Appends a value in logfmt: quoted when it is empty or contains spaces, quotes, equals signs,
+/// backslashes or control characters. Control characters are replaced by spaces, so that an entry
+/// stays on one line.
 void append_value(std::string& line, std::string_view value) {
   const bool needs_no_quotes =
       !value.empty() && value.find_first_of(" \"=\\\n\r\t") == std::string_view::npos;
--- a/src/log/logger.h
+++ b/src/log/logger.h
@@ -12,13 +12,13 @@
 
 namespace robinhoist::log {
 
-/// A key and its value. Values are quoted where logfmt needs it.
+/// A key and its value. Values are quoted where logfmt requires it.
 using Field = std::pair<std::string_view, std::string>;
 
-/// Writes the lines of one component, such as proxy-3. It may be shared between threads.
+/// Writes the log lines of one component, such as proxy-3. Thread-safe.
 class Logger {
  public:
-  /// `level` is the lowest one that is written, by spdlog's names ("debug", "info", "warn",
+  /// `level` is the lowest level that is written, named as in spdlog ("debug", "info", "warn",
   /// "error", "off"). An empty `file` means standard error.
   explicit Logger(const std::string& component, const std::string& level = "info",
                   const std::string& file = "");
@@ -34,7 +34,7 @@
   std::shared_ptr<spdlog::logger> sink_;
 };
 
-/// A number as the value of a field.
+/// Formats a number as the value of a field.
 template <class Number>
 std::string text(Number value) {
   return std::to_string(value);
--- a/src/util/sliding_window.h
+++ b/src/util/sliding_window.h
@@ -1,5 +1,5 @@
-/// Bounded windows over the latest samples: of any type, of yes/no events, and of numbers whose
-/// quantiles are wanted. The owner sets the capacity, which must be above zero.
+/// Bounded windows of the latest samples: of any type, of boolean events, and of numbers with their
+/// quantiles. The capacity must be greater than zero.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -24,13 +24,13 @@
     }
   }
 
-  /// Forgets all samples.
+  /// Removes all samples.
   void clear() {
     samples_.clear();
     next_ = 0;
   }
 
-  /// How many samples the window holds now.
+  /// The number of samples in the window.
   std::size_t size() const { return samples_.size(); }
 
   /// The sample of this age, 0 being the newest. The age must be below size().
@@ -44,7 +44,7 @@
   std::vector<T> samples_;
 };
 
-/// The latest yes/no events.
+/// The latest boolean events.
 class EventWindow {
  public:
   explicit EventWindow(std::size_t capacity) : events_(capacity) {}
@@ -52,10 +52,10 @@
   /// Adds the newest event.
   void push(bool happened) { events_.push(happened ? 1 : 0); }
 
-  /// How many events the window holds now, of either kind.
+  /// The number of events in the window, true or false.
   std::size_t size() const { return events_.size(); }
 
-  /// How many of them are "yes".
+  /// The number of events that are true.
   int count() const {
     int sum = 0;
     for (std::size_t age = 0; age < events_.size(); ++age)
@@ -67,8 +67,8 @@
   SlidingWindow<std::uint8_t> events_;
 };
 
-/// The latest numbers and their quantiles. The sorted copy that quantiles are read from is renewed
-/// after an eighth of the capacity has been replaced, so a quantile may lag a little behind.
+/// The latest numbers and their quantiles. Quantiles are read from a sorted copy, which is updated
+/// after more than an eighth of the capacity has been replaced, so they may lag slightly.
 class QuantileWindow {
  public:
   explicit QuantileWindow(std::size_t capacity) : capacity_(capacity), latest_(capacity) {}
