--- a/bench/steps_bench.cpp
+++ b/bench/steps_bench.cpp
@@ -1,4 +1,5 @@
-// What steps cost: durable writes, recovery by the size of the journal, a backfill. Out of CI.
+// Benchmarks of migration steps: durable writes, recovery by the size of the journal, and a
+// backfill. They do not run in CI.
 #include <benchmark/benchmark.h>
 #include <unistd.h>
 
@@ -14,7 +15,7 @@
 using namespace robinhoist;
 namespace fs = std::filesystem;
 
-std::string fresh(const std::string& name) {
+std::string fresh_file(const std::string& name) {
   std::string file =
       (fs::temp_directory_path() / ("robinhoist-bench-" + name + std::to_string(::getpid())))
           .string();
@@ -23,15 +24,15 @@
   return file;
 }
 
-journal::Entry entry(int n) {
-  journal::Entry one;
-  one.build = 2;
-  one.step = "fill";
-  one.what = n % 2 == 0 ? "intent" : "ended";
-  one.direction = "apply";
-  one.outcome = n % 2 == 0 ? "" : "more";
-  one.after = n;
-  return one;
+journal::Entry make_entry(int n) {
+  journal::Entry entry;
+  entry.build = 2;
+  entry.step = "fill";
+  entry.what = n % 2 == 0 ? "intent" : "ended";
+  entry.direction = "apply";
+  entry.outcome = n % 2 == 0 ? "" : "more";
+  entry.after = n;
+  return entry;
 }
 
 const char* const plan_text =
@@ -41,26 +42,26 @@
     "\"UPDATE t SET n = n + 1 WHERE id > :after AND id <= :upto\")))";
 
 void durable_write(benchmark::State& state) {
-  journal::Journal journal(fresh("write"));
+  journal::Journal journal(fresh_file("write"));
   int n = 0;
   for (auto _ : state)
-    journal.append(entry(n++));
+    journal.append(make_entry(n++));
   state.SetItemsProcessed(state.iterations());
 }
 BENCHMARK(durable_write)->UseRealTime();
 
-// Opening the journal and bringing a core to where it was. `other` entries belong to earlier
-// releases.
+// Opens the journal and reads the entries of a build. All but the last ten entries belong to an
+// earlier release.
 void recovery(benchmark::State& state) {
-  const std::string file = fresh("recover");
+  const std::string file = fresh_file("recover");
   {
     journal::Journal journal(file);
     journal.begin_batch();
     for (int n = 0; n < state.range(0); ++n) {
-      journal::Entry one = entry(n);
+      journal::Entry entry = make_entry(n);
       if (n + 10 < state.range(0))
-        one.build = 1;
-      journal.append(one);
+        entry.build = 1;
+      journal.append(entry);
     }
     journal.end_batch();
   }
@@ -82,7 +83,7 @@
         "UNION ALL "
         "SELECT i + 1 FROM c WHERE i < " +
         std::to_string(rows) + ") INSERT INTO t SELECT i, 0 FROM c");
-    journal::Journal journal(fresh("fill"));
+    journal::Journal journal(fresh_file("fill"));
     migration::Target target(loop, "127.0.0.1:" + std::to_string(database.port()));
     migration::RunnerSettings settings;
     settings.holder = "bench";
--- a/fuzz/api_fuzz.cpp
+++ b/fuzz/api_fuzz.cpp
@@ -1,6 +1,5 @@
-// Fuzz target: what clients and proxies read of the controller's API. Creations and patches,
-// watches in two pieces, selectors. What is taken must come back the same when it is written and
-// read again.
+// Fuzz target: the parsers of the controller's API: creations, patches, selectors, and a watch that
+// arrives in two pieces. An accepted creation must be the same after it is encoded and decoded.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -21,7 +20,7 @@
       if (release::encode(release::decode(text)) != text)
         std::abort();
     } catch (const release::RequestError&) {
-      // Rejected, as it should be.
+      // Invalid input was rejected.
     }
     release::Release present;
     present.name = "b";
@@ -29,15 +28,15 @@
     if (release::apply_patch(present, body).release.build != 2)
       std::abort();
   } catch (const robinhoist::json::DecodeError&) {
-    // Rejected, as it should be.
+    // Invalid input was rejected.
   } catch (const release::RequestError&) {
-    // The same.
+    // Invalid input was rejected.
   }
   try {
     const robinhoist::objects::Selector selector(all, all);
     selector.matches({{"team", "front"}}, {});
   } catch (const robinhoist::objects::SelectorError&) {
-    // The same.
+    // Invalid input was rejected.
   }
   release::Follower follower;
   follower.begin(true);
--- a/fuzz/framing_fuzz.cpp
+++ b/fuzz/framing_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzz target: both readers of HTTP, fed in two pieces; the second half arrives later, as on a
-// socket.
+// Fuzz target: the HTTP request and response readers, with input that arrives in two pieces, as on
+// a socket.
 #include <cstddef>
 #include <cstdint>
 #include <string>
--- a/fuzz/settings_fuzz.cpp
+++ b/fuzz/settings_fuzz.cpp
@@ -1,4 +1,4 @@
-// Fuzz target: the settings reader must refuse or read whatever it gets, and never crash.
+// Fuzz target: the settings reader must accept or reject any input without a crash.
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -10,6 +10,7 @@
     robinhoist::proxy::read(robinhoist::settings::SexpReader::from_text(
         std::string(reinterpret_cast<const char*>(data), size), "fuzz"));
   } catch (const robinhoist::settings::ValidationError&) {
+    // Invalid input was rejected.
   }
   return 0;
 }
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,4 +1,4 @@
-// HTTP clients and servers on loopback sockets.
+// Tests of the HTTP client and server on loopback sockets.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -22,34 +22,35 @@
   return Poco::Net::SocketAddress("127.0.0.1:" + std::to_string(port));
 }
 
-// More than the kernel buffers for one connection.
+// More than the kernel buffers for a connection.
 constexpr std::size_t large_body = std::size_t{32} << 20;
 
-// A peer that drops idle connections unseen: what stood idle as long as those that broke is not
-// used again.
-TEST(ConnectionPool, learns_how_long_connections_may_stand_idle) {
+// The endpoint silently drops idle connections. The pool must stop reusing connections that have
+// been idle about as long as those that failed.
+TEST(ConnectionPool, learns_how_long_connections_may_stay_idle) {
   net::Loop loop(net::steady_now());
   ScriptedEndpoint endpoint(loop, "stale-15");
   http::ConnectionPoolSettings settings;
   settings.budget = std::make_shared<http::ConnectionBudget>(10);
   http::ConnectionPool pool(loop, loopback_address(endpoint.port()), settings);
-  int broken = 0, answered = 0;
+  int lost = 0, answered = 0;
   for (int i = 0; i < 40; ++i)
     loop.in(i * 25ms, [&] {
-      pool.call({}, 1s, [&](http::CallResult how, http::Response&&) {
-        broken += how == http::CallResult::connection_lost ? 1 : 0;
-        answered += how == http::CallResult::answered ? 1 : 0;
+      pool.call({}, 1s, [&](http::CallResult result, http::Response&&) {
+        lost += result == http::CallResult::connection_lost ? 1 : 0;
+        answered += result == http::CallResult::answered ? 1 : 0;
       });
     });
   loop.in(1100ms, [&] { loop.stop(); });
   loop.run();
-  EXPECT_EQ(broken + answered, 40);
-  EXPECT_GT(broken, 0);
-  EXPECT_LT(broken, 13);  // 20 if it went on as it began
+  EXPECT_EQ(lost + answered, 40);
+  EXPECT_GT(lost, 0);
+  EXPECT_LT(lost, 13);  // 20 if the pool went on reusing stale connections
 }
 
-// What broke before its last byte was written has not run.
-TEST(ConnectionPool, a_request_that_was_not_written_completely_did_not_arrive) {
+// If the connection fails before the last byte of a request is written, the peer cannot have acted
+// on the request.
+TEST(ConnectionPool, reports_an_incompletely_written_request_as_not_sent) {
   net::Loop loop(net::steady_now());
   int fd = -1;
   net::Listener listener(loop, "127.0.0.1:0", [&](int accepted) { fd = accepted; });
@@ -57,17 +58,18 @@
   http::Request request;
   request.method = "POST";
   request.body.assign(large_body, 'x');
-  std::optional<http::CallResult> ended;
-  pool.call(request, 1s, [&](http::CallResult how, http::Response&&) { ended = how; });
+  std::optional<http::CallResult> result;
+  pool.call(request, 1s,
+            [&](http::CallResult call_result, http::Response&&) { result = call_result; });
   loop.in(100ms, [&] { ::close(fd); });
   loop.in(200ms, [&] { loop.stop(); });
   loop.run();
-  EXPECT_EQ(ended, http::CallResult::connect_failed);
+  EXPECT_EQ(result, http::CallResult::connect_failed);
 }
 
-// A connection may take long to come up. The kernel retries after a second, and then the endpoint's
-// queue has room.
-TEST(ConnectionPool, states_the_time_left_when_a_request_is_written) {
+// The time left must be computed when the request is written, not when the call begins. Here the
+// endpoint's accept queue is full until the kernel repeats the connection attempt after a second.
+TEST(ConnectionPool, passes_the_time_left_when_a_request_is_written) {
   net::Loop loop(net::steady_now());
   ScriptedEndpoint endpoint(loop, "stuck");
   http::ConnectionPoolSettings settings;
@@ -94,7 +96,7 @@
   EXPECT_LT(*left, 4s - 50ms);
 }
 
-// A server on a loop of its own thread, and clients that read or don't.
+// A server and its clients on an event loop with its own thread.
 class ServerTest : public testing::Test {
  protected:
   ~ServerTest() override {
@@ -113,7 +115,7 @@
           [this](const http::ExchangePtr& exchange) { requests_.push_back(exchange); });
     });
   }
-  // Runs something on the loop's thread, then lets time pass.
+  // Runs an action on the loop's thread, then waits.
   void step(const std::function<void()>& action, Duration wait = 40ms) {
     loop_.call(action);
     std::this_thread::sleep_for(wait);
@@ -136,8 +138,8 @@
 
 constexpr const char* get_request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
 
-// A response that its client is slow to read is written completely, though the server accepts no
-// more clients.
+// A draining server accepts no more clients, but must still write a response completely to a client
+// that reads it late.
 TEST_F(ServerTest, drain_waits_for_responses_to_be_written) {
   start({});
   send("c", get_request);
@@ -160,9 +162,9 @@
   });
 }
 
-// Bytes that a client has sent behind its last request are unread at the close: they must not
-// destroy the response.
-TEST_F(ServerTest, close_is_no_reset_though_bytes_are_unread) {
+// A close while bytes after the last request are unread would reset the connection, and the client
+// could lose the response.
+TEST_F(ServerTest, closes_without_reset_when_bytes_are_unread) {
   start({});
   send("c", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" +
                 std::string(std::size_t{1} << 20, 'x'));
@@ -179,32 +181,33 @@
   });
 }
 
-// When a server is full, it closes clients that have had their last response, then idle ones, then
-// one that has sent half a request and gets a 503; never one with a request open.
-TEST_F(ServerTest, evicts_the_client_that_is_owed_least) {
+// A server at its connection limit evicts clients that have had their last response, then idle
+// clients, then clients that have sent a partial request, which get a 503. It never evicts a client
+// with an open request.
+TEST_F(ServerTest, evicts_clients_in_the_order_of_their_close_cost) {
   http::ServerSettings settings;
   settings.max_clients = 3;
   settings.evict_idle = true;
   start(settings);
   send("open", get_request);
-  send("half", "GET / HT");
+  send("partial", "GET / HT");
   send("idle", "");
-  send("lingers", "what is this\r\n");
+  send("lingering", "what is this\r\n");
   step([&] {
     EXPECT_TRUE(clients_["idle"].closed);
-    EXPECT_FALSE(clients_["half"].closed);
-    clients_["lingers"].stream->read(false);  // does not see the end
+    EXPECT_FALSE(clients_["partial"].closed);
+    clients_["lingering"].stream->read(false);  // so that it does not notice the close
   });
-  send("lingers", "\r\n");
+  send("lingering", "\r\n");
   send("more", get_request);
   step([&] {
     EXPECT_EQ(requests_.size(), 2u);
     EXPECT_EQ(server_->clients(), 3u);
-    EXPECT_FALSE(clients_["half"].closed);
+    EXPECT_FALSE(clients_["partial"].closed);
   });
   send("last", "");
   step([&] {
-    EXPECT_EQ(clients_["half"].received.substr(0, 12), "HTTP/1.1 503");
+    EXPECT_EQ(clients_["partial"].received.substr(0, 12), "HTTP/1.1 503");
     for (const char* name : {"open", "more", "last"})
       EXPECT_FALSE(clients_[name].closed) << name;
   });
--- a/tests/migration_plans.h
+++ b/tests/migration_plans.h
@@ -1,4 +1,4 @@
-/// What the tests of migrations share: plans from text.
+/// Helper of the migration tests: parses plans.
 #pragma once
 #include <string>
 
@@ -7,7 +7,7 @@
 
 namespace robinhoist::tests {
 
-/// A plan for a rollout of three stages. Throws settings::ValidationError.
+/// Parses a plan for a rollout of three stages. Throws settings::ValidationError.
 inline migration::Plan parse_plan(const std::string& text) {
   auto reader = settings::SexpReader::from_text(text, "plan");
   migration::Plan plan = migration::read_plan(reader.child("plan"), 3);
--- a/tests/migration_state_space_test.cpp
+++ b/tests/migration_state_space_test.cpp
@@ -1,5 +1,5 @@
-/// The whole state space of the plan's state machine at two small sizes, breadth first: a host that
-/// may crash, lose answers and be told to roll back at any point.
+/// Explores the complete state space of PlanStateMachine for small plans, breadth first. The runner
+/// may crash, responses may be lost, and the release may be rolled back at any point.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -14,8 +14,8 @@
 namespace robinhoist::migration {
 namespace {
 
-/// An error planted in the host, which the search must find.
-enum class PlantedBug { none, no_intent, lost_is_not_run };
+/// A bug injected into the simulated runner, which the search must find.
+enum class InjectedBug { none, no_intent, lost_is_not_run };
 
 constexpr int max_crashes = 2;
 constexpr int max_faults = 2;
@@ -25,16 +25,16 @@
 constexpr TimePoint now{std::chrono::hours(10)};
 
 struct State {
-  PlanStateMachine machine;        ///< As it runs,
-  PlanStateMachine durable;        ///< and as a replay of the journal would give it.
-  std::vector<bool> is_applied;    ///< What the database really holds,
-  std::vector<bool> is_marked;     ///< and what its markers say.
-  std::optional<Action> action{};  ///< Under way.
+  PlanStateMachine machine;        ///< The state machine of the running process.
+  PlanStateMachine durable;        ///< The state machine as rebuilt from the journal.
+  std::vector<bool> is_applied;    ///< Whether each step is applied to the database.
+  std::vector<bool> is_marked;     ///< Whether the database has a marker of each step.
+  std::optional<Action> action{};  ///< The action in progress.
   ReleaseState release{};
   int crashes = 0;
   int faults = 0;
 
-  /// Equal for equal states.
+  /// Identifies the state; equal states have equal keys.
   std::string key() const {
     std::string key = machine_key(machine) + machine_key(durable);
     for (std::size_t i = 0; i < is_applied.size(); ++i)
@@ -61,10 +61,10 @@
   }
 };
 
-/// Explores all states that can be reached, until an invariant is violated.
+/// Explores all reachable states until an invariant is violated.
 class StateSpaceSearch {
  public:
-  explicit StateSpaceSearch(const Plan& plan, PlantedBug bug = PlantedBug::none)
+  explicit StateSpaceSearch(const Plan& plan, InjectedBug bug = InjectedBug::none)
       : plan_(plan), bug_(bug) {}
 
   void run() {
@@ -101,20 +101,20 @@
       open_.push_back(std::move(state));
   }
 
-  /// No stage runs without the steps that it needs.
+  /// Checks that the steps required by each running stage are applied.
   void check_running_stages(const State& state) {
     for (int stage = 0; stage <= state.release.stage; ++stage)
       for (std::size_t i = 0; i < plan_.steps.size(); ++i) {
         const Step& step = plan_.steps[i];
         const bool is_needed = step.phase == Phase::expand ||
                                (step.phase == Phase::migrate && step.before_stage <= stage);
-        const bool is_there = state.is_applied[i] || state.machine.progress()[i].skipped;
-        if (is_needed && !is_there && !state.release.rolled_back)
+        const bool is_done = state.is_applied[i] || state.machine.progress()[i].skipped;
+        if (is_needed && !is_done && !state.release.rolled_back)
           fail("wave " + std::to_string(stage) + " runs without " + step.id);
       }
   }
 
-  /// The host ends and starts anew from its journal.
+  /// The runner crashes and restarts from its journal.
   void crash(State state) {
     if (state.crashes >= max_crashes)
       return;
@@ -126,7 +126,7 @@
     add(std::move(state));
   }
 
-  /// The database runs the step; each run must be allowed.
+  /// The database runs the step. Checks that the run is allowed.
   void execute(State& state) {
     const int index = state.action->step;
     const Step& step = plan_.steps[index];
@@ -137,9 +137,9 @@
       if (!state.is_applied[earlier] && !state.machine.progress()[earlier].skipped)
         fail(step.id + " ran before " + plan_.steps[earlier].id);
     if (step.phase == Phase::contract && !state.release.finalized)
-      fail("contract while back is possible");
+      fail("step " + step.id + " of phase contract ran while a rollback was possible");
     if (!is_apply && !state.release.rolled_back)
-      fail(step.id + " undone while machines serve");
+      fail("step " + step.id + " was rolled back while endpoints of the release served");
     state.is_applied[index] = is_apply;
     if (step.transactional)
       state.is_marked[index] = is_apply;
@@ -153,7 +153,7 @@
     add(std::move(state));
   }
 
-  /// The run may end well, its answer may be lost, or it may never reach the database.
+  /// The run succeeds, or its response is lost, or the request never reaches the database.
   void end_run(const State& state) {
     State done = state;
     execute(done);
@@ -162,7 +162,7 @@
     if (state.faults >= max_faults)
       return;
     ++done.faults;
-    const bool misreported = bug_ == PlantedBug::lost_is_not_run;
+    const bool misreported = bug_ == InjectedBug::lost_is_not_run;
     report_run(done, misreported ? StepResult::not_run : StepResult::unknown);
     State lost = state;
     ++lost.faults;
@@ -182,8 +182,8 @@
   void answer_probe(const State& state) {
     const int step = state.action->step;
     const bool asks_marker = state.action->kind == ActionKind::query_marker;
-    const bool is_there = asks_marker ? state.is_marked[step] : state.is_applied[step];
-    report_probe(state, is_there ? ProbeResult::yes : ProbeResult::no);
+    const bool is_applied = asks_marker ? state.is_marked[step] : state.is_applied[step];
+    report_probe(state, is_applied ? ProbeResult::yes : ProbeResult::no);
     if (state.faults >= max_faults)
       return;
     State lost = state;
@@ -194,41 +194,42 @@
   void take_next_action(State state) {
     const std::optional<Action> action = state.machine.next_action(now);
     if (!action || action->kind == ActionKind::wait_for_operator) {
-      check_standstill(state);
+      check_idle(state);
       return;
     }
     state.action = action;
     if (action->kind == ActionKind::run) {
       state.machine.replay_intent(action->step, action->direction);
-      if (bug_ != PlantedBug::no_intent)
+      if (bug_ != InjectedBug::no_intent)
         state.durable.replay_intent(action->step, action->direction);
     }
     add(std::move(state));
   }
 
-  /// There is always a way forward, or the operator is asked for.
-  void check_standstill(const State& state) {
+  /// Checks that a machine without a next action is complete or waits for the operator.
+  void check_idle(const State& state) {
     bool is_blocked = false;
     for (const Progress& progress : state.machine.progress())
       is_blocked |= progress.blocked;
     if (!state.machine.is_complete() && !is_blocked)
-      fail("nothing to do, and not settled");
+      fail("there is no next action, but the plan is neither complete nor blocked");
     if (state.machine.is_complete() && state.release.rolled_back)
       check_rolled_back(state);
     for (std::size_t i = 0; is_blocked && i < plan_.steps.size(); ++i)
       retry_by_operator(state, static_cast<int>(i));
   }
 
-  /// Nothing of a release that was rolled back is left, unless its plan keeps it.
+  /// Checks that all steps of a rolled-back release are rolled back, except those that the plan
+  /// keeps.
   void check_rolled_back(const State& state) {
     for (std::size_t i = 0; i < plan_.steps.size(); ++i)
       if (plan_.steps[i].rollback_with_release && state.is_applied[i] &&
           !state.machine.progress()[i].skipped)
-        fail(plan_.steps[i].id + " is left of a release that was rolled back");
+        fail("step " + plan_.steps[i].id + " is still applied after the rollback of the release");
   }
 
   /// An operator retries a step only after making sure that it is not applied. The command is not
-  /// in the journal: after a crash it is asked for again.
+  /// written to the journal, so it has to be repeated after a crash.
   void retry_by_operator(State state, int index) {
     if (!state.machine.progress()[index].blocked || state.faults >= max_faults)
       return;
@@ -243,7 +244,7 @@
     add(std::move(state));
   }
 
-  /// The release moves at any time, also while a step runs.
+  /// The state of the release changes at any time, also while a step runs.
   void move_release(const State& state) {
     ReleaseState next = state.release;
     if (!next.offered) {
@@ -272,7 +273,7 @@
   }
 
   const Plan& plan_;
-  PlantedBug bug_;
+  InjectedBug bug_;
   std::deque<State> open_{};
   std::set<std::string> seen_{};
   std::string violation_{};
@@ -307,9 +308,9 @@
   }
 }
 
-TEST(PlanStateSpace, FindsPlantedBugs) {
+TEST(PlanStateSpace, FindsInjectedBugs) {
   const Plan plan = tests::parse_plan(plans[0]);
-  for (PlantedBug bug : {PlantedBug::no_intent, PlantedBug::lost_is_not_run}) {
+  for (InjectedBug bug : {InjectedBug::no_intent, InjectedBug::lost_is_not_run}) {
     StateSpaceSearch search(plan, bug);
     search.run();
     EXPECT_EQ(search.violation(), "step a ran twice") << static_cast<int>(bug);
--- a/tests/signals_test.cpp
+++ b/tests/signals_test.cpp
@@ -1,4 +1,5 @@
-/// Signals as events of a loop, beside descriptors that become readable in the same turn.
+/// Tests of signals as loop events, together with descriptors that become readable in the same
+/// iteration.
 #include "net/signals.h"
 
 #include <gtest/gtest.h>
@@ -16,12 +17,12 @@
 using namespace std::chrono_literals;
 
 constexpr int watchers_on_each_side = 20;
-constexpr int descriptor_event = 0;  // in the order of events, beside the signals' numbers
+constexpr int descriptor_event = 0;  // marks a descriptor event among the signal numbers
 
-// Guards against a signal that is read after sockets that were ready no earlier, or waits a turn
-// behind another signal. The reactor orders sockets by their addresses in memory, so watchers are
-// made before and after.
-TEST(Signals, all_that_have_come_are_handled_before_any_descriptor) {
+// Guards against a signal that is handled after descriptors that became ready at the same time, or
+// one iteration after another pending signal. The reactor orders sockets by their memory addresses,
+// so watchers are created both before and after the Signals object.
+TEST(Signals, all_pending_signals_are_handled_before_any_descriptor) {
   net::Loop loop(net::steady_now());
   std::vector<int> events;
   std::vector<int> descriptors;
