--- a/tests/faulty_vfs.h
+++ b/tests/faulty_vfs.h
@@ -1,7 +1,7 @@
-/// SQLite's file layer with a fault in it, for tests of durability.
+/// An SQLite VFS with fault injection, for tests of durability.
 ///
-/// From its nth write, truncation or sync on, so many of them fail; of a failing write half of the
-/// data has been written. It is SQLite's default layer while it exists.
+/// A range of consecutive writes, truncations and syncs fails. A failing write stores the first
+/// half of its data. The VFS is SQLite's default VFS while the object exists.
 #pragma once
 #include <sqlite3.h>
 
@@ -10,7 +10,8 @@
 
 namespace robinhoist::tests {
 
-/// One at a time; files that were opened through it must be closed before it ends.
+/// Only one instance may exist at a time. Files opened through it must be closed before it is
+/// destroyed.
 class FaultyVfs {
  public:
   FaultyVfs() : real_(sqlite3_vfs_find(nullptr)), vfs_(*real_) {
@@ -19,10 +20,10 @@
     vfs_.szOsFile = static_cast<int>(sizeof(File)) + real_->szOsFile;
     vfs_.xOpen = [](sqlite3_vfs* vfs, const char* name, sqlite3_file* file, int flags, int* out) {
       auto* self = static_cast<FaultyVfs*>(vfs->pAppData);
-      auto* mine = new (file)
+      auto* wrapped = new (file)
           File{{}, self, reinterpret_cast<sqlite3_file*>(reinterpret_cast<File*>(file) + 1)};
-      const int code = self->real_->xOpen(self->real_, name, mine->real, flags, out);
-      mine->base.pMethods = mine->real->pMethods ? &methods() : nullptr;
+      const int code = self->real_->xOpen(self->real_, name, wrapped->real, flags, out);
+      wrapped->base.pMethods = wrapped->real->pMethods ? &methods() : nullptr;
       return code;
     };
     sqlite3_vfs_register(&vfs_, 1);
@@ -34,14 +35,14 @@
   FaultyVfs(const FaultyVfs&) = delete;
   FaultyVfs& operator=(const FaultyVfs&) = delete;
 
-  /// Lets the operations from number `first` on fail, `count` of them, and starts counting at 0.
+  /// Makes `count` operations fail, beginning with number `first`, and restarts counting at 0.
   void fail(int first, int count) {
     first_failure_ = first;
     failures_end_ = first + count;
-    seen_ = 0;
+    operations_ = 0;
   }
-  /// How many operations there were since fail().
-  int seen() const { return seen_; }
+  /// The number of operations since fail().
+  int operations() const { return operations_; }
 
  private:
   struct File {
@@ -50,62 +51,62 @@
     sqlite3_file* real;
   };
 
-  /// Counts an operation.
+  /// Counts an operation and returns whether it must fail.
   bool fails() {
-    const int number = seen_++;
+    const int number = operations_++;
     return number >= first_failure_ && number < failures_end_;
   }
-  /// Hands a call on to the real file.
+  /// Forwards a call to the real file.
   template <auto Method, class... Args>
-  static int pass(sqlite3_file* file, Args... args) {
+  static int forward(sqlite3_file* file, Args... args) {
     sqlite3_file* real = reinterpret_cast<File*>(file)->real;
     return (real->pMethods->*Method)(real, args...);
   }
   static const sqlite3_io_methods& methods() {
     using M = sqlite3_io_methods;
-    static const sqlite3_io_methods made = [] {
+    static const sqlite3_io_methods instance = [] {
       M m{};
       m.iVersion = 2;
-      m.xClose = pass<&M::xClose>;
-      m.xRead = pass<&M::xRead, void*, int, sqlite3_int64>;
+      m.xClose = forward<&M::xClose>;
+      m.xRead = forward<&M::xRead, void*, int, sqlite3_int64>;
       m.xWrite = [](sqlite3_file* file, const void* data, int size, sqlite3_int64 at) {
         if (!reinterpret_cast<File*>(file)->owner->fails())
-          return pass<&M::xWrite>(file, data, size, at);
-        pass<&M::xWrite>(file, data, size / 2, at);
+          return forward<&M::xWrite>(file, data, size, at);
+        forward<&M::xWrite>(file, data, size / 2, at);
         return SQLITE_IOERR_WRITE;
       };
       m.xTruncate = [](sqlite3_file* file, sqlite3_int64 size) {
         return reinterpret_cast<File*>(file)->owner->fails() ? SQLITE_IOERR_TRUNCATE
-                                                             : pass<&M::xTruncate>(file, size);
+                                                             : forward<&M::xTruncate>(file, size);
       };
       m.xSync = [](sqlite3_file* file, int flags) {
         return reinterpret_cast<File*>(file)->owner->fails() ? SQLITE_IOERR_FSYNC
-                                                             : pass<&M::xSync>(file, flags);
+                                                             : forward<&M::xSync>(file, flags);
       };
-      m.xFileSize = pass<&M::xFileSize, sqlite3_int64*>;
-      m.xLock = pass<&M::xLock, int>;
-      m.xUnlock = pass<&M::xUnlock, int>;
-      m.xCheckReservedLock = pass<&M::xCheckReservedLock, int*>;
-      m.xFileControl = pass<&M::xFileControl, int, void*>;
-      m.xSectorSize = pass<&M::xSectorSize>;
-      m.xDeviceCharacteristics = pass<&M::xDeviceCharacteristics>;
-      m.xShmMap = pass<&M::xShmMap, int, int, int, void volatile**>;
-      m.xShmLock = pass<&M::xShmLock, int, int, int>;
+      m.xFileSize = forward<&M::xFileSize, sqlite3_int64*>;
+      m.xLock = forward<&M::xLock, int>;
+      m.xUnlock = forward<&M::xUnlock, int>;
+      m.xCheckReservedLock = forward<&M::xCheckReservedLock, int*>;
+      m.xFileControl = forward<&M::xFileControl, int, void*>;
+      m.xSectorSize = forward<&M::xSectorSize>;
+      m.xDeviceCharacteristics = forward<&M::xDeviceCharacteristics>;
+      m.xShmMap = forward<&M::xShmMap, int, int, int, void volatile**>;
+      m.xShmLock = forward<&M::xShmLock, int, int, int>;
       m.xShmBarrier = [](sqlite3_file* file) {
         sqlite3_file* real = reinterpret_cast<File*>(file)->real;
         real->pMethods->xShmBarrier(real);
       };
-      m.xShmUnmap = pass<&M::xShmUnmap, int>;
+      m.xShmUnmap = forward<&M::xShmUnmap, int>;
       return m;
     }();
-    return made;
+    return instance;
   }
 
   sqlite3_vfs* real_;
   sqlite3_vfs vfs_;
   int first_failure_ = -1;
   int failures_end_ = -1;
-  int seen_ = 0;
+  int operations_ = 0;
 };
 
 }  // namespace robinhoist::tests
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -68,7 +68,8 @@
 }
 
 // The time left must be computed when the request is written, not when the call begins. Here the
-// endpoint's accept queue is full until the kernel repeats the connection attempt after a second.
+// endpoint's accept queue is full at first and has room when the kernel retries the connection
+// after a second.
 TEST(ConnectionPool, passes_the_time_left_when_a_request_is_written) {
   net::Loop loop(net::steady_now());
   ScriptedEndpoint endpoint(loop, "stuck");
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -1,4 +1,4 @@
-/// The journal: leases, what it refuses to open, upgrades, and a full disk.
+/// Tests of the journal: leases, invalid files, upgrades, and a full disk.
 #include "journal/journal.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 namespace fs = std::filesystem;
 
-/// A file for a journal, removed before and after each test.
+/// Provides a journal file that is removed before and after each test.
 class JournalTest : public testing::Test {
  protected:
   JournalTest() { fs::remove(file_); }
@@ -37,7 +37,7 @@
   EXPECT_GT(*second, *first);
   EXPECT_FALSE(a.renew_lease("a", *first, 1700, 500));
   EXPECT_TRUE(b.renew_lease("b", *second, 1700, 500));
-  // A clock that jumped far ahead and back does not block the lease for ever.
+  // A lease whose expiry is implausibly late because a clock jumped must not block others forever.
   b.renew_lease("b", *second, 900000, 500);
   EXPECT_TRUE(a.acquire_lease("a", 2000, 500));
 }
@@ -45,7 +45,7 @@
 void expect_open_fails(const std::string& file, const char* reason) {
   try {
     Journal journal(file);
-    ADD_FAILURE() << "opened, though " << reason;
+    ADD_FAILURE() << "the file was opened; expected the error: " << reason;
   } catch (const JournalError& error) {
     EXPECT_NE(std::string(error.what()).find(reason), std::string::npos) << error.what();
   }
@@ -62,8 +62,8 @@
   return entry;
 }
 
-// Guards against a step that may be edited although an attempt before the last may have run.
-TEST_F(JournalTest, AnAttemptThatDidNotRunSaysNothingOfTheOneBefore) {
+// Guards against a step that may be edited although an attempt before the last one may have run.
+TEST_F(JournalTest, AnAttemptThatDidNotRunDoesNotResolveEarlierOnes) {
   const std::map<std::string, std::string> kept = {{"2/s", "d"}};
   Journal journal(file_);
   journal.append(apply_entry(entry_kind::intent));
@@ -78,7 +78,7 @@
   EXPECT_TRUE(journal.applied_digests().empty());
 }
 
-TEST_F(JournalTest, RefusesFilesThatAreNoJournal) {
+TEST_F(JournalTest, RejectsFilesThatAreNotAJournal) {
   std::ofstream(file_) << std::string(5000, 'x');
   expect_open_fails(file_, "not a database");
   fs::remove(file_);
@@ -100,7 +100,7 @@
   expect_open_fails(file_, "damaged");
 }
 
-TEST_F(JournalTest, UpgradesAnOlderVersionAndRefusesANewer) {
+TEST_F(JournalTest, UpgradesAnOlderVersionAndRejectsANewer) {
   sqlite3* db = nullptr;
   ASSERT_EQ(sqlite3_open(file_.c_str(), &db), SQLITE_OK);
   const char* first_version =
@@ -127,7 +127,7 @@
   expect_open_fails(file_, "has schema version 9, newer than");
 }
 
-TEST_F(JournalTest, ReportsAFullDiskAndKeepsWhatItHas) {
+TEST_F(JournalTest, ReportsAFullDiskAndKeepsWrittenEntries) {
   Journal journal(file_);
   journal.limit_growth(2);
   Entry entry;
@@ -143,7 +143,7 @@
   EXPECT_EQ(journal.entries(2).size(), written);
 }
 
-/// The statements that created the tables, as SQLite stores them.
+/// The statements that created the tables, as stored by SQLite.
 std::string stored_schema(const std::string& file) {
   sqlite3* db = nullptr;
   EXPECT_EQ(sqlite3_open_v2(file.c_str(), &db, SQLITE_OPEN_READONLY, nullptr), SQLITE_OK);
--- a/tests/migration_runner_test.cpp
+++ b/tests/migration_runner_test.cpp
@@ -1,5 +1,5 @@
-/// The migration runner against the stand-in database: ended at every point between two writes,
-/// with faults of the database and of the journal's disk, and with edited plans.
+/// Tests the migration runner against the stand-in database: with a crash at every point between
+/// two writes, with faults of the database and of the journal's disk, and with edited plans.
 #include <Poco/ErrorHandler.h>
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -37,11 +37,12 @@
 constexpr ReleaseState rolled_back{
     .stage = 0, .offered = true, .rolling_back = true, .rolled_back = true};
 
-/// Thrown out of a runner to end it at a crash point.
-struct RunnerEnded : std::exception {};
+/// Thrown by a crash point to unwind out of the runner.
+struct SimulatedCrash : std::exception {};
 
-/// A runner, its journal, and the database that it migrates, on a loop of their own. The runner can
-/// be ended at its Nth crash point; it is then started anew from the journal, as after kill -9.
+/// A runner, its journal, and the database that it migrates, on an event loop with its own thread.
+/// The runner can be crashed at its Nth crash point; it is then restarted from the journal, as
+/// after kill -9.
 class TestEnvironment {
  public:
   TestEnvironment() {
@@ -63,25 +64,25 @@
   TestEnvironment(const TestEnvironment&) = delete;
   TestEnvironment& operator=(const TestEnvironment&) = delete;
 
-  /// Runs something on the loop's thread, where the runner and the database live. A crash point in
-  /// it ends the runner, and not the test.
+  /// Runs a task on the loop's thread, on which the runner and the database run. A crash point
+  /// inside the task ends the runner but not the test.
   template <class Task>
   void run_on_loop(Task task) {
     loop_.call([&] {
       try {
         task();
-      } catch (const RunnerEnded&) {
+      } catch (const SimulatedCrash&) {
       }
     });
   }
 
-  /// On the loop: what ran before is gone, but for its journal.
+  /// Starts a runner from the journal, in place of the current one. Must be called on the loop.
   void start(const ReleaseState& release) {
     release_ = release;
     restart();
   }
 
-  /// On the loop.
+  /// Must be called on the loop.
   void set_release(const ReleaseState& release) {
     release_ = release;
     if (!runner_ || runner_is_dead_)
@@ -90,7 +91,8 @@
     runner_->run_due_actions();
   }
 
-  /// Waits until a condition on the runner holds; false when it does not within some seconds.
+  /// Waits until a condition on the runner holds; returns false if it does not within a few
+  /// seconds.
   template <class Condition>
   bool wait_until(Condition condition) {
     for (int i = 0; i < 3000; ++i) {
@@ -107,13 +109,13 @@
     return wait_until([&] { return runner_->allows(build, stage); });
   }
 
-  /// On the loop.
+  /// Must be called on the loop.
   std::unique_ptr<Target> new_target() {
     return std::make_unique<Target>(loop_, "127.0.0.1:" + std::to_string(database_->port()));
   }
 
   void crash_at(int point) { crash_at_ = point; }
-  /// How many crash points have been passed.
+  /// The number of crash points passed.
   int points() const { return points_; }
   Runner& runner() { return *runner_; }
   standin::Database& database() { return *database_; }
@@ -156,14 +158,14 @@
     runner_->run_due_actions();
   }
 
-  /// As a supervisor would.
+  /// Simulates a supervisor that restarts the process.
   void restart_later() {
     loop_.in(2ms, [this] { restart(); });
   }
 
   RunnerSettings runner_settings() {
     RunnerSettings settings;
-    settings.holder = "me";
+    settings.holder = "runner";
     settings.lease_length = 10s;
     settings.stages = 3;
     settings.journal_retry_delay = 5ms;
@@ -171,7 +173,7 @@
     return settings;
   }
 
-  /// The runner that ends here must write nothing more; it is started anew a little later.
+  /// The crashed runner must write nothing more; a new one is started a little later.
   void on_crash_point() {
     if (points_++ != crash_at_)
       return;
@@ -181,7 +183,7 @@
       runner_is_dead_ = false;
       restart();
     });
-    throw RunnerEnded();
+    throw SimulatedCrash();
   }
 
   fs::path folder_ =
@@ -199,24 +201,25 @@
   bool runner_is_dead_ = false;
 };
 
-/// RunnerEnded leaves a handler of the loop; POCO's reactor hands it to the error handler.
+/// Ignores SimulatedCrash, which the loop passes to POCO's error handler when a handler throws it.
 struct IgnoreErrors : Poco::ErrorHandler {
   void exception(const Poco::Exception&) override {}
   void exception(const std::exception&) override {}
   void exception() override {}
 };
 
-void ignore_runner_ends() {
+void ignore_simulated_crashes() {
   static IgnoreErrors handler;
   Poco::ErrorHandler::set(&handler);
 }
 
 struct MigrationRun {
-  std::string problem{};  ///< Empty when it came to the end that it must come to.
+  std::string problem{};  ///< Empty when the migration ended in the expected state.
   int points = 0;
 };
 
-/// What the database holds after the plan was applied, or rolled back again.
+/// Lists the values in the database that are not as expected after the plan was applied or, with
+/// `after_rollback`, rolled back.
 std::string wrong_values(standin::Database& database, bool after_rollback) {
   std::string wrong;
   const auto expect = [&](const char* query, double expected) {
@@ -231,23 +234,23 @@
   return wrong;
 }
 
-/// Offers the release, starts its first stage, and lets it go on or rolls it back. The runner ends
-/// at one crash point; -1 for none.
+/// Offers the release, starts its first stage, and completes the migration or rolls it back. The
+/// runner crashes at one crash point; -1 for none.
 MigrationRun run_migration(int crash_at, bool roll_back) {
   TestEnvironment environment;
   environment.crash_at(crash_at);
   environment.run_on_loop([&] { environment.start(offered); });
   if (!environment.wait_until_allowed(0))
-    return {.problem = "never allows wave 0"};
+    return {.problem = "stage 0 is never allowed"};
   environment.run_on_loop([&] { environment.set_release(first_stage); });
   const auto is_complete = [&] { return environment.runner().is_complete(); };
   if (roll_back) {
     environment.run_on_loop([&] { environment.set_release(rolled_back); });
     if (!environment.wait_until(is_complete))
-      return {.problem = "never settles its way back"};
+      return {.problem = "the rollback is never complete"};
   } else if (!environment.wait_until(
                  [&] { return environment.runner().allows(build, 1) && is_complete(); })) {
-    return {.problem = "never allows wave 1"};
+    return {.problem = "stage 1 is never allowed"};
   }
   MigrationRun run;
   environment.run_on_loop([&] {
@@ -257,19 +260,19 @@
   return run;
 }
 
-TEST(MigrationRunner, EndedAtEveryPointSkipsAndRepeatsNothing) {
-  ignore_runner_ends();
+TEST(MigrationRunner, CrashedAtAnyPointSkipsAndRepeatsNothing) {
+  ignore_simulated_crashes();
   for (bool roll_back : {false, true}) {
     const MigrationRun undisturbed = run_migration(-1, roll_back);
     ASSERT_EQ(undisturbed.problem, "");
     ASSERT_GT(undisturbed.points, 10);
     for (int point = 0; point < undisturbed.points; ++point)
       EXPECT_EQ(run_migration(point, roll_back).problem, "")
-          << "ended at point " << point << (roll_back ? " with a rollback" : "");
+          << "crashed at point " << point << (roll_back ? " with a rollback" : "");
   }
 }
 
-TEST(MigrationTarget, NamesALostConnectionAndALateAnswer) {
+TEST(MigrationTarget, ReportsALostConnectionAndATimeout) {
   Step step;
   step.id = "s";
   step.apply_statement = "SELECT 1";
@@ -293,7 +296,7 @@
   EXPECT_EQ(reason_of(standin::DbFault::hang), "timed out");
 }
 
-TEST(MigrationRunner, CopesWithFaultsOfTheDatabase) {
+TEST(MigrationRunner, RecoversFromFaultsOfTheDatabase) {
   for (auto fault :
        {standin::DbFault::refuse, standin::DbFault::error_inside, standin::DbFault::drop_on_commit,
         standin::DbFault::locked, standin::DbFault::hang, standin::DbFault::late}) {
@@ -310,14 +313,14 @@
   }
 }
 
-/// Each write, truncation and sync of the journal's files fails in turn, alone and with the two
-/// after it.
-TEST(MigrationRunner, CopesWithEachErrorOfTheJournalsDisk) {
-  ignore_runner_ends();
+/// Each write, truncation and sync of the journal's files fails in turn, alone and together with
+/// the next two.
+TEST(MigrationRunner, RecoversFromEachErrorOfTheJournalsDisk) {
+  ignore_simulated_crashes();
   tests::FaultyVfs disk;
   disk.fail(-1, 0);
   ASSERT_EQ(run_migration(-1, true).problem, "");
-  const int operations = disk.seen();
+  const int operations = disk.operations();
   ASSERT_GT(operations, 50);
   for (int failures : {1, 3})
     for (int operation = 0; operation < operations; ++operation) {
@@ -345,7 +348,7 @@
   environment.run_on_loop([&] { EXPECT_TRUE(environment.runner().allows(build, 1)); });
 }
 
-TEST(MigrationRunner, WithAnOlderTokenRunsNothing) {
+TEST(MigrationRunner, RunsNothingWithAnOutdatedFencingToken) {
   TestEnvironment environment;
   environment.run_on_loop([&] {
     environment.database().execute("UPDATE rh_fence SET token = 1000");
@@ -359,7 +362,7 @@
 void expect_rejected(Runner& runner, const std::string& text, const char* problem) {
   try {
     runner.accept_plan(text, "plan", "test");
-    ADD_FAILURE() << "accepted, though " << problem;
+    ADD_FAILURE() << "the plan was accepted; expected: " << problem;
   } catch (const settings::ValidationError& error) {
     EXPECT_NE(std::string(error.what()).find(problem), std::string::npos) << error.what();
   }
--- a/tests/migration_state_space_test.cpp
+++ b/tests/migration_state_space_test.cpp
@@ -110,7 +110,7 @@
                                (step.phase == Phase::migrate && step.before_stage <= stage);
         const bool is_done = state.is_applied[i] || state.machine.progress()[i].skipped;
         if (is_needed && !is_done && !state.release.rolled_back)
-          fail("wave " + std::to_string(stage) + " runs without " + step.id);
+          fail("stage " + std::to_string(stage) + " runs without step " + step.id);
       }
   }
 
@@ -135,7 +135,7 @@
       fail("step " + step.id + " ran twice");
     for (int earlier = 0; is_apply && earlier < index; ++earlier)
       if (!state.is_applied[earlier] && !state.machine.progress()[earlier].skipped)
-        fail(step.id + " ran before " + plan_.steps[earlier].id);
+        fail("step " + step.id + " ran before step " + plan_.steps[earlier].id);
     if (step.phase == Phase::contract && !state.release.finalized)
       fail("step " + step.id + " of phase contract ran while a rollback was possible");
     if (!is_apply && !state.release.rolled_back)
--- a/tests/migration_target_test.cpp
+++ b/tests/migration_target_test.cpp
@@ -1,4 +1,4 @@
-/// The client of the migration target against an endpoint that fails in each way a call can fail.
+/// Tests the client of the migration target against an endpoint with each kind of call failure.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -27,7 +27,7 @@
     return step;
   }
 
-  /// Runs one step at the target of this port. Nothing if its handler did not run.
+  /// Runs one step on the target at this port. Empty if the handler did not run.
   static std::optional<RunOutcome> run_step(net::Loop& loop, int port) {
     Target target(loop, "127.0.0.1:" + std::to_string(port));
     std::optional<RunOutcome> result;
@@ -52,7 +52,8 @@
   }
 };
 
-// Guards against texts shifted by one result: the operator reads them to decide on a retry.
+// Guards against a failure text that belongs to another result, because the operator decides on a
+// retry by this text.
 TEST_F(MigrationTargetCalls, EachFailureIsNamedByItsCause) {
   EXPECT_EQ(reason_at_port(tests::free_port()), "connection failed");
   EXPECT_EQ(reason_of("close"), "connection lost");
@@ -61,9 +62,9 @@
   EXPECT_EQ(reason_of("silence"), "timed out");
 }
 
-// Guards against a step that waits for the operator although it was never sent: all connections to
-// the target were busy.
-TEST_F(MigrationTargetCalls, AStepForWhichNoConnectionWasFreeHasNotRun) {
+// Guards against a step that waits for the operator although it was never sent, because all
+// connections to the target were busy.
+TEST_F(MigrationTargetCalls, AStepWithoutAFreeConnectionHasNotRun) {
   constexpr int more_than_connections = 5;
   net::Loop loop(net::steady_now());
   const tests::ScriptedEndpoint endpoint(loop, "silence");
--- a/tests/migration_test.cpp
+++ b/tests/migration_test.cpp
@@ -1,5 +1,5 @@
-/// Migration plans: scripts for the state machine (tests/steps/README.md) and plans that must be
-/// rejected (tests/plans).
+/// Tests of migration plans: scripts for the state machine (tests/steps/README.md) and plans that
+/// must be rejected (tests/plans).
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -25,7 +25,7 @@
     if (command == "step")
       plan_text_ += "(" + join(words) + ")";
     else if (!set_release(words) && !set_condition(words) && !report(words) && !expect(words))
-      throw std::runtime_error("no such line");
+      throw std::runtime_error("unknown command");
   }
 
  private:
@@ -47,7 +47,7 @@
 
   int step(const std::string& id) { return machine().find_step(id); }
 
-  /// Lines that say where the release stands.
+  /// Commands that set the state of the release.
   bool set_release(const Words& words) {
     const std::string& command = words[0];
     if (command == "offered")
@@ -66,6 +66,7 @@
     return true;
   }
 
+  /// Commands that set the lease, the pause, the time, request outcomes and the largest key.
   bool set_condition(const Words& words) {
     const std::string& command = words[0];
     if (command == "lease")
@@ -83,7 +84,7 @@
     return true;
   }
 
-  /// Lines that say what came of the last action.
+  /// Commands that report the result of the last action.
   bool report(const Words& words) {
     const bool is_run_result = words[0] == "ends";
     if (!is_run_result && words[0] != "says")
@@ -102,7 +103,7 @@
                               StepResult::unknown, StepResult::fenced})
       if (name == to_string(result))
         return result;
-    throw std::runtime_error("no such result");
+    throw std::runtime_error("unknown result");
   }
 
   static ProbeResult probe_result(const std::string& name) {
@@ -111,6 +112,7 @@
     return name == "no" ? ProbeResult::no : ProbeResult::unknown;
   }
 
+  /// Commands that check the state machine.
   bool expect(const Words& words) {
     const std::string& command = words[0];
     if (command == "does")
@@ -150,7 +152,7 @@
 
   std::string id_of(const Action& action) { return machine().plan().steps[action.step].id; }
 
-  /// As the scripts name it.
+  /// The name used in scripts.
   static std::string name_of(ActionKind kind) {
     switch (kind) {
       case ActionKind::run:
@@ -192,7 +194,7 @@
                          testing::ValuesIn(tests::files_in(TESTS "/steps", ".txt")),
                          tests::script_name);
 
-/// tests/plans/*.conf begin with the problems that must be reported, `; LINE: text` each.
+/// The files in tests/plans begin with the expected problems, one `; LINE: TEXT` per line.
 class PlanFile : public testing::TestWithParam<std::string> {};
 
 TEST_P(PlanFile, IsRejectedWithTheProblemsItNames) {
--- a/tests/step_journal_test.cpp
+++ b/tests/step_journal_test.cpp
@@ -1,4 +1,4 @@
-/// The journal of steps as a runner reads it back: entries that make no sense.
+/// Tests how a runner reads the journal of steps, in particular entries with unknown words.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -25,7 +25,8 @@
   StepJournalTest() { fs::remove(file_); }
   ~StepJournalTest() override { fs::remove(file_); }
 
-  /// A journal whose second entry is changed; returns the error of a runner that reads it.
+  /// Writes a journal with two entries, the second of which `change` modifies, and returns the
+  /// error of a runner that reads it; empty if there is none.
   std::string error_of_runner(const std::function<void(journal::Entry&)>& change) {
     journal::Journal journal(file_);
     journal.save_plan(build, plan_text, "test");
@@ -42,7 +43,7 @@
     net::Loop loop(net::steady_now());
     const log::Logger log("test", "off");
     Target target(loop, "127.0.0.1:1");
-    const RunnerSettings settings{.holder = "me", .lease_length = std::chrono::seconds(10)};
+    const RunnerSettings settings{.holder = "runner", .lease_length = std::chrono::seconds(10)};
     try {
       const Runner runner(loop, settings, journal, target, log);
     } catch (const journal::JournalError& error) {
@@ -57,12 +58,12 @@
           .string();
 };
 
-TEST_F(StepJournalTest, AnEntryThatMakesSenseIsRead) {
+TEST_F(StepJournalTest, ReadsValidEntries) {
   EXPECT_EQ(error_of_runner([](journal::Entry&) {}), "");
 }
 
-// Guards against an unknown word that is read as some other: a rollback as an apply, say.
-TEST_F(StepJournalTest, AnUnknownWordIsNamedWithFileAndRow) {
+// Guards against an unknown word that is read as a known one, such as a rollback as an apply.
+TEST_F(StepJournalTest, ReportsAnUnknownWordWithFileAndRow) {
   const std::string row = file_ + ": entries, row 2: ";
   EXPECT_EQ(error_of_runner([](journal::Entry& entry) { entry.what = "began"; }),
             row + "what 'began' is not known to this version");
