--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -86,8 +86,8 @@
 void Loop::run_due_timers() {
   reset_counter(timer_fd_);
   armed_for_ = TimePoint{};
-  const TimePoint until =
-      now();  // timers that become due meanwhile run after the sockets' handlers
+  // Timers that become due while these run are left to the next iteration, after socket handlers.
+  const TimePoint until = now();
   while (!tasks_.empty() && tasks_.begin()->first.due <= until) {
     const auto next = tasks_.extract(tasks_.begin());
     record_lateness(next.key().due);
