--- a/src/controller/idempotent_creation.cpp
+++ b/src/controller/idempotent_creation.cpp
@@ -11,19 +11,19 @@
 
 }  // namespace
 
-std::optional<journal::RequestKey> idempotency_key(const ApiRequest& request) {
+std::optional<journal::IdempotencyKey> idempotency_key(const ApiRequest& request) {
   const std::string key(request.http().headers.get(key_header));
   if (key.empty())
     return {};
   if (key.size() > max_key_size)
     throw malformed_request("Idempotency-Key is longer than 255 bytes");
-  return journal::RequestKey{request.caller.name + "/" + key, sha256(request.http().body), ""};
+  return journal::IdempotencyKey{request.caller.name + "/" + key, sha256(request.http().body), ""};
 }
 
-std::optional<http::Response> replay(const ApiRequest& request, const journal::RequestKey& key,
+std::optional<http::Response> replay(const ApiRequest& request, const journal::IdempotencyKey& key,
                                      const journal::Journal* journal,
                                      const objects::Store& objects) {
-  const auto earlier = journal ? journal->find_request_key(key.key) : std::nullopt;
+  const auto earlier = journal ? journal->find_idempotency_key(key.key) : std::nullopt;
   if (!earlier)
     return {};
   if (earlier->digest != key.digest)
--- a/src/controller/idempotent_creation.h
+++ b/src/controller/idempotent_creation.h
@@ -12,11 +12,11 @@
 
 /// The key of a creation, with a digest of what it asks for; nothing when the request has none.
 /// Throws ApiError.
-std::optional<journal::RequestKey> idempotency_key(const ApiRequest& request);
+std::optional<journal::IdempotencyKey> idempotency_key(const ApiRequest& request);
 
 /// The answer to a request whose key was used before; nothing when it was not. Throws ApiError when
 /// the key came with another body. The journal may be null.
-std::optional<http::Response> replay(const ApiRequest& request, const journal::RequestKey& key,
+std::optional<http::Response> replay(const ApiRequest& request, const journal::IdempotencyKey& key,
                                      const journal::Journal* journal,
                                      const objects::Store& objects);
 
--- a/src/controller/release_objects.cpp
+++ b/src/controller/release_objects.cpp
@@ -150,12 +150,13 @@
   });
 }
 
-void ReleaseObjects::commit(const releases::Draft& draft, std::optional<journal::RequestKey> key) {
+void ReleaseObjects::commit(const releases::Draft& draft,
+                            std::optional<journal::IdempotencyKey> key) {
   commit(std::vector<releases::Draft>{draft}, std::move(key));
 }
 
 void ReleaseObjects::commit(std::vector<releases::Draft> drafts,
-                            std::optional<journal::RequestKey> key) {
+                            std::optional<journal::IdempotencyKey> key) {
   std::int64_t version = catalog_.store().version();
   journal::Journal::Commit transaction;
   std::vector<objects::SnapshotPtr> snapshots;
--- a/src/controller/release_objects.h
+++ b/src/controller/release_objects.h
@@ -51,7 +51,7 @@
   void schedule_update();
   /// Writes a draft, with the key of the request that made it, and publishes it. Throws
   /// journal::JournalError.
-  void commit(const releases::Draft& draft, std::optional<journal::RequestKey> key = {});
+  void commit(const releases::Draft& draft, std::optional<journal::IdempotencyKey> key = {});
   /// Delays what is published from here on.
   void set_publish_delay(Duration delay) { publish_delay_ = delay; }
 
@@ -73,7 +73,7 @@
   void restore();
   void update(Scope scope);
   PendingChanges pending_changes() const;
-  void commit(std::vector<releases::Draft> drafts, std::optional<journal::RequestKey> key);
+  void commit(std::vector<releases::Draft> drafts, std::optional<journal::IdempotencyKey> key);
   void publish(objects::Event event);
 
   net::Loop& loop_;
--- a/src/controller/release_routes.cpp
+++ b/src/controller/release_routes.cpp
@@ -86,7 +86,7 @@
 // False when it was a dry run, which is answered here.
 bool ReleaseRoutes::commit_unless_dry_run(const ApiRequest& request,
                                           const releases::ChangeResult& result,
-                                          std::optional<journal::RequestKey> key) {
+                                          std::optional<journal::IdempotencyKey> key) {
   if (is_dry_run(request)) {
     if (result.draft)
       request.exchange->answer(object_response(*releases::make_snapshot(result.draft->release),
--- a/src/controller/release_routes.h
+++ b/src/controller/release_routes.h
@@ -50,7 +50,7 @@
   void watch(const ApiRequest& request, objects::Selector selector);
   void respond(const ApiRequest& request, const releases::ChangeResult& result);
   bool commit_unless_dry_run(const ApiRequest& request, const releases::ChangeResult& result,
-                             std::optional<journal::RequestKey> key = {});
+                             std::optional<journal::IdempotencyKey> key = {});
   void submit(const releases::Draft& draft, const std::string& author);
 
   Dependencies deps_;
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -287,12 +287,12 @@
   return query.integer(0);
 }
 
-std::optional<RequestKey> Journal::find_request_key(const std::string& key) const {
+std::optional<IdempotencyKey> Journal::find_idempotency_key(const std::string& key) const {
   Query query(database_, "SELECT digest, name FROM requests WHERE key = ?");
   query.bind(key);
   if (!query.next_row())
     return {};
-  return RequestKey{key, query.text(0), query.text(1)};
+  return IdempotencyKey{key, query.text(0), query.text(1)};
 }
 
 void Journal::set_state(const std::string& key, const std::string& value) {
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -58,7 +58,7 @@
 };
 
 /// The idempotency key of a request that created an object.
-struct RequestKey {
+struct IdempotencyKey {
   std::string key{};
   std::string digest{};  ///< Digest of the request's body.
   std::string name{};    ///< Name of the created object.
@@ -107,7 +107,7 @@
   /// written in one transaction.
   struct Commit {
     std::vector<ObjectChange> changes{};
-    std::optional<RequestKey> key{};
+    std::optional<IdempotencyKey> key{};
     std::optional<StateValue> state{};
   };
   /// Writes a commit. Deletes all but the last `max_changes` changes, and, if the commit has a key,
@@ -116,7 +116,7 @@
   std::map<std::string, std::string> objects() const;  ///< The bodies of the objects, by name.
   std::vector<ObjectChange> changes() const;           ///< Oldest first.
   std::int64_t object_version() const;                 ///< The version of the last change.
-  std::optional<RequestKey> find_request_key(const std::string& key) const;
+  std::optional<IdempotencyKey> find_idempotency_key(const std::string& key) const;
 
   void set_state(const std::string& key, const std::string& value);
   std::optional<std::string> state(const std::string& key) const;
