--- a/bench/api_bench.cpp
+++ b/bench/api_bench.cpp
@@ -122,7 +122,7 @@
       http::Request request;
       request.target = "/v1/releases?watch=1";
       stream->start(
-          request, http::StreamClient::SilenceLimits{100s, 100s},
+          request, http::StreamClient::InactivityLimits{100s, 100s},
           [&](std::string& body) {
             for (std::size_t end; (end = body.find('\n')) != std::string::npos;
                  body.erase(0, end + 1)) {
--- a/src/controller/idempotent_creation.h
+++ b/src/controller/idempotent_creation.h
@@ -12,11 +12,11 @@
 
 /// The key of a creation request, with a digest of the body; no value if the request has no key.
 /// Throws ApiError.
-std::optional<journal::RequestKey> idempotency_key(const ApiRequest& request);
+std::optional<journal::IdempotencyKey> idempotency_key(const ApiRequest& request);
 
 /// The response to a request whose key was used before; no value if it was not. Throws ApiError if
 /// the key was used with a different body. The journal may be null.
-std::optional<http::Response> replay(const ApiRequest& request, const journal::RequestKey& key,
+std::optional<http::Response> replay(const ApiRequest& request, const journal::IdempotencyKey& key,
                                      const journal::Journal* journal,
                                      const objects::Store& objects);
 
--- a/src/controller/release_objects.h
+++ b/src/controller/release_objects.h
@@ -53,7 +53,7 @@
   void schedule_update();
   /// Writes a draft together with the idempotency key of its request, and publishes it. Throws
   /// journal::JournalError.
-  void commit(const releases::Draft& draft, std::optional<journal::RequestKey> key = {});
+  void commit(const releases::Draft& draft, std::optional<journal::IdempotencyKey> key = {});
   /// Delays the publication of all later changes.
   void set_publish_delay(Duration delay) { publish_delay_ = delay; }
 
@@ -75,7 +75,7 @@
   void restore();
   void update(Scope scope);
   PendingChanges pending_changes() const;
-  void commit(std::vector<releases::Draft> drafts, std::optional<journal::RequestKey> key);
+  void commit(std::vector<releases::Draft> drafts, std::optional<journal::IdempotencyKey> key);
   void publish(objects::Event event);
 
   net::Loop& loop_;
--- a/src/controller/release_routes.cpp
+++ b/src/controller/release_routes.cpp
@@ -86,7 +86,7 @@
 // Commits a change and returns true, or answers a dry run and returns false.
 bool ReleaseRoutes::commit_unless_dry_run(const ApiRequest& request,
                                           const releases::ChangeResult& result,
-                                          std::optional<journal::RequestKey> key) {
+                                          std::optional<journal::IdempotencyKey> key) {
   if (is_dry_run(request)) {
     if (result.draft)
       request.exchange->answer(object_response(*releases::make_snapshot(result.draft->release),
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -6,13 +6,16 @@
 
 namespace robinhoist::http {
 
-Exchange::Exchange(std::weak_ptr<ServerConnection> connection, Request request, TimePoint at,
-                   bool first)
-    : request(std::move(request)), at(at), first(first), connection_(std::move(connection)) {}
+Exchange::Exchange(std::weak_ptr<ServerConnection> connection, Request request,
+                   TimePoint received_at, bool first_on_connection)
+    : request(std::move(request)),
+      received_at(received_at),
+      first_on_connection(first_on_connection),
+      connection_(std::move(connection)) {}
 
 Exchange::~Exchange() {
   if (!answered_)
-    answer(text_response(500, "the request got lost inside\n"));
+    answer(text_response(500, "internal error: the request was not answered\n"));
 }
 
 void Exchange::answer(Response response) {
@@ -28,7 +31,7 @@
     return;
   answered_ = true;
   if (const auto connection = connection_.lock())
-    connection->leave(true);
+    connection->close(true);
 }
 
 void Exchange::begin_stream(const Response& head) {
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -16,8 +16,9 @@
   return {text.data(), text.size()};
 }
 
-// Feeds a parser with the front of a buffer, head and body apart. In one go Beast would forget that
-// the body is over the limit, make room for all that was claimed, and read on.
+// Feeds a parser from the front of a buffer, the header section separately from the body. If both
+// were fed in one call, Beast would lose the error that the body exceeds the limit, allocate the
+// whole announced length and go on reading.
 template <class BeastParser>
 Error feed(BeastParser& parser, std::string& input, std::size_t max_body_bytes) {
   Error error;
@@ -43,9 +44,9 @@
 
 ParseError parse_error_of(const Error& error) {
   if (error == beast::error::body_limit)
-    return {413, "the body is larger than allowed"};
+    return {413, "the body exceeds the size limit"};
   if (error == beast::error::header_limit)
-    return {431, "the head is larger than allowed"};
+    return {431, "the header section exceeds the size limit"};
   if (error == beast::error::bad_version)
     return {505, "not HTTP/1.0 or HTTP/1.1"};
   return {400, error.message()};
@@ -63,7 +64,7 @@
   parser.body_limit(limits.max_body_bytes);
 }
 
-// Empty lines before a request are passed over (RFC 9112, 2.2).
+// Skips empty lines before a request (RFC 9112, 2.2).
 void skip_empty_lines(std::string& input) {
   std::size_t blank = 0;
   while (input.compare(blank, 2, "\r\n") == 0)
@@ -71,7 +72,8 @@
   input.erase(0, blank);
 }
 
-// Two readings of where a request ends (RFC 9112, 6.1) could hide another request in it.
+// Whether the end of the body can be interpreted in two ways (RFC 9112, 6.1), which would allow
+// request smuggling.
 template <class Message>
 bool length_is_ambiguous(const Message& message, bool chunked) {
   return message.count(beast::field::transfer_encoding) > 0 &&
@@ -112,8 +114,8 @@
     return ParseResult::incomplete;
   Error error = feed(*parser, input, limits_.max_body_bytes);
   if (error == beast::error::need_more) {
-    // What the parser leaves is one line without its end, of the head or before a chunk. It must
-    // not grow for ever.
+    // The unparsed rest is one incomplete line, of the header section or before a chunk. Its length
+    // is limited.
     if (input.size() <= limits_.max_header_bytes)
       return ParseResult::incomplete;
     error = beast::error::header_limit;
@@ -123,7 +125,7 @@
     return ParseResult::invalid;
   }
   if (parser->is_header_done() && length_is_ambiguous(parser->get(), parser->chunked())) {
-    error_ = {400, "where the body ends is not clear"};
+    error_ = {400, "the length of the body is ambiguous"};
     return ParseResult::invalid;
   }
   return parser->is_done() ? ParseResult::complete : ParseResult::incomplete;
@@ -195,7 +197,7 @@
     return ParseResult::invalid;
   }
   if (limits_.require_length && parser.is_header_done() && parser.need_eof()) {
-    error_ = {400, "an answer without a length"};
+    error_ = {400, "the response has no length"};
     return ParseResult::invalid;
   }
   if (!parser.is_done())
@@ -227,7 +229,8 @@
     : limits_(limits), parser_(std::make_unique<Parser>()) {
   auto& parser = parser_->beast_parser;
   parser.header_limit(static_cast<std::uint32_t>(limits.max_header_bytes));
-  // No limit on the whole body; none at all would read as less than any length (Beast 1.74).
+  // The body is unlimited. In Beast 1.74 boost::none would compare as less than any length, so the
+  // limit is the largest integer.
   parser.body_limit(std::numeric_limits<std::uint64_t>::max());
 }
 
@@ -246,7 +249,7 @@
       return ParseResult::invalid;
   }
   if (input.size() > limits_.max_header_bytes)
-    return ParseResult::invalid;  // one line without its end
+    return ParseResult::invalid;  // an incomplete line that is too long
   if (parser.is_header_done()) {
     body_ += parser.get().body();
     parser.get().body().clear();
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr std::size_t max_lateness_samples = 8192;
-constexpr long reactor_timeout_s = 3600;  // the reactor's own time-outs are not used
+constexpr long reactor_timeout_s = 3600;  // the reactor's own time-out is not used
 constexpr long nanoseconds_per_second = 1'000'000'000;
 
-// An exception of one task must not cost the others their turn: it goes to the handler that the
-// reactor gives the exceptions of its own handlers.
+// Passes an exception of a task to the error handler that the reactor uses for its own handlers, so
+// that the remaining tasks still run.
 void run_task(const Loop::Task& task) {
   try {
     task();
@@ -67,7 +67,8 @@
   arm();
 }
 
-// An alarm that is earlier than needed is left as it is: it finds nothing due and sets the next.
+// Sets the timerfd to the earliest timer. An alarm that is too early is kept: when it fires, no
+// timer is due and the alarm is set again.
 void Loop::arm() {
   if (tasks_.empty())
     return;
@@ -85,16 +86,17 @@
 void Loop::run_due_timers() {
   reset_counter(timer_fd_);
   armed_for_ = TimePoint{};
-  const TimePoint until = now();  // what falls due meanwhile waits for sockets to have their turn
+  // Timers that become due while these run are left to the next iteration, after socket handlers.
+  const TimePoint until = now();
   while (!tasks_.empty() && tasks_.begin()->first.due <= until) {
     const auto next = tasks_.extract(tasks_.begin());
-    note_lateness(next.key().due);
+    record_lateness(next.key().due);
     run_task(next.mapped());
   }
   arm();
 }
 
-void Loop::note_lateness(TimePoint due) {
+void Loop::record_lateness(TimePoint due) {
   const auto late = static_cast<std::int32_t>((now() - due).count());
   if (lateness_.size() < max_lateness_samples)
     lateness_.push_back(late);
@@ -113,8 +115,8 @@
 }
 
 void Loop::onBusy() {
-  if (before_turn_)
-    run_task(before_turn_);
+  if (before_iteration_)
+    run_task(before_iteration_);
 }
 
 void Loop::post(Task task) {
--- a/src/platform/watch.h
+++ b/src/platform/watch.h
@@ -23,7 +23,7 @@
  public:
   struct Settings {
     std::string resource{};  ///< name of what is watched, for the log
-    http::StreamClient::SilenceLimits timeouts{};
+    http::StreamClient::InactivityLimits timeouts{};
     Duration max_retry_delay{};
     unsigned seed = 1;  ///< of the jitter of retry delays
   };
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -95,7 +95,7 @@
     return parsed;
   parsed.forwarded.method = request.method;
   parsed.forwarded.target = request.target;
-  http::copy_end_to_end(request.headers, parsed.forwarded.headers);
+  http::copy_end_to_end_headers(request.headers, parsed.forwarded.headers);
   parsed.forwarded.headers.set(request_header, settings_.name + "." + std::to_string(request_id));
   parsed.forwarded.body = std::move(exchange.request.body);
   return parsed;
@@ -144,8 +144,8 @@
   if (!(info.cost_hint_ms >= 0))
     return Rejection{400, "header " + names.cost_hint + " is not a number from 0"};
   info.is_retry = headers.has(names.retry);
-  info.deadline =
-      exchange.at + from_millis(std::min(remaining_ms, max_ms)) - settings_.response_reserve;
+  info.deadline = exchange.received_at + from_millis(std::min(remaining_ms, max_ms)) -
+                  settings_.response_reserve;
   return {};
 }
 
@@ -171,7 +171,7 @@
                                        int build) const {
   http::Response response;
   response.status = from.status;
-  http::copy_end_to_end(from.headers, response.headers);
+  http::copy_end_to_end_headers(from.headers, response.headers);
   response.headers.add(endpoint_header, endpoint);
   response.headers.add(build_header, std::to_string(build));
   response.body = std::move(from.body);
