--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -15,7 +15,7 @@
 
 Exchange::~Exchange() {
   if (!answered_)
-    answer(text_response(500, "internal error: the request was not answered\n"));
+    answer(text_response(500, "the request got lost inside\n"));
 }
 
 void Exchange::answer(Response response) {
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -44,9 +44,9 @@
 
 ParseError parse_error_of(const Error& error) {
   if (error == beast::error::body_limit)
-    return {413, "the body exceeds the size limit"};
+    return {413, "the body is larger than allowed"};
   if (error == beast::error::header_limit)
-    return {431, "the header section exceeds the size limit"};
+    return {431, "the head is larger than allowed"};
   if (error == beast::error::bad_version)
     return {505, "not HTTP/1.0 or HTTP/1.1"};
   return {400, error.message()};
@@ -125,7 +125,7 @@
     return ParseResult::invalid;
   }
   if (parser->is_header_done() && length_is_ambiguous(parser->get(), parser->chunked())) {
-    error_ = {400, "the length of the body is ambiguous"};
+    error_ = {400, "where the body ends is not clear"};
     return ParseResult::invalid;
   }
   return parser->is_done() ? ParseResult::complete : ParseResult::incomplete;
@@ -197,7 +197,7 @@
     return ParseResult::invalid;
   }
   if (limits_.require_length && parser.is_header_done() && parser.need_eof()) {
-    error_ = {400, "the response has no length"};
+    error_ = {400, "an answer without a length"};
     return ParseResult::invalid;
   }
   if (!parser.is_done())
--- a/src/http/server_connection.cpp
+++ b/src/http/server_connection.cpp
@@ -133,7 +133,7 @@
     return;
   }
   if (state->cost == CloseCost::partial_request)
-    reject(503, "the server has too many connections; try again later");
+    reject(503, "no room: come again");
   close();
 }
 
@@ -244,7 +244,7 @@
 
 void ServerConnection::handle_timeout() {
   if (!closing_ && reader_.begun()) {
-    reject(408, "the request was not received in time");
+    reject(408, "the request took too long to come");
     return;
   }
   // Requests of a client that does not read its responses are not read and do not keep it
