--- a/src/policy/analysis_report.cpp
+++ b/src/policy/analysis_report.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t max_reason_length = 128;
 
-// The printf format of a reason, with at most two figures.
+// Wording of the reason; both figures go in at %.3g.
 const char* reason_format(AnalysisReason reason) {
   switch (reason) {
     case AnalysisReason::none:
@@ -20,19 +20,19 @@
     case AnalysisReason::wrong_answers:
       return "wrong answers %.3g of %.3g";
     case AnalysisReason::fleet_slowdown:
-      return "whole fleet slower at load %.3g, %.3g before the release";
+      return "whole fleet slower, load %.3g against %.3g before";
     case AnalysisReason::p99_latency:
-      return "p99 over latency objective %.3g, baseline %.3g";
+      return "p99 in latency objectives %.3g against %.3g";
     case AnalysisReason::latency:
       return "latency %.3g times the baseline's, uncertainty factor %.3g";
     case AnalysisReason::answer_rate:
-      return "answers %.3g, expected %.3g at the baseline's rate";
+      return "answers %.3g where the baseline's rate gives %.3g";
     case AnalysisReason::ageing:
-      return "only the oldest canary endpoints are unhealthy, p-value %.3g below %.3g";
+      return "only the oldest canary endpoints are unhealthy, p-value %.3g against %.3g";
     case AnalysisReason::hold:
       return "held after %.3g attempts, %.3g failed";
     case AnalysisReason::released:
-      return "analysis continues until the next build";
+      return "analysis goes on until the next build";
   }
   return "";
 }
--- a/tests/analysis_report_test.cpp
+++ b/tests/analysis_report_test.cpp
@@ -1,4 +1,4 @@
-/// The text of the analysis' log line, and when the decision engine logs one.
+/// The wording of the log line, and when the decision engine writes one.
 #include "policy/analysis_report.h"
 
 #include <gmock/gmock.h>
@@ -12,40 +12,40 @@
 using testing::ElementsAre;
 using testing::IsEmpty;
 
-struct ReasonCase {
+struct WordingCase {
   AnalysisResult result;
   const char* text;
 };
 
-class DescribeReasonTest : public testing::TestWithParam<ReasonCase> {};
+class AnalysisReportTest : public testing::TestWithParam<WordingCase> {};
 
-TEST_P(DescribeReasonTest, DescribesTheReasonWithItsFigures) {
+TEST_P(AnalysisReportTest, WordsTheReasonWithItsFigures) {
   EXPECT_EQ(describe_reason(GetParam().result), GetParam().text);
 }
 
 constexpr Verdict roll_back = Verdict::roll_back;
 INSTANTIATE_TEST_SUITE_P(
-    Reasons, DescribeReasonTest,
+    Reasons, AnalysisReportTest,
     testing::Values(
-        ReasonCase{{}, ""},
-        ReasonCase{{roll_back, AnalysisReason::failures, 4, 60}, "failures 4 of 60 attempts"},
-        ReasonCase{{roll_back, AnalysisReason::request_class_failures, 3, 20},
-                   "failures of one request class 3 of 20 attempts"},
-        ReasonCase{{roll_back, AnalysisReason::wrong_answers, 3, 1500},
-                   "wrong answers 3 of 1.5e+03"},
-        ReasonCase{{roll_back, AnalysisReason::fleet_slowdown, 2.5, 2.25},
-                   "whole fleet slower at load 2.5, 2.25 before the release"},
-        ReasonCase{{roll_back, AnalysisReason::p99_latency, 1.5, 0.5},
-                   "p99 over latency objective 1.5, baseline 0.5"},
-        ReasonCase{{roll_back, AnalysisReason::latency, 2.125, 1.25},
-                   "latency 2.12 times the baseline's, uncertainty factor 1.25"},
-        ReasonCase{{roll_back, AnalysisReason::answer_rate, 1, 8.25},
-                   "answers 1, expected 8.25 at the baseline's rate"},
-        ReasonCase{{roll_back, AnalysisReason::ageing, 0.0001, 0.001},
-                   "only the oldest canary endpoints are unhealthy, p-value 0.0001 below 0.001"},
-        ReasonCase{{Verdict::hold, AnalysisReason::hold, 4, 1}, "held after 4 attempts, 1 failed"},
-        ReasonCase{{Verdict::none, AnalysisReason::released},
-                   "analysis continues until the next build"}));
+        WordingCase{{}, ""},
+        WordingCase{{roll_back, AnalysisReason::failures, 4, 60}, "failures 4 of 60 attempts"},
+        WordingCase{{roll_back, AnalysisReason::request_class_failures, 3, 20},
+                    "failures of one request class 3 of 20 attempts"},
+        WordingCase{{roll_back, AnalysisReason::wrong_answers, 3, 1500},
+                    "wrong answers 3 of 1.5e+03"},
+        WordingCase{{roll_back, AnalysisReason::fleet_slowdown, 2.5, 2.25},
+                    "whole fleet slower, load 2.5 against 2.25 before"},
+        WordingCase{{roll_back, AnalysisReason::p99_latency, 1.5, 0.5},
+                    "p99 in latency objectives 1.5 against 0.5"},
+        WordingCase{{roll_back, AnalysisReason::latency, 2.125, 1.25},
+                    "latency 2.12 times the baseline's, uncertainty factor 1.25"},
+        WordingCase{{roll_back, AnalysisReason::answer_rate, 1, 8.25},
+                    "answers 1 where the baseline's rate gives 8.25"},
+        WordingCase{{roll_back, AnalysisReason::ageing, 0.0001, 0.001},
+                    "only the oldest canary endpoints are unhealthy, p-value 0.0001 against 0.001"},
+        WordingCase{{Verdict::hold, AnalysisReason::hold, 4, 1}, "held after 4 attempts, 1 failed"},
+        WordingCase{{Verdict::none, AnalysisReason::released},
+                    "analysis goes on until the next build"}));
 
 AnalysisReport report_on(Verdict verdict, const ReleaseUpdate& release) {
   return {{verdict, AnalysisReason::failures, 4, 60}, release};
@@ -91,7 +91,7 @@
     return settings;
   }
 
-  // The lines logged within half a second.
+  // The log lines of half a second.
   std::vector<std::string> log_lines() {
     std::vector<std::string> lines;
     for (int step = 0; step < 10; ++step) {
