--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -28,8 +28,8 @@
     case ClientResult::unreached:
       ++counts.unreached;
       break;
-    case ClientResult::left:
-      ++counts.left;
+    case ClientResult::client_disconnected:
+      ++counts.client_disconnected;
       break;
     case ClientResult::lost:
       ++counts.lost;
@@ -43,7 +43,7 @@
     count_result(request.result, report.requests);
     if (request.result != ClientResult::succeeded)
       continue;
-    report.requests.wrong += request.right ? 0 : 1;
+    report.requests.wrong += request.correct ? 0 : 1;
     report.request_classes[request.request_class].latencies_ms.push_back(
         static_cast<double>((request.ended - request.sent).count()) / 1e3);
   }
@@ -64,7 +64,7 @@
     const auto [first, is_new] = outcomes.first.emplace(request.first_id, &request);
     if (!is_new && request.sent < first->second->sent)
       first->second = &request;
-    if (request.result != ClientResult::succeeded || !request.right)
+    if (request.result != ClientResult::succeeded || !request.correct)
       continue;
     const auto [success, is_first] = outcomes.first_success.emplace(request.first_id, &request);
     if (!is_first && request.ended < success->second->ended)
@@ -92,14 +92,14 @@
 
 }  // namespace
 
-void RuleReport::add_breach(const std::string& what) {
-  if (broken++ == 0)
-    first_breach = what;
+void RuleReport::add_violation(const std::string& what) {
+  if (violations++ == 0)
+    first_violation = what;
 }
 
-bool Report::kept() const {
-  return steps.kept() && std::all_of(rules.begin(), rules.end(),
-                                     [](const RuleReport& rule) { return rule.kept(); });
+bool Report::passed() const {
+  return steps.passed() && std::all_of(rules.begin(), rules.end(),
+                                       [](const RuleReport& rule) { return rule.passed(); });
 }
 
 Report audit(const std::string& folder) {
--- a/src/audit/audit.h
+++ b/src/audit/audit.h
@@ -17,13 +17,13 @@
 struct RuleReport {
   const char* name = "";
   long checked = 0;
-  long broken = 0;
+  long violations = 0;
   long excused = 0;  ///< cases that the rule allows, such as requests lost with a killed proxy
-  std::string first_breach{};  ///< in words
+  std::string first_violation{};  ///< in words
 
-  bool kept() const { return broken == 0; }
+  bool passed() const { return violations == 0; }
   /// Counts a breach; the first one is kept in words.
-  void add_breach(const std::string& what);
+  void add_violation(const std::string& what);
 };
 
 /// The five rules, as places in Report::rules.
@@ -46,7 +46,7 @@
   long rejected_before_routing = 0;
   long unreached = 0;
   long lost = 0;
-  long left = 0;  ///< whose client left first
+  long client_disconnected = 0;  ///< whose client left first
 };
 
 struct Report {
@@ -66,7 +66,7 @@
 
   RuleReport& rule(Rule rule) { return rules[static_cast<std::size_t>(rule)]; }
   /// Whether all five rules hold, and the order of the steps.
-  bool kept() const;
+  bool passed() const;
 };
 
 /// Audits the record in a folder. Throws json::DecodeError, with file and line, when it cannot be
--- a/src/audit/event_reader.cpp
+++ b/src/audit/event_reader.cpp
@@ -34,7 +34,7 @@
     return ClientResult::rejected_before_routing;
   if (name == "unreached")
     return ClientResult::unreached;
-  return name == "left" ? ClientResult::left : ClientResult::lost;
+  return name == "left" ? ClientResult::client_disconnected : ClientResult::lost;
 }
 
 class EventReader {
@@ -77,7 +77,7 @@
     request.request_class = json::integer(line, "product", 0, last_class);
     request.result_name = json::text(line, "end");
     request.result = result_of(request.result_name);
-    request.right = json::boolean(line, "right");
+    request.correct = json::boolean(line, "right");
     request.poison = json::boolean(line, "poison");
     events_.requests.push_back(std::move(request));
   }
--- a/src/audit/events.h
+++ b/src/audit/events.h
@@ -16,8 +16,8 @@
   failed,
   rejected_before_routing,
   unreached,
-  left,  ///< the client left first
-  lost   ///< anything else: no answer came
+  client_disconnected,  ///< the client left first
+  lost                  ///< anything else: no answer came
 };
 
 /// One attempt of a client.
@@ -31,7 +31,7 @@
   ClientResult result;
   std::string result_name;  ///< the record's word for it
   int request_class;
-  bool right;
+  bool correct;
   bool poison;  ///< fails wherever it goes
 };
 
@@ -116,7 +116,7 @@
   int build;
   int stage;
   std::string phase;
-  std::string why;
+  std::string reason;
 };
 
 /// All events of a record, each kind in the order of time.
--- a/src/audit/report_text.cpp
+++ b/src/audit/report_text.cpp
@@ -18,15 +18,15 @@
 }
 
 std::string breaches(const RuleReport& rule) {
-  if (rule.kept())
+  if (rule.passed())
     return "\n";
-  return ": " + std::to_string(rule.broken) + " times, first: " + rule.first_breach + "\n";
+  return ": " + std::to_string(rule.violations) + " times, first: " + rule.first_violation + "\n";
 }
 
 std::string rule_line(std::size_t number, const RuleReport& rule) {
   std::array<char, max_line> text{};
   std::snprintf(text.data(), text.size(), "rule %zu %-24s %s (%ld checked", number, rule.name,
-                rule.kept() ? "kept" : "BROKEN", rule.checked);
+                rule.passed() ? "kept" : "BROKEN", rule.checked);
   std::string line = text.data();
   if (rule.excused > 0) {
     line += ", ";
@@ -39,7 +39,7 @@
 }
 
 std::string steps_line(const RuleReport& steps) {
-  return std::string(steps.name) + (steps.kept() ? " kept (" : " BROKEN (") +
+  return std::string(steps.name) + (steps.passed() ? " kept (" : " BROKEN (") +
          std::to_string(steps.checked) + " runs at the database)" + breaches(steps);
 }
 
@@ -50,7 +50,8 @@
       "asked %ld, tries %ld: settled %ld (wrong %ld), declined %ld, voided %ld, not taken "
       "%ld, unreached %ld, lost with an umpire %ld, left %ld\n",
       counts.requested, counts.attempts, counts.succeeded, counts.wrong, counts.rejected,
-      counts.failed, counts.rejected_before_routing, counts.unreached, counts.lost, counts.left);
+      counts.failed, counts.rejected_before_routing, counts.unreached, counts.lost,
+      counts.client_disconnected);
   return text.data();
 }
 
@@ -78,7 +79,7 @@
 
 std::string release_line(const ReleaseChange& change) {
   return "build " + std::to_string(change.build) + " wave " + std::to_string(change.stage) + " " +
-         change.phase + " at " + to_text(change.at) + ": " + change.why + "\n";
+         change.phase + " at " + to_text(change.at) + ": " + change.reason + "\n";
 }
 
 }  // namespace
--- a/src/audit/rules_endpoints.cpp
+++ b/src/audit/rules_endpoints.cpp
@@ -92,7 +92,8 @@
   for (const AttemptArrival& arrival : events.arrivals) {
     if (arrival.at > collapse.at)
       break;
-    if (arrival.server != collapse.server || arrival.at <= collapse.at - events.meta.fall_window)
+    if (arrival.server != collapse.server ||
+        arrival.at <= collapse.at - events.meta.collapse_window)
       continue;
     const auto* known = proxies.at(arrival.proxy, arrival.at).find(collapse.server);
     work.all += arrival.work;
@@ -112,9 +113,9 @@
     if (!known || known->phase == "in")
       continue;
     if (arrival.at > known->since + events.meta.drain_grace + uncertainty)
-      report.add_breach(arrival.proxy + " sent new work to " + arrival.server + " at " +
-                        to_text(arrival.at) + ", told at " + to_text(known->since) +
-                        " that it is " + known->phase);
+      report.add_violation(arrival.proxy + " sent new work to " + arrival.server + " at " +
+                           to_text(arrival.at) + ", told at " + to_text(known->since) +
+                           " that it is " + known->phase);
   }
 }
 
@@ -124,9 +125,10 @@
     const WindowWork work = work_before(events, collapse);
     const bool caused_by_notified = 3 * work.from_notified >= 2 * work.all;
     if (caused_by_notified)
-      report.add_breach(collapse.server + " fell over at " + to_text(collapse.at) + ", " +
-                        to_text(work.all) + " of work in its last window, " +
-                        to_text(work.from_notified) + " of it from umpires that knew of its start");
+      report.add_violation(collapse.server + " fell over at " + to_text(collapse.at) + ", " +
+                           to_text(work.all) + " of work in its last window, " +
+                           to_text(work.from_notified) +
+                           " of it from umpires that knew of its start");
     else
       ++report.excused;
   }
--- a/src/audit/rules_quota.cpp
+++ b/src/audit/rules_quota.cpp
@@ -141,9 +141,9 @@
     if (arrival.request_class < 0 || binding.stage >= meta.safe_only_stages ||
         meta.request_classes[arrival.request_class].idempotency == Idempotency::idempotent)
       return;
-    report_.add_breach(proxy_ + " sent a txn with an effect to build " +
-                       std::to_string(arrival.build) + " at " + to_text(arrival.at) + ", in wave " +
-                       std::to_string(binding.stage));
+    report_.add_violation(proxy_ + " sent a txn with an effect to build " +
+                          std::to_string(arrival.build) + " at " + to_text(arrival.at) +
+                          ", in wave " + std::to_string(binding.stage));
   }
 
   void check_count(const AttemptArrival& arrival, const Binding& binding, double cap,
@@ -153,21 +153,21 @@
         meta.by_request_class ? std::max(0, arrival.request_class) : all_classes;
     Times& sent = sent_[{arrival.build, request_class}];
     sent.push_back(arrival.at);
-    TimePoint from = arrival.at - meta.window + uncertainty;
+    TimePoint from = arrival.at - meta.quota_window + uncertainty;
     if (binding.lowered_at >= TimePoint{} && !in_grace)
       from = std::max(from, binding.lowered_at + meta.drain_grace);
     const auto count =
         static_cast<double>(sent.end() - std::upper_bound(sent.begin(), sent.end(), from));
     const double accepted = accepted_in_window(request_class, arrival.at);
-    const double allowed = meta.free + cap * accepted;
+    const double allowed = meta.free_requests + cap * accepted;
     if (cap > 0 && !in_grace)
       max_use_ = std::max(max_use_, count / std::max(1.0, allowed));
     if (count > allowed + rounding)
-      report_.add_breach(proxy_ + " sent " + std::to_string(static_cast<long>(count)) +
-                         " submissions to build " + std::to_string(arrival.build) +
-                         " in the window up to " + to_text(arrival.at) + ", allowed are " +
-                         std::to_string(meta.free) + " and " + std::to_string(cap) + " of " +
-                         std::to_string(static_cast<long>(accepted)) + " txns");
+      report_.add_violation(proxy_ + " sent " + std::to_string(static_cast<long>(count)) +
+                            " submissions to build " + std::to_string(arrival.build) +
+                            " in the window up to " + to_text(arrival.at) + ", allowed are " +
+                            std::to_string(meta.free_requests) + " and " + std::to_string(cap) +
+                            " of " + std::to_string(static_cast<long>(accepted)) + " txns");
   }
 
   double accepted_in_window(int request_class, TimePoint to) const {
@@ -175,7 +175,7 @@
       return 0;
     const Times& times =
         request_class == all_classes ? accepted_.all : accepted_.by_class[request_class];
-    const TimePoint from = to - events_.meta.window - uncertainty;
+    const TimePoint from = to - events_.meta.quota_window - uncertainty;
     return static_cast<double>(std::upper_bound(times.begin(), times.end(), to + uncertainty) -
                                std::lower_bound(times.begin(), times.end(), from));
   }
--- a/src/audit/rules_requests.cpp
+++ b/src/audit/rules_requests.cpp
@@ -43,17 +43,18 @@
   ++report.checked;
   if (is_answer(request.result)) {
     if (request.ended > request.deadline + events.meta.answer_slack)
-      report.add_breach(describe(events, request) + " was " + request.result_name + " " +
-                        to_text(request.ended - request.deadline) + " after its client's time");
+      report.add_violation(describe(events, request) + " was " + request.result_name + " " +
+                           to_text(request.ended - request.deadline) + " after its client's time");
     return;
   }
-  if (request.result == ClientResult::left || request.result == ClientResult::unreached)
+  if (request.result == ClientResult::client_disconnected ||
+      request.result == ClientResult::unreached)
     return;
   if (interrupted(events, request.proxy, request.sent - uncertainty, request.ended + uncertainty))
     ++report.excused;
   else
-    report.add_breach(describe(events, request) + " got no answer: " + request.result_name +
-                      " after " + to_text(request.ended - request.sent));
+    report.add_violation(describe(events, request) + " got no answer: " + request.result_name +
+                         " after " + to_text(request.ended - request.sent));
 }
 
 void check_nothing_after_answer(const Events& events, const ClientRequest& request,
@@ -64,9 +65,9 @@
     return arrival->at > request.ended + uncertainty;
   });
   if (late != arrivals.end())
-    report.add_breach(describe(events, request) + " was " + request.result_name + " at " +
-                      to_text(request.ended) + " and still sent to " + (*late)->server + " at " +
-                      to_text((*late)->at));
+    report.add_violation(describe(events, request) + " was " + request.result_name + " at " +
+                         to_text(request.ended) + " and still sent to " + (*late)->server + " at " +
+                         to_text((*late)->at));
 }
 
 bool in_dedup_scope(const Events& events, DedupScope scope, const AttemptArrival& first,
@@ -100,8 +101,8 @@
   const auto& request_class = events.meta.request_classes[request.request_class];
   ++report.checked;
   if (request.result == ClientResult::rejected_before_routing) {
-    report.add_breach(describe(events, request) + " was not taken, yet sent to " +
-                      arrivals.front()->server);
+    report.add_violation(describe(events, request) + " was not taken, yet sent to " +
+                         arrivals.front()->server);
     return;
   }
   if (request_class.idempotency == Idempotency::idempotent)
@@ -111,7 +112,7 @@
     if (ran) {
       const std::string breach = second_effect(events, request_class, *ran, *arrival);
       if (!breach.empty()) {
-        report.add_breach(describe(events, request) + breach);
+        report.add_violation(describe(events, request) + breach);
         return;
       }
     } else if (!arrival->refused) {
@@ -121,8 +122,8 @@
   const bool client_may_retry = request_class.idempotency != Idempotency::non_idempotent &&
                                 request_class.dedup_scope == DedupScope::all;
   if (ran && request.result == ClientResult::rejected && !client_may_retry)
-    report.add_breach(describe(events, request) + " was declined though it may have run at " +
-                      ran->server);
+    report.add_violation(describe(events, request) + " was declined though it may have run at " +
+                         ran->server);
 }
 
 // Servers remember keys against a second effect: no request may have two.
@@ -147,8 +148,8 @@
                        Idempotency::idempotent_with_key;
     const auto [first, is_first] = first_effects.emplace(keyed ? of.first_id : of.id, effect.at);
     if (!is_first)
-      report.add_breach(describe(events, of) + " had an effect at " + to_text(first->second) +
-                        " and again at " + to_text(effect.at));
+      report.add_violation(describe(events, of) + " had an effect at " + to_text(first->second) +
+                           " and again at " + to_text(effect.at));
   }
 }
 
@@ -159,15 +160,15 @@
   std::set<long> seen;
   for (const ClientRequest& request : events.requests) {
     if (!seen.insert(request.id).second)
-      report.add_breach(describe(events, request) + " had two final answers");
+      report.add_violation(describe(events, request) + " had two final answers");
     check_answer(events, request, report);
     const auto sent = arrivals.find(request.id);
     if (sent != arrivals.end())
       check_nothing_after_answer(events, request, sent->second, report);
   }
   for (const auto& [proxy, count] : events.unsolicited)
-    report.add_breach(proxy + " sent " + std::to_string(count) +
-                      " answers that no client waited for");
+    report.add_violation(proxy + " sent " + std::to_string(count) +
+                         " answers that no client waited for");
 }
 
 void check_no_effect_twice(const Events& events, RuleReport& report) {
--- a/src/audit/rules_steps.cpp
+++ b/src/audit/rules_steps.cpp
@@ -28,8 +28,8 @@
 
 void check_steps(const Events& events, RuleReport& report) {
   for (const UnreadyAnswer& answer : events.unready_answers)
-    report.add_breach(answer.server + " answered at " + to_text(answer.at) +
-                      " without the tables that its build needs");
+    report.add_violation(answer.server + " answered at " + to_text(answer.at) +
+                         " without the tables that its build needs");
   const std::vector<std::string>& order = events.meta.steps;
   std::map<std::string, std::size_t> positions;
   for (std::size_t i = 0; i < order.size(); ++i)
@@ -39,7 +39,7 @@
     ++report.checked;
     const auto found = positions.find(run.step);
     if (found == positions.end()) {
-      report.add_breach(describe(run, "", ", which is in no plan"));
+      report.add_violation(describe(run, "", ", which is in no plan"));
       continue;
     }
     const std::size_t position = found->second;
@@ -48,10 +48,10 @@
       continue;
     }
     if (applied.count(position) > 0)
-      report.add_breach(describe(run, " twice, again", ""));
+      report.add_violation(describe(run, " twice, again", ""));
     const std::string missing = missing_before(order, position, applied);
     if (!missing.empty())
-      report.add_breach(describe(run, "", ", before " + missing));
+      report.add_violation(describe(run, "", ", before " + missing));
     if (run.done)
       applied.insert(position);
   }
--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -50,7 +50,7 @@
   std::ostringstream text;
   text << in.rdbuf();
   const day::Scenario base = day::read(settings::SexpReader::from_text(text.str(), options.file));
-  if (const std::string reason = emulator::why_not(base); !reason.empty())
+  if (const std::string reason = emulator::unsupported_reason(base); !reason.empty())
     throw std::runtime_error(options.file + ": cannot be emulated: " + reason);
   settings.jobs = options.jobs;
   const auto print = [](const lab::FaultSearchResult& result) {
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -52,7 +52,7 @@
   try {
     robinhoist::audit::Report report = robinhoist::audit::audit(folder);
     std::cout << robinhoist::audit::to_text(report);
-    return report.kept() ? 0 : 1;
+    return report.passed() ? 0 : 1;
   } catch (const robinhoist::json::DecodeError& error) {
     std::cerr << error.what() << "\n";
     return 2;
@@ -76,7 +76,7 @@
   const double elapsed =
       std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   const int status = folder.empty() ? 0 : audit(folder);
-  std::vector<double> ms = summary.took_ms;
+  std::vector<double> ms = summary.latencies_ms;
   std::sort(ms.begin(), ms.end());
   const auto percentile = [&](double p) {
     return ms.empty() ? 0 : ms[static_cast<std::size_t>(p * static_cast<double>(ms.size() - 1))];
@@ -84,9 +84,9 @@
   std::printf(
       "tries %ld: settled %ld (wrong %ld), declined %ld, voided %ld, unreached %ld, broken %ld; "
       "revenue %.1f%%; p50 %.1f ms, p99 %.1f ms\n",
-      summary.tries, summary.succeeded, summary.wrong, summary.rejected, summary.failed,
-      summary.unreached, summary.broken,
-      summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 0,
+      summary.client_attempts, summary.succeeded, summary.wrong, summary.rejected, summary.failed,
+      summary.unreached, summary.connection_lost,
+      summary.weight_offered > 0 ? 100 * summary.weight_in_time / summary.weight_offered : 0,
       percentile(0.5), percentile(0.99));
   std::printf(
       "%.1f s of one core: %.2f million events a second, %ld decisions, %.1f simulated seconds a "
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -44,7 +44,7 @@
 }
 
 void Clients::set_proxy_up(int number, bool up) {
-  load_.proxy(number, up, now());
+  load_.set_proxy_up(number, up, now());
 }
 
 void Clients::begin_fault(const Fault& fault) {
@@ -54,8 +54,8 @@
   const auto& deployment = scenario_.deployment;
   switch (fault.kind) {
     case FaultKind::burst:
-      load_.burst(fault.magnitude);
-      at_end([this] { load_.burst(1); });
+      load_.set_rate_factor(fault.magnitude);
+      at_end([this] { load_.set_rate_factor(1); });
       break;
     case FaultKind::hot_caller: {
       std::vector<int> chosen;
@@ -63,17 +63,19 @@
           std::max(1, static_cast<int>(fault.target_share * deployment.proxies + 0.5));
       for (int i = 0; i < count; ++i)
         chosen.push_back((i * 7 + 1) % deployment.proxies);  // spread over the zones
-      load_.hot(chosen, fault.magnitude);
-      at_end([this] { load_.hot({}, 0); });
+      load_.concentrate_on_proxies(chosen, fault.magnitude);
+      at_end([this] { load_.concentrate_on_proxies({}, 0); });
       break;
     }
     case FaultKind::bad_requests:
-      load_.poison(fault.tenant.empty() ? -1 : deployment.tenant(fault.tenant), fault.magnitude);
-      at_end([this] { load_.poison(-1, 0); });
+      load_.set_poison_share(fault.tenant.empty() ? -1 : deployment.tenant(fault.tenant),
+                             fault.magnitude);
+      at_end([this] { load_.set_poison_share(-1, 0); });
       break;
     case FaultKind::retry_abuse:
-      load_.abuse(deployment.tenant(fault.tenant), static_cast<int>(fault.magnitude), fault.extra);
-      at_end([this] { load_.abuse(-1, 0, 1); });
+      load_.set_retry_abuse(deployment.tenant(fault.tenant), static_cast<int>(fault.magnitude),
+                            fault.extra);
+      at_end([this] { load_.set_retry_abuse(-1, 0, 1); });
       break;
     default:
       break;  // a fault of the servers, the controller or the proxies
@@ -90,7 +92,7 @@
     timer_ = loop_.at(loop_time(*at), [this] { send_due(); });
 }
 
-void Clients::send(const load::Try& client_try) {
+void Clients::send(const load::ClientAttempt& client_try) {
   const auto& request_class = scenario_.deployment.request_classes[client_try.request_class];
   const deployment::Match& match = request_class.matches.front();
   http::Request request;
@@ -98,7 +100,7 @@
   request.target = match.prefix ? match.path + "?n=" + std::to_string(client_try.id) : match.path;
   request.headers.add("X-Try", std::to_string(client_try.id));
   request.headers.add("X-Work-Us", std::to_string(client_try.work.count()));
-  const Duration left = client_try.until - now();
+  const Duration left = client_try.deadline - now();
   request.headers.add(
       "X-Remaining-Ms",
       std::to_string(static_cast<double>(std::max(Duration(1), left).count()) / 1e3));
@@ -109,7 +111,7 @@
   if (client_try.poison)
     request.headers.add("X-Poison", "1");
   if (request.method != "GET")
-    request.body = "{\"txn\":" + std::to_string(client_try.first) + "}";
+    request.body = "{\"txn\":" + std::to_string(client_try.first_id) + "}";
   // The client waits longer than it announced, so that responses past the deadline are recorded.
   const auto call = service_pools_[client_try.proxy]->call(
       request, std::max(Duration(1), left) + 2 * scenario_.answer_slack,
@@ -117,9 +119,9 @@
         finish(client_try, result, response);
       });
   calls_[client_try.id] = {client_try.proxy, call};
-  if (client_try.leaves == TimePoint{})
+  if (client_try.disconnects_at == TimePoint{})
     return;
-  loop_.at(loop_time(client_try.leaves), [this, client_try] {
+  loop_.at(loop_time(client_try.disconnects_at), [this, client_try] {
     auto at = calls_.find(client_try.id);
     if (at == calls_.end())
       return;
@@ -128,51 +130,52 @@
   });
 }
 
-void Clients::finish(const load::Try& client_try, http::CallResult result,
+void Clients::finish(const load::ClientAttempt& client_try, http::CallResult result,
                      const http::Response& response) {
   if (calls_.erase(client_try.id) == 0)
     return;
-  load::End end = load::End::broken;
+  load::ClientResult end = load::ClientResult::connection_lost;
   const std::string_view outcome = response.headers.get("Robinhoist-Outcome");
   if (http::proves_not_sent(result))
-    end = load::End::unreached;
+    end = load::ClientResult::unreached;
   if (result == http::CallResult::timed_out)
-    end = load::End::timed_out;
+    end = load::ClientResult::timed_out;
   if (result == http::CallResult::cancelled)
-    end = load::End::left;
+    end = load::ClientResult::client_disconnected;
   if (result == http::CallResult::answered)
-    end = outcome == "settled"    ? load::End::succeeded
-          : outcome == "declined" ? load::End::rejected
-          : outcome == "voided"   ? load::End::failed
-                                  : load::End::rejected_before_routing;
+    end = outcome == "settled"    ? load::ClientResult::succeeded
+          : outcome == "declined" ? load::ClientResult::rejected
+          : outcome == "voided"   ? load::ClientResult::failed
+                                  : load::ClientResult::rejected_before_routing;
   bool right = true;
-  if (end == load::End::succeeded && response.body.find("\"right\":false") != std::string::npos)
+  if (end == load::ClientResult::succeeded &&
+      response.body.find("\"right\":false") != std::string::npos)
     right = false;
   const std::string node(response.headers.get("Robinhoist-Node"));
   auto pause =
       settings::parse_number(std::string(response.headers.get("Robinhoist-Retry-After-Ms")));
   const std::string proxy = "umpire-" + std::to_string(client_try.proxy);
-  record::tried(
+  record::client_attempt_ended(
       record_,
-      {.from = loop_time(client_try.at),
-       .to = loop_.now(),
-       .until = loop_time(client_try.until),
+      {.sent = loop_time(client_try.at),
+       .ended = loop_.now(),
+       .deadline = loop_time(client_try.deadline),
        .id = client_try.id,
-       .first = client_try.first,
+       .first_id = client_try.first_id,
        .number = client_try.number,
        .request_class = client_try.request_class,
        .tenant = client_try.tenant,
        .proxy = proxy,
        .key = client_try.key,
        .poison = client_try.poison,
-       .end = load::to_string(end),
+       .result = load::to_string(end),
        .status = response.status,
-       .why = response.headers.get("Robinhoist-Why"),
+       .reason = response.headers.get("Robinhoist-Why"),
        .endpoint = node,
        .build = settings::parse_number(std::string(response.headers.get("Robinhoist-Build")))
                     .value_or(-1),
-       .right = right});
-  if (end == load::End::succeeded) {
+       .correct = right});
+  if (end == load::ClientResult::succeeded) {
     const double random = std::uniform_real_distribution<double>(0, 1)(random_);
     if (random <
         (right ? scenario_.false_report_share : scenario_.deployment.wrong_answer_report_share))
@@ -182,7 +185,7 @@
                            (scenario_.max_report_delay - scenario_.min_report_delay).count() / 1e6),
           [this, proxy = client_try.proxy, node] { report_wrong_answer(proxy, node); });
   }
-  load_.ended(client_try.id, end, pause ? from_seconds(*pause / 1e3) : Duration{}, now());
+  load_.attempt_ended(client_try.id, end, pause ? from_seconds(*pause / 1e3) : Duration{}, now());
   send_due();
 }
 
@@ -197,12 +200,12 @@
 void Clients::record_unsolicited() {
   for (std::size_t proxy = 0; proxy < service_pools_.size(); ++proxy)
     if (service_pools_[proxy]->unsolicited() > 0)
-      record_.line(json::Writer()
-                       .begin_object()
-                       .put("unasked", service_pools_[proxy]->unsolicited())
-                       .put("umpire", "umpire-" + std::to_string(proxy))
-                       .end_object()
-                       .text());
+      record_.write_line(json::Writer()
+                             .begin_object()
+                             .put("unasked", service_pools_[proxy]->unsolicited())
+                             .put("umpire", "umpire-" + std::to_string(proxy))
+                             .end_object()
+                             .text());
 }
 
 }  // namespace robinhoist::day
--- a/src/day/clients.h
+++ b/src/day/clients.h
@@ -26,7 +26,7 @@
   Clients(net::Loop& loop, const Scenario& scenario, unsigned salt,
           const std::vector<ProxyPorts>& proxies, record::Writer& record);
   void start(TimePoint start_time);
-  bool over() const { return load_.over(); }
+  bool over() const { return load_.is_finished(); }
   std::size_t open() const { return load_.open(); }
   void set_proxy_up(int number, bool up);
   /// Records second responses and other unsolicited bytes, which are violations. To be called at
@@ -35,8 +35,9 @@
 
  private:
   void send_due();
-  void send(const load::Try& client_try);
-  void finish(const load::Try& client_try, http::CallResult result, const http::Response& response);
+  void send(const load::ClientAttempt& client_try);
+  void finish(const load::ClientAttempt& client_try, http::CallResult result,
+              const http::Response& response);
   void begin_fault(const Fault& fault);
   void report_wrong_answer(int proxy, const std::string& node);
   /// The load's clock starts at the scenario's start.
@@ -47,7 +48,7 @@
 
   net::Loop& loop_;
   const Scenario& scenario_;
-  load::Load load_;
+  load::LoadGenerator load_;
   std::minstd_rand random_;
   record::Writer& record_;
   std::vector<std::unique_ptr<http::ConnectionPool>> service_pools_{}, admin_pools_{};  // by proxy
--- a/src/day/environment.cpp
+++ b/src/day/environment.cpp
@@ -103,8 +103,8 @@
           .voted =
               [this](const std::string& proxy, int build, int stage, Verdict verdict,
                      Outcome outcome) {
-                record::voted(proxy_updates_, loop_.now(), proxy, build, stage,
-                              rollout::api_name(verdict), rollout::api_name(outcome));
+                record::vote_received(proxy_updates_, loop_.now(), proxy, build, stage,
+                                      rollout::api_name(verdict), rollout::api_name(outcome));
               }});
   controller_port_ = controller_->port();
   recorded_changes_ = 0;
@@ -385,7 +385,7 @@
   double factor = 1;
   for (const ScheduledRelease& release : scenario_.releases)
     if (release.build.flaw == machine::Flaw::shared)
-      factor += (release.build.strength - 1) * servers_->share_of_traffic(release.build.number, 1s);
+      factor += (release.build.severity - 1) * servers_->share_of_traffic(release.build.number, 1s);
   // While the database runs migration steps all servers wait for it, by the share of the last
   // tenth of a second in which it was busy.
   if (database_) {
@@ -409,13 +409,13 @@
   const auto& changes = controller_->rollout().changes();
   for (; recorded_changes_ < changes.size(); ++recorded_changes_) {
     const rollout::Change& change = changes[recorded_changes_];
-    record::release_moved(proxy_updates_, change.at, change.build, change.stage,
-                          rollout::api_name(change.phase), change.why);
+    record::release_changed(proxy_updates_, change.at, change.build, change.stage,
+                            rollout::api_name(change.phase), change.why);
   }
 }
 
 void Environment::record_endpoint_update(const std::string& proxy, const registry::Update& update) {
-  record::told_list(proxy_updates_, loop_.now(), proxy, update.entries, update.complete);
+  record::endpoints_notified(proxy_updates_, loop_.now(), proxy, update.entries, update.complete);
 }
 
 // A proxy goes by the newest release that has begun; updates of older ones have no effect on it.
@@ -427,8 +427,8 @@
   if (!status.phase || release.build < newest)
     return;
   newest = release.build;
-  record::told_news(proxy_updates_, loop_.now(), proxy, release.build, status.stage,
-                    rollout::api_name(*status.phase), status.cap);
+  record::release_notified(proxy_updates_, loop_.now(), proxy, release.build, status.stage,
+                           rollout::api_name(*status.phase), status.cap);
 }
 
 }  // namespace robinhoist::day
--- a/src/day/scenario.cpp
+++ b/src/day/scenario.cpp
@@ -136,7 +136,7 @@
                                              {"ramp", load::Shape::ramp},
                                              {"bursty", load::Shape::bursty}},
                                             load::Shape::steady);
-  load.swing = form.number("swing", 0, 0.95, 0.0);
+  load.amplitude = form.number("swing", 0, 0.95, 0.0);
   load.request_classes.resize(scenario.deployment.request_classes.size());
   std::vector<bool> given(load.request_classes.size(), false);
   double sum = 0;
@@ -150,11 +150,12 @@
     load::RequestClass& request_class = load.request_classes[p];
     sum += request_class.share = product.number("share", 0, 1);
     request_class.work = product.duration("work", 1us, 1h);
-    request_class.spread = product.enumerator<load::Spread>(
+    request_class.distribution = product.enumerator<load::WorkDistribution>(
         "spread",
-        {{"exponential", load::Spread::exponential}, {"lognormal", load::Spread::lognormal}},
-        load::Spread::exponential);
-    request_class.cv = product.number("cv", 0.01, 20, 1.0);
+        {{"exponential", load::WorkDistribution::exponential},
+         {"lognormal", load::WorkDistribution::lognormal}},
+        load::WorkDistribution::exponential);
+    request_class.coefficient_of_variation = product.number("cv", 0.01, 20, 1.0);
     product.finish();
   }
   for (std::size_t p = 0; p < load.request_classes.size(); ++p) {
@@ -164,12 +165,12 @@
     load.request_classes[p].deadline = deployed.deadline;
     load.request_classes[p].dedup_window = deployed.dedup_window;
     load.request_classes[p].keyed = deployed.idempotency == Idempotency::idempotent_with_key;
-    load.request_classes[p].repeats = deployed.idempotency == Idempotency::idempotent
-                                          ? load::Repeats::always
-                                      : deployed.idempotency == Idempotency::idempotent_with_key &&
-                                              deployed.dedup_scope == DedupScope::all
-                                          ? load::Repeats::within_memory
-                                          : load::Repeats::only_rejected;
+    load.request_classes[p].retry_policy =
+        deployed.idempotency == Idempotency::idempotent ? load::RetryPolicy::always
+        : deployed.idempotency == Idempotency::idempotent_with_key &&
+                deployed.dedup_scope == DedupScope::all
+            ? load::RetryPolicy::within_dedup_window
+            : load::RetryPolicy::only_rejected;
   }
   if (sum < 0.999 || sum > 1.001)
     form.add_problem("the products' shares must add up to 1, not " + std::to_string(sum));
@@ -185,17 +186,17 @@
   load.retries = form.integer("retries", 0, 100, 0);
   std::vector<double> patience = form.numbers("patience", 0.01, 1, 0);
   if (!patience.empty()) {
-    load.patience_least = *std::min_element(patience.begin(), patience.end());
-    load.patience_most = *std::max_element(patience.begin(), patience.end());
+    load.min_patience = *std::min_element(patience.begin(), patience.end());
+    load.max_patience = *std::max_element(patience.begin(), patience.end());
   }
-  load.pause = form.enumerator<load::Pause>("backoff",
-                                            {{"none", load::Pause::none},
-                                             {"fixed", load::Pause::fixed},
-                                             {"growing", load::Pause::growing}},
-                                            load::Pause::none);
-  std::tie(load.pause_least, load.pause_most) = read_range(form, "pause", 50ms);
-  load.heeds = form.number("heed", 0, 1, 1.0);
-  load.leaves = form.number("leave", 0, 1, 0.0);
+  load.backoff = form.enumerator<load::Backoff>("backoff",
+                                                {{"none", load::Backoff::none},
+                                                 {"fixed", load::Backoff::fixed},
+                                                 {"growing", load::Backoff::exponential}},
+                                                load::Backoff::none);
+  std::tie(load.min_backoff, load.max_backoff) = read_range(form, "pause", 50ms);
+  load.retry_after_compliance = form.number("heed", 0, 1, 1.0);
+  load.disconnect_share = form.number("leave", 0, 1, 0.0);
   form.finish();
 }
 
@@ -223,11 +224,11 @@
   std::tie(scenario.min_boot_time, scenario.max_boot_time) = read_range(fleet, "boot", 1s);
   scenario.capacity = machine::read_capacity(fleet.child("capacity"), scenario.deployment);
   scenario.cancellation =
-      fleet.enumerator<machine::Cancelled>("cancelled",
-                                           {{"nothing", machine::Cancelled::nothing},
-                                            {"queued", machine::Cancelled::queued},
-                                            {"all", machine::Cancelled::all}},
-                                           machine::Cancelled::nothing);
+      fleet.enumerator<machine::CancellationMode>("cancelled",
+                                                  {{"nothing", machine::CancellationMode::nothing},
+                                                   {"queued", machine::CancellationMode::queued},
+                                                   {"all", machine::CancellationMode::all}},
+                                                  machine::CancellationMode::nothing);
   fleet.finish();
   if (auto list = form.optional_child("list")) {
     std::tie(scenario.min_registry_delay, scenario.max_registry_delay) =
@@ -249,7 +250,7 @@
   scenario.load.proxies = scenario.deployment.proxies;
   scenario.load.length = scenario.length;
   if (auto front = form.optional_child("front")) {
-    scenario.load.notice = front->duration("notice", 0ms, 1h, 1s);
+    scenario.load.failover_delay = front->duration("notice", 0ms, 1h, 1s);
     front->finish();
   }
   read_load(form.child("load"), scenario);
--- a/src/day/scenario.h
+++ b/src/day/scenario.h
@@ -62,7 +62,7 @@
   machine::Capacity capacity{};
   double speed_spread = 0;
   Duration min_boot_time{}, max_boot_time{};
-  machine::Cancelled cancellation = machine::Cancelled::nothing;
+  machine::CancellationMode cancellation = machine::CancellationMode::nothing;
   Duration min_registry_delay{}, max_registry_delay{};  // until proxies receive a change
   Duration silent_removal_delay{};  // until the registry removes a server that does not respond
   Duration min_publish_delay{}, max_publish_delay{};  // of the controller's release updates
--- a/src/day/scenario_runner.cpp
+++ b/src/day/scenario_runner.cpp
@@ -188,8 +188,8 @@
     processes.push_back(std::make_unique<ProxyProcess>(program, config, dir + "/" + name + ".log"));
   }
   auto record_event = [&](int proxy, const char* event) {
-    record::proxy_life(proxy_events, TimePoint(net::steady_now() - epoch),
-                       "umpire-" + std::to_string(proxy), event);
+    record::proxy_process_event(proxy_events, TimePoint(net::steady_now() - epoch),
+                                "umpire-" + std::to_string(proxy), event);
   };
   for (int proxy = 0; proxy < proxies; ++proxy) {
     record_event(proxy, "start");
--- a/src/emulator/engine.h
+++ b/src/emulator/engine.h
@@ -17,28 +17,28 @@
 
 class Engine {
  public:
-  struct Id {
+  struct TaskId {
     std::uint32_t slot = none;
-    std::uint32_t use = 0;
+    std::uint32_t generation = 0;
   };
   Engine() = default;
   ~Engine() {
     for (Slot& slot : slots_)
-      if (slot.run)
-        slot.drop(slot.store);
+      if (slot.invoke)
+        slot.destroy(slot.storage);
   }
   Engine(const Engine&) = delete;
   Engine& operator=(const Engine&) = delete;
 
   TimePoint now() const { return now_; }
   std::uint64_t events() const { return events_; }
-  std::size_t planned() const { return heap_.size(); }
+  std::size_t pending_tasks() const { return heap_.size(); }
 
   // A time that has passed is now.
   template <class Task>
-  Id at(TimePoint when, Task task) {
+  TaskId at(TimePoint when, Task task) {
     // Guards against captures that would need memory of their own for each event.
-    static_assert(sizeof(Task) <= room && alignof(Task) <= alignof(std::max_align_t));
+    static_assert(sizeof(Task) <= max_task_size && alignof(Task) <= alignof(std::max_align_t));
     std::uint32_t index;
     if (free_.empty()) {
       index = static_cast<std::uint32_t>(slots_.size());
@@ -48,20 +48,20 @@
       free_.pop_back();
     }
     Slot& slot = slots_[index];
-    new (slot.store) Task(std::move(task));
-    slot.run = [](void* at) { (*static_cast<Task*>(at))(); };
-    slot.drop = [](void* at) { static_cast<Task*>(at)->~Task(); };
-    heap_.push_back({std::max(when, now_), next_++, index, slot.use});
+    new (slot.storage) Task(std::move(task));
+    slot.invoke = [](void* at) { (*static_cast<Task*>(at))(); };
+    slot.destroy = [](void* at) { static_cast<Task*>(at)->~Task(); };
+    heap_.push_back({std::max(when, now_), next_++, index, slot.generation});
     std::push_heap(heap_.begin(), heap_.end(), later);
-    return {index, slot.use};
+    return {index, slot.generation};
   }
   template <class Task>
-  Id in(Duration wait, Task task) {
+  TaskId in(Duration wait, Task task) {
     return at(now_ + wait, std::move(task));
   }
 
-  void cancel(Id& id) {
-    if (id.slot != none && slots_[id.slot].use == id.use && slots_[id.slot].run)
+  void cancel(TaskId& id) {
+    if (id.slot != none && slots_[id.slot].generation == id.generation && slots_[id.slot].invoke)
       release(id.slot);
     id = {};
   }
@@ -75,15 +75,15 @@
       std::pop_heap(heap_.begin(), heap_.end(), later);
       heap_.pop_back();
       Slot& slot = slots_[next.slot];
-      if (slot.use != next.use || !slot.run)
+      if (slot.generation != next.generation || !slot.invoke)
         continue;  // cancelled
       now_ = next.at;
       ++events_;
       // What it plans may move slots_ on, but a deque's elements stay where they are.
       running_ = next.slot;
-      slot.run(slot.store);
+      slot.invoke(slot.storage);
       running_ = none;
-      if (slot.use == next.use)
+      if (slot.generation == next.generation)
         release(next.slot);
       return true;
     }
@@ -97,17 +97,17 @@
 
  private:
   static constexpr std::uint32_t none = UINT32_MAX;
-  static constexpr std::size_t room = 96;
+  static constexpr std::size_t max_task_size = 96;
   struct Slot {
-    alignas(std::max_align_t) std::byte store[room];
-    void (*run)(void*) = nullptr;
-    void (*drop)(void*) = nullptr;
-    std::uint32_t use = 0;
+    alignas(std::max_align_t) std::byte storage[max_task_size];
+    void (*invoke)(void*) = nullptr;
+    void (*destroy)(void*) = nullptr;
+    std::uint32_t generation = 0;
   };
   struct Entry {
     TimePoint at;
     std::uint64_t order;
-    std::uint32_t slot, use;
+    std::uint32_t slot, generation;
   };
   static bool later(const Entry& a, const Entry& b) {
     return a.at != b.at ? a.at > b.at : a.order > b.order;
@@ -116,9 +116,9 @@
     if (index == running_)
       return;  // it ends by itself
     Slot& slot = slots_[index];
-    slot.drop(slot.store);
-    slot.run = nullptr;
-    ++slot.use;
+    slot.destroy(slot.storage);
+    slot.invoke = nullptr;
+    ++slot.generation;
     free_.push_back(index);
   }
 
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -60,13 +60,13 @@
       return true;
     case FaultKind::slow:
       on_servers(
-          fault, [&fleet, size](int server) { fleet.slow(server, size); },
-          [&fleet](int server) { fleet.slow(server, 1); });
+          fault, [&fleet, size](int server) { fleet.set_slowdown(server, size); },
+          [&fleet](int server) { fleet.set_slowdown(server, 1); });
       return true;
     case FaultKind::fast_errors:
       on_servers(
-          fault, [&fleet, size](int server) { fleet.fail(server, size); },
-          [&fleet](int server) { fleet.fail(server, 0); });
+          fault, [&fleet, size](int server) { fleet.set_failure_share(server, size); },
+          [&fleet](int server) { fleet.set_failure_share(server, 0); });
       return true;
     case FaultKind::neighbour:
       take_cores(fault);
@@ -76,14 +76,18 @@
       const int max_connections =
           static_cast<int>(size * day.deployment.proxies / day.server_slots) + 1;
       on_servers(
-          fault, [&fleet, max_connections](int server) { fleet.squeeze(server, max_connections); },
-          [&fleet](int server) { fleet.squeeze(server, 0); });
+          fault,
+          [&fleet, max_connections](int server) {
+            fleet.limit_connections(server, max_connections);
+          },
+          [&fleet](int server) { fleet.limit_connections(server, 0); });
       return true;
     }
     case FaultKind::slow_handshakes:
       on_servers(
-          fault, [&fleet, size](int server) { fleet.slow_handshake(server, from_seconds(size)); },
-          [&fleet](int server) { fleet.slow_handshake(server, 0ms); });
+          fault,
+          [&fleet, size](int server) { fleet.set_handshake_delay(server, from_seconds(size)); },
+          [&fleet](int server) { fleet.set_handshake_delay(server, 0ms); });
       return true;
     default:
       return false;
@@ -92,23 +96,25 @@
 
 // False: it is no fault of clients.
 bool FaultInjector::begin_client_fault(const Fault& fault) {
-  load::Load& load = targets_.clients.load();
+  load::LoadGenerator& load = targets_.clients.load();
   const auto& deployment = simulation_.day.deployment;
   switch (fault.kind) {
     case FaultKind::burst:
-      load.burst(fault.magnitude);
-      at_end(fault, [&load] { load.burst(1); });
+      load.set_rate_factor(fault.magnitude);
+      at_end(fault, [&load] { load.set_rate_factor(1); });
       return true;
     case FaultKind::hot_caller:
       concentrate_load(fault);
       return true;
     case FaultKind::bad_requests:
-      load.poison(fault.tenant.empty() ? -1 : deployment.tenant(fault.tenant), fault.magnitude);
-      at_end(fault, [&load] { load.poison(-1, 0); });
+      load.set_poison_share(fault.tenant.empty() ? -1 : deployment.tenant(fault.tenant),
+                            fault.magnitude);
+      at_end(fault, [&load] { load.set_poison_share(-1, 0); });
       return true;
     case FaultKind::retry_abuse:
-      load.abuse(deployment.tenant(fault.tenant), static_cast<int>(fault.magnitude), fault.extra);
-      at_end(fault, [&load] { load.abuse(-1, 0, 1); });
+      load.set_retry_abuse(deployment.tenant(fault.tenant), static_cast<int>(fault.magnitude),
+                           fault.extra);
+      at_end(fault, [&load] { load.set_retry_abuse(-1, 0, 1); });
       return true;
     default:
       return false;
@@ -170,8 +176,9 @@
   const auto chosen =
       std::make_shared<const std::vector<int>>(targets_.servers.pick(fault.target_share));
   const auto take = [this, chosen](double share) {
-    targets_.servers.for_each(
-        *chosen, [this, share](int server) { targets_.fleet.neighbour(server, share); });
+    targets_.servers.for_each(*chosen, [this, share](int server) {
+      targets_.fleet.set_stolen_core_share(server, share);
+    });
   };
   const Duration interval = std::max<Duration>(min_neighbour_interval, from_seconds(fault.extra));
   for (int turn = 0; interval * turn < fault.duration; ++turn) {
@@ -194,9 +201,9 @@
   if (fault.mode == "stale")
     controller.set_publish_delay(simulation_.day.max_publish_delay + from_seconds(fault.magnitude));
   else if (fault.mode == "silence")
-    controller.fall_silent(fault.magnitude);
+    controller.stop_answering_votes(fault.magnitude);
   else
-    controller.fail();
+    controller.answer_votes_with_errors();
   at_end(fault, [this] {
     draw_publish_delay();
     targets_.controller.recover();
@@ -211,9 +218,9 @@
   chosen.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i)
     chosen.push_back((i * 7 + 1) % proxies);  // spread over the zones
-  load::Load& load = targets_.clients.load();
-  load.hot(chosen, fault.magnitude);
-  at_end(fault, [&load] { load.hot({}, 0); });
+  load::LoadGenerator& load = targets_.clients.load();
+  load.concentrate_on_proxies(chosen, fault.magnitude);
+  at_end(fault, [&load] { load.concentrate_on_proxies({}, 0); });
 }
 
 void FaultInjector::restart_proxies(const Fault& fault) {
--- a/src/emulator/fleet.cpp
+++ b/src/emulator/fleet.cpp
@@ -12,172 +12,181 @@
 }  // namespace
 
 Fleet::Fleet(Engine& engine, const deployment::Deployment& deployment, Duration memory,
-             machine::Cancelled cancelled, unsigned salt, record::Writer* record)
+             machine::CancellationMode cancelled, unsigned salt, record::Writer* record)
     : engine_(engine),
       deployment_(deployment),
-      cancelled_(cancelled),
+      cancellation_(cancelled),
       random_(salt),
       record_(record),
-      marks_(memory) {}
+      completed_keys_(memory) {}
 
 int Fleet::start(const ServerSpec& spec) {
   const TimePoint started = spec.cold ? engine_.now() : long_ago;
-  servers_.push_back(
-      std::make_unique<Server>(spec, static_cast<unsigned>(random_()), started, &marks_, &harm_));
+  servers_.push_back(std::make_unique<Server>(spec, static_cast<unsigned>(random_()), started,
+                                              &completed_keys_, &shared_slowdown_));
   Server& server = *servers_.back();
   if (spec.cold)
     server.started = WallTime(engine_.now().time_since_epoch() + Duration(wall_us));
   if (record_)
-    record::node_started(*record_, engine_.now(),
-                         {spec.name, deployment_.zones[spec.zone], spec.cell, spec.build.number,
-                          server.started, spec.cold, spec.capacity.cores, spec.capacity.speed});
+    record::server_started(*record_, engine_.now(),
+                           {spec.name, deployment_.zones[spec.zone], spec.cell, spec.build.number,
+                            server.started, spec.cold, spec.capacity.cores, spec.capacity.speed});
   return size() - 1;
 }
 
 void Fleet::kill(int index) {
   Server& server = *servers_[index];
-  if (!server.runs)
+  if (!server.running)
     return;
-  server.runs = false;
+  server.running = false;
   engine_.cancel(server.timer);
   if (record_)
-    record::node_stopped(*record_, engine_.now(), server.spec.name, server.machine.most_pushed(),
-                         server.machine.fallen());
+    record::server_stopped(*record_, engine_.now(), server.spec.name,
+                           server.machine.max_cold_load(), server.machine.has_collapsed());
   server.open.clear();
-  server.work_of.clear();
+  server.work_id_of.clear();
   server.connections = 0;
-  if (killed)
-    killed(index);
+  if (on_server_killed)
+    on_server_killed(index);
 }
 
-void Fleet::silence(int index) {
-  servers_[index]->silent = true;
+void Fleet::hang(int index) {
+  servers_[index]->hung = true;
   engine_.cancel(servers_[index]->timer);
 }
 
-void Fleet::note(const Server& server, const char* what, const Sent& sent, std::int64_t id) {
+void Fleet::record_request(const Server& server, const char* what, const ServerRequest& sent,
+                           std::int64_t id) {
   if (!record_)
     return;
   const std::string request_id = "umpire-" + std::to_string(sent.proxy) + "." +
                                  std::to_string(sent.request_id),
-                    attempt = std::to_string(sent.attempt), try_id = std::to_string(sent.try_id),
+                    attempt = std::to_string(sent.attempt),
+                    try_id = std::to_string(sent.client_attempt_id),
                     work = std::to_string(sent.work.count());
-  record::node_met(*record_, engine_.now(), what,
-                   {server.spec.name, server.spec.build.number, id, sent.request_class, request_id,
-                    attempt, try_id, sent.key, work});
+  record::request_arrived(*record_, engine_.now(), what,
+                          {server.spec.name, server.spec.build.number, id, sent.request_class,
+                           request_id, attempt, try_id, sent.key, work});
 }
 
-void Fleet::arrive(int index, const Sent& sent) {
+void Fleet::arrive(int index, const ServerRequest& sent) {
   Server& server = *servers_[index];
-  if (!server.runs)
+  if (!server.running)
     return;
   const std::int64_t id = next_work_++;
   const auto swallow = [&](const char* why) {
-    note(server, why, sent, id);
+    record_request(server, why, sent, id);
     server.open[id] = {sent.id, -1, Duration{}};
-    server.work_of[sent.id] = id;
+    server.work_id_of[sent.id] = id;
   };
-  if (server.silent)
+  if (server.hung)
     return swallow("silent");
-  const Way there = way ? way(sent.proxy, server.spec.zone) : Way{};
+  const Link there = link_between ? link_between(sent.proxy, server.spec.zone) : Link{};
   if (there.cut)
     return swallow("cut");
-  if (there.lost > 0 && std::uniform_real_distribution<double>(0, 1)(random_) < there.lost) {
-    note(server, "cut", sent, id);
-    return answered(sent.id, {.is = Answer::Is::broken});
+  if (there.loss > 0 && std::uniform_real_distribution<double>(0, 1)(random_) < there.loss) {
+    record_request(server, "cut", sent, id);
+    return on_response(sent.id, {.status = ServerResponse::Status::connection_lost});
   }
   if (sent.poison) {
-    note(server, "poison", sent, id);
-    return answered(sent.id, {.is = Answer::Is::failed});
+    record_request(server, "poison", sent, id);
+    return on_response(sent.id, {.status = ServerResponse::Status::failed});
   }
-  machine::Work work{
-      .id = id, .request_class = sent.request_class, .work = sent.work, .key = {}, .effect = false};
+  machine::Work work{.id = id,
+                     .request_class = sent.request_class,
+                     .work = sent.work,
+                     .key = {},
+                     .has_effect = false};
   const Idempotency idempotency =
       deployment_.request_classes[sent.request_class].request_class.idempotency;
-  work.effect = idempotency != Idempotency::idempotent;
+  work.has_effect = idempotency != Idempotency::idempotent;
   if (idempotency == Idempotency::idempotent_with_key)
     work.key = sent.key;
-  const bool was_fallen = server.machine.fallen();
-  const machine::Entry entry = server.machine.arrive(work, engine_.now());
-  if (!was_fallen && server.machine.fallen())
-    note(server, "fell", sent, id);
-  lately_.emplace_back(engine_.now(), server.spec.build.number);
-  while (lately_.front().first < engine_.now() - lately_most)
-    lately_.pop_front();
-  if (entry == machine::Entry::down) {
-    server.silent = true;  // for good
+  const bool was_fallen = server.machine.has_collapsed();
+  const machine::Admission entry = server.machine.arrive(work, engine_.now());
+  if (!was_fallen && server.machine.has_collapsed())
+    record_request(server, "fell", sent, id);
+  recent_arrivals_.emplace_back(engine_.now(), server.spec.build.number);
+  while (recent_arrivals_.front().first < engine_.now() - lately_most)
+    recent_arrivals_.pop_front();
+  if (entry == machine::Admission::collapsed) {
+    server.hung = true;  // for good
     return swallow("down");
   }
-  if (entry == machine::Entry::full) {
-    note(server, "refused", sent, id);
-    return answered(sent.id, {.is = Answer::Is::full});
+  if (entry == machine::Admission::full) {
+    record_request(server, "refused", sent, id);
+    return on_response(sent.id, {.status = ServerResponse::Status::rejected});
   }
-  note(server, "taken", sent, id);
+  record_request(server, "taken", sent, id);
   server.open[id] = {sent.id, sent.request_class,
-                     there.by + (sent.first ? server.handshake : Duration{})};
-  server.work_of[sent.id] = id;
-  plan(index);
+                     there.delay + (sent.fresh_connection ? server.handshake_delay : Duration{})};
+  server.work_id_of[sent.id] = id;
+  schedule_completion(index);
 }
 
-void Fleet::gone(int index, std::uint64_t attempt) {
+void Fleet::cancel(int index, std::uint64_t attempt) {
   Server& server = *servers_[index];
-  auto at = server.work_of.find(attempt);
-  if (!server.runs || at == server.work_of.end())
+  auto at = server.work_id_of.find(attempt);
+  if (!server.running || at == server.work_id_of.end())
     return;
   const std::int64_t id = at->second;
-  server.work_of.erase(at);
+  server.work_id_of.erase(at);
   server.open.erase(id);
-  if (server.silent)
+  if (server.hung)
     return;
-  server.machine.called_off(id, cancelled_ != machine::Cancelled::nothing,
-                            cancelled_ == machine::Cancelled::all, engine_.now());
-  plan(index);
+  server.machine.cancel(id, cancellation_ != machine::CancellationMode::nothing,
+                        cancellation_ == machine::CancellationMode::all, engine_.now());
+  schedule_completion(index);
 }
 
-void Fleet::plan(int index) {
+void Fleet::schedule_completion(int index) {
   Server& server = *servers_[index];
   engine_.cancel(server.timer);
-  if (server.silent || !server.runs)
+  if (server.hung || !server.running)
     return;
-  if (auto at = server.machine.next_at())
-    server.timer = engine_.at(*at, [this, index] { finish(index); });
+  if (auto at = server.machine.next_completion_at())
+    server.timer = engine_.at(*at, [this, index] { complete_due_work(index); });
 }
 
-void Fleet::finish(int index) {
+void Fleet::complete_due_work(int index) {
   Server& server = *servers_[index];
   server.timer = {};
-  while (auto done = server.machine.next(engine_.now())) {
+  while (auto done = server.machine.next_completed(engine_.now())) {
     if (record_)
-      record::node_ran(*record_, engine_.now(), server.spec.name, done->id,
-                       machine::to_string(done->how), done->effect);
+      record::work_completed(*record_, engine_.now(), server.spec.name, done->id,
+                             machine::to_string(done->result), done->changed_data);
     auto at = server.open.find(done->id);
     if (at == server.open.end())
       continue;  // nobody waits for it any more
-    const Open open = at->second;
+    const OpenRequest open = at->second;
     server.open.erase(at);
-    const Answer answer{done->how == machine::Ran::failed ? Answer::Is::failed : Answer::Is::well,
-                        done->how != machine::Ran::wrong, server.machine.busy(),
-                        server.machine.held()};
-    if (open.by == Duration{}) {
-      server.work_of.erase(open.id);
-      answered(open.id, answer);
+    const ServerResponse answer{done->result == machine::WorkResult::failed
+                                    ? ServerResponse::Status::failed
+                                    : ServerResponse::Status::ok,
+                                done->result != machine::WorkResult::wrong,
+                                server.machine.utilization(), server.machine.in_flight()};
+    if (open.delay == Duration{}) {
+      server.work_id_of.erase(open.id);
+      on_response(open.id, answer);
     } else {
-      engine_.in(open.by, [this, index, id = open.id, answer] {
-        if (!servers_[index]->runs || servers_[index]->work_of.erase(id) == 0)
+      engine_.in(open.delay, [this, index, id = open.id, answer] {
+        if (!servers_[index]->running || servers_[index]->work_id_of.erase(id) == 0)
           return;
-        answered(id, answer);
+        on_response(id, answer);
       });
     }
   }
-  plan(index);
+  schedule_completion(index);
 }
 
 double Fleet::share_of_traffic(int build, Duration window) {
-  while (!lately_.empty() && lately_.front().first < engine_.now() - window)
-    lately_.pop_front();
-  const auto its =
-      std::count_if(lately_.begin(), lately_.end(), [&](auto& one) { return one.second == build; });
-  return lately_.empty() ? 0 : static_cast<double>(its) / static_cast<double>(lately_.size());
+  while (!recent_arrivals_.empty() && recent_arrivals_.front().first < engine_.now() - window)
+    recent_arrivals_.pop_front();
+  const auto its = std::count_if(recent_arrivals_.begin(), recent_arrivals_.end(),
+                                 [&](auto& one) { return one.second == build; });
+  return recent_arrivals_.empty()
+             ? 0
+             : static_cast<double>(its) / static_cast<double>(recent_arrivals_.size());
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/network.h
+++ b/src/emulator/network.h
@@ -16,7 +16,7 @@
 class Network {
  public:
   Network(const NetworkSettings& settings, unsigned salt) : settings_(settings), random_(salt) {}
-  Duration way() {
+  Duration sample_delay() {
     const double factor =
         1 + settings_.jitter * (2 * std::uniform_real_distribution<double>(0, 1)(random_) - 1);
     return Duration(
--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -151,9 +151,9 @@
           among.push_back(endpoint);
     if (among.empty())
       return -1;
-    if (spec_.route == Route::random)
+    if (spec_.routing == RoutingPolicy::random)
       return among[static_cast<std::size_t>(uniform_sample() * static_cast<double>(among.size()))];
-    if (spec_.route == Route::round_robin)
+    if (spec_.routing == RoutingPolicy::round_robin)
       return among[turn_++ % among.size()];
     return *std::min_element(among.begin(), among.end(),
                              [&](int a, int b) { return out_[a] < out_[b]; });
@@ -161,14 +161,14 @@
 
   std::optional<Decision> vote(TimePoint now) {
     if (!release_ || release_->phase != ReleasePhase::canary || voted_ ||
-        spec_.votes == Votes::never)
+        spec_.voting == VotingPolicy::never)
       return {};
     while (!trial_.empty() && trial_.front().first < now - window)
       trial_.pop_front();
     const auto failed =
         std::count_if(trial_.begin(), trial_.end(), [](auto& one) { return one.second; });
     const bool bad =
-        spec_.votes == Votes::always ||
+        spec_.voting == VotingPolicy::always ||
         (trial_.size() >= enough &&
          static_cast<double>(failed) > failed_most * static_cast<double>(trial_.size()));
     if (!bad)
@@ -194,7 +194,7 @@
 
 }  // namespace
 
-std::optional<PolicySpec> policy_of(const std::string& word) {
+std::optional<PolicySpec> parse_policy(const std::string& word) {
   PolicySpec spec;
   const std::size_t slash = word.find('/');
   const std::string route = word.substr(0, slash),
@@ -202,17 +202,17 @@
   if (route == "module")
     return slash == std::string::npos ? std::optional(spec) : std::nullopt;
   if (route == "random")
-    spec.route = Route::random;
+    spec.routing = RoutingPolicy::random;
   else if (route == "round-robin")
-    spec.route = Route::round_robin;
+    spec.routing = RoutingPolicy::round_robin;
   else if (route == "least-requests")
-    spec.route = Route::least_requests;
+    spec.routing = RoutingPolicy::least_requests;
   else
     return {};
   if (votes == "never")
-    spec.votes = Votes::never;
+    spec.voting = VotingPolicy::never;
   else if (votes == "always")
-    spec.votes = Votes::always;
+    spec.voting = VotingPolicy::always;
   else if (votes != "threshold")
     return {};
   return spec;
@@ -223,7 +223,7 @@
                                     const CanaryQuotaSettings& canary_quota,
                                     const AnalysisSettings& analysis,
                                     const RequestSettings& requests) {
-  if (spec.route == Route::module)
+  if (spec.routing == RoutingPolicy::module)
     return std::make_unique<Module>(salt, endpoints, canary_quota, analysis, requests);
   return std::make_unique<Baseline>(spec, salt);
 }
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -25,17 +25,21 @@
   virtual bool knows(int request_id) const = 0;
 };
 
-enum class Route { module, random, round_robin, least_requests };
-enum class Votes { never, always, threshold };  // of baselines; always: 'back' for every release
+enum class RoutingPolicy { module, random, round_robin, least_requests };
+enum class VotingPolicy {
+  never,
+  always,
+  threshold
+};  // of baselines; always: 'back' for every release
 
 struct PolicySpec {
-  Route route = Route::module;
-  Votes votes = Votes::threshold;
+  RoutingPolicy routing = RoutingPolicy::module;
+  VotingPolicy voting = VotingPolicy::threshold;
 };
 
 // "module", or a baseline such as "least-requests", "random/never", "round-robin/always"; nothing
 // when it is none.
-std::optional<PolicySpec> policy_of(const std::string& word);
+std::optional<PolicySpec> parse_policy(const std::string& word);
 
 std::unique_ptr<Policy> make_policy(const PolicySpec& spec, unsigned salt,
                                     const EndpointSettings& endpoints,
--- a/src/emulator/proxy_processes.cpp
+++ b/src/emulator/proxy_processes.cpp
@@ -4,21 +4,21 @@
 
 namespace robinhoist::emulator {
 
-void ProxyProcesses::note(int proxy, const char* event) {
+void ProxyProcesses::record_event(int proxy, const char* event) {
   if (simulation_.log.proxies)
-    record::proxy_life(*simulation_.log.proxies, simulation_.engine.now(), proxy_name(proxy),
-                       event);
+    record::proxy_process_event(*simulation_.log.proxies, simulation_.engine.now(),
+                                proxy_name(proxy), event);
 }
 
 void ProxyProcesses::start(int proxy) {
   SimulatedProxy& process = *simulation_.proxies[proxy];
   if (process.up())
     return;
-  note(proxy, "start");
+  record_event(proxy, "start");
   process.start();
-  simulation_.engine.in(2 * simulation_.network.way(),
+  simulation_.engine.in(2 * simulation_.network.sample_delay(),
                         [this, proxy] { registry_.notify_complete(proxy); });
-  simulation_.engine.in(2 * simulation_.network.way(),
+  simulation_.engine.in(2 * simulation_.network.sample_delay(),
                         [this, proxy] { controller_.notify(proxy); });
   clients_.proxy_started(proxy);
 }
@@ -27,15 +27,15 @@
   SimulatedProxy& process = *simulation_.proxies[proxy];
   if (!process.up())
     return;
-  note(proxy, "killed");
+  record_event(proxy, "killed");
   process.kill();
   clients_.proxy_stopped(proxy);
 }
 
-void ProxyProcesses::note_stopped() {
+void ProxyProcesses::record_stops() {
   for (int proxy = 0; proxy < static_cast<int>(simulation_.proxies.size()); ++proxy)
     if (simulation_.proxies[proxy]->up())
-      note(proxy, "stopped");
+      record_event(proxy, "stopped");
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/proxy_processes.h
+++ b/src/emulator/proxy_processes.h
@@ -18,10 +18,10 @@
   /// Nothing for a proxy that is down.
   void kill(int proxy);
   /// Notes the orderly end of all that are up, at the end of the run.
-  void note_stopped();
+  void record_stops();
 
  private:
-  void note(int proxy, const char* event);
+  void record_event(int proxy, const char* event);
 
   Simulation& simulation_;
   SimulatedRegistry& registry_;
--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -29,15 +29,15 @@
   return longest;
 }
 
-Outcome outcome_of(Answer::Is answer) {
+Outcome outcome_of(ServerResponse::Status answer) {
   switch (answer) {
-    case Answer::Is::well:
+    case ServerResponse::Status::ok:
       return Outcome::ok;
-    case Answer::Is::failed:
+    case ServerResponse::Status::failed:
       return Outcome::error;
-    case Answer::Is::full:
+    case ServerResponse::Status::rejected:
       return Outcome::rejected;
-    case Answer::Is::broken:
+    case ServerResponse::Status::connection_lost:
       break;
   }
   return Outcome::reset;
@@ -68,15 +68,15 @@
     controller_.start();
     for (int proxy = 0; proxy < day.deployment.proxies; ++proxy)
       processes_.start(proxy);
-    controller_.begin_heartbeats();
-    servers_.begin_shared_harm();
+    controller_.start_heartbeats();
+    servers_.start_shared_slowdown();
     engine.run(simulation_.start);
     plan_scenario();
     clients_.send_due();
     const TimePoint end = simulation_.start + day.length;
     engine.run(end);
     const TimePoint last = end + max_overtime;
-    while (!clients_.over() && engine.now() < last && engine.step(last)) {
+    while (!clients_.is_finished() && engine.now() < last && engine.step(last)) {
     }
     return finish();
   }
@@ -85,33 +85,33 @@
   void connect_servers() {
     servers_.on_started = [this](int machine) { controller_.machine_started(machine); };
     servers_.on_stopped = [this](int machine) { controller_.machine_stopped(machine); };
-    fleet_.answered = [this](std::uint64_t attempt, const Answer& answer) {
+    fleet_.on_response = [this](std::uint64_t attempt, const ServerResponse& answer) {
       SimulatedProxy& proxy = *simulation_.proxies[attempt >> proxy_bits];
-      simulation_.engine.in(simulation_.network.way(),
+      simulation_.engine.in(simulation_.network.sample_delay(),
                             [&proxy, attempt, answer, incarnation = proxy.incarnation()] {
                               if (proxy.up() && proxy.incarnation() == incarnation)
-                                proxy.attempt_ended(attempt, outcome_of(answer.is), answer);
+                                proxy.attempt_ended(attempt, outcome_of(answer.status), answer);
                             });
     };
-    fleet_.killed = [this](int server) {
+    fleet_.on_server_killed = [this](int server) {
       for (const auto& proxy : simulation_.proxies)
         proxy->server_killed(server);
     };
-    fleet_.way = [this](int proxy, int zone) { return link_between(proxy, zone); };
+    fleet_.link_between = [this](int proxy, int zone) { return link_between(proxy, zone); };
   }
 
-  Fleet::Way link_between(int proxy, int zone) const {
+  Fleet::Link link_between(int proxy, int zone) const {
     const std::vector<std::string>& zones = simulation_.day.deployment.zones;
     const LinkFaults& faults = simulation_.link_faults;
     const std::string& from = zones[proxy % zones.size()];
     const std::string& to = zones[zone];
-    Fleet::Way way;
+    Fleet::Link way;
     if (from == to)
       return way;
     way.cut = !faults.cut_zone.empty() && (from == faults.cut_zone || to == faults.cut_zone);
     if (!faults.slow_zone.empty() && (from == faults.slow_zone || to == faults.slow_zone)) {
-      way.by = faults.delay;
-      way.lost = faults.loss;
+      way.delay = faults.delay;
+      way.loss = faults.loss;
     }
     return way;
   }
@@ -123,16 +123,16 @@
     settings.zone = static_cast<int>(number % deployment.zones.size());
     settings.salt = static_cast<unsigned>(1 + (seed * 7919 + number) % 2000000000);
     settings.policy = policy;
-    SimulatedProxy::Ways ways;
-    ways.answer = [this](std::int64_t request, const FinalAnswer& answer) {
-      simulation_.engine.in(simulation_.network.way(),
+    SimulatedProxy::Outputs ways;
+    ways.respond = [this](std::int64_t request, const ClientResponse& answer) {
+      simulation_.engine.in(simulation_.network.sample_delay(),
                             [this, request, answer] { clients_.answer(request, answer); });
     };
     ways.vote = [this](int proxy, int build, int stage, Verdict verdict) {
       controller_.vote(proxy, build, stage, verdict);
     };
     ways.refresh = [this](int proxy) {
-      simulation_.engine.in(2 * simulation_.network.way(),
+      simulation_.engine.in(2 * simulation_.network.sample_delay(),
                             [this, proxy] { registry_.notify_complete(proxy); });
     };
     ways.server_of = [this](const std::string& name) { return servers_.server_of(name); };
@@ -153,10 +153,10 @@
   Summary finish() {
     Summary& summary = simulation_.summary;
     for (const auto& proxy : simulation_.proxies) {
-      summary.attempts += proxy->attempts();
+      summary.proxy_attempts += proxy->attempts();
       summary.decisions += proxy->decisions();
     }
-    processes_.note_stopped();
+    processes_.record_stops();
     summary.events = simulation_.engine.events();
     return std::move(summary);
   }
@@ -173,7 +173,7 @@
 
 }  // namespace
 
-std::string why_not(const day::Scenario& day) {
+std::string unsupported_reason(const day::Scenario& day) {
   if (day.database)
     return "it has a database, whose steps run on sockets only: play it with `robinhoist day`";
   return "";
@@ -181,7 +181,7 @@
 
 Summary run(const day::Scenario& day, long seed, const std::string& folder,
             const NetworkSettings& network, const PolicySpec& policy) {
-  if (const std::string why = why_not(day); !why.empty())
+  if (const std::string why = unsupported_reason(day); !why.empty())
     throw std::runtime_error("the day can't be emulated: " + why);
   if (!folder.empty()) {
     std::filesystem::create_directories(folder);
--- a/src/emulator/run.h
+++ b/src/emulator/run.h
@@ -17,23 +17,24 @@
 
 // What is counted on the way, without a record.
 struct Summary {
-  long asked = 0, tries = 0, succeeded = 0, wrong = 0, rejected = 0, failed = 0, unreached = 0,
-       broken = 0, left = 0, timed_out = 0, attempts = 0, votes = 0;
-  double priority_weight = 0, max_weight = 0;  // in time and right, of all that was asked
-  std::vector<double> took_ms{};               // of succeeded tries, all
-  struct Verdict {
+  long requested = 0, client_attempts = 0, succeeded = 0, wrong = 0, rejected = 0, failed = 0,
+       unreached = 0, connection_lost = 0, client_disconnected = 0, timed_out = 0,
+       proxy_attempts = 0, votes = 0;
+  double weight_in_time = 0, weight_offered = 0;  // in time and right, of all that was asked
+  std::vector<double> latencies_ms{};             // of succeeded tries, all
+  struct ReleaseChange {
     TimePoint at;
     int build, stage;
-    std::string phase, why;
+    std::string phase, reason;
   };
-  std::vector<Verdict> verdicts{};
+  std::vector<ReleaseChange> release_changes{};
   std::uint64_t events = 0;
   long decisions = 0;
-  double most_pushed = 0;
+  double max_cold_load = 0;
 };
 
 // Whether a day can be played here: empty, or why not.
-std::string why_not(const day::Scenario& day);
+std::string unsupported_reason(const day::Scenario& day);
 
 // `folder` empty: no record. Throws std::runtime_error.
 Summary run(const day::Scenario& day, long seed, const std::string& folder,
--- a/src/emulator/simulated_clients.cpp
+++ b/src/emulator/simulated_clients.cpp
@@ -26,30 +26,32 @@
     load_timer_ = simulation_.engine.at(simulation_.engine_time(*next), [this] { send_due(); });
 }
 
-void SimulatedClients::send(const load::Try& request) {
+void SimulatedClients::send(const load::ClientAttempt& request) {
   Summary& summary = simulation_.summary;
   Engine& engine = simulation_.engine;
   const day::Scenario& day = simulation_.day;
-  ++summary.tries;
+  ++summary.client_attempts;
   if (request.number == 0) {
-    ++summary.asked;
-    summary.max_weight +=
+    ++summary.requested;
+    summary.weight_offered +=
         day.deployment.request_classes[request.request_class].request_class.priority_weight;
   }
   const std::int64_t id = request.id;
   OpenRequest& open = open_[id];
-  open.sent = request;
+  open.attempt = request;
   const SimulatedProxy& proxy = *simulation_.proxies[request.proxy];
   open.incarnation = proxy.incarnation();
   if (!proxy.up()) {
-    engine.in(refusal_time, [this, id] { break_off(id, load::End::unreached); });
+    engine.in(refusal_time,
+              [this, id] { end_without_response(id, load::ClientResult::unreached); });
     return;
   }
-  const TimePoint deadline = simulation_.engine_time(request.until);
-  open.timeout = engine.at(deadline + 2 * day.answer_slack, [this, id] { give_up(id); });
-  if (request.leaves > TimePoint{})
-    open.leave = engine.at(simulation_.engine_time(request.leaves), [this, id] { leave(id); });
-  engine.in(simulation_.network.way(), [this, id] { arrive(id); });
+  const TimePoint deadline = simulation_.engine_time(request.deadline);
+  open.timeout_timer = engine.at(deadline + 2 * day.answer_slack, [this, id] { time_out(id); });
+  if (request.disconnects_at > TimePoint{})
+    open.disconnect_timer =
+        engine.at(simulation_.engine_time(request.disconnects_at), [this, id] { disconnect(id); });
+  engine.in(simulation_.network.sample_delay(), [this, id] { arrive(id); });
 }
 
 // The request reaches its proxy.
@@ -58,137 +60,141 @@
   if (found == open_.end())
     return;
   const OpenRequest& open = found->second;
-  SimulatedProxy& proxy = *simulation_.proxies[open.sent.proxy];
+  SimulatedProxy& proxy = *simulation_.proxies[open.attempt.proxy];
   if (!proxy.up() || proxy.incarnation() != open.incarnation) {
-    break_off(id, load::End::broken);
+    end_without_response(id, load::ClientResult::connection_lost);
     return;
   }
-  load::Try request = open.sent;
-  const TimePoint deadline = simulation_.engine_time(request.until);
+  load::ClientAttempt request = open.attempt;
+  const TimePoint deadline = simulation_.engine_time(request.deadline);
   request.at = simulation_.engine_time(request.at);
   proxy.request_arrived(request, deadline);
 }
 
-void SimulatedClients::give_up(std::int64_t id) {
+void SimulatedClients::time_out(std::int64_t id) {
   const auto found = open_.find(id);
   if (found == open_.end())
     return;
-  const load::Try request = found->second.sent;
+  const load::ClientAttempt request = found->second.attempt;
   simulation_.proxies[request.proxy]->client_disconnected(id);
-  finish(request, load::End::timed_out, {.status = 0});
+  finish(request, load::ClientResult::timed_out, {.status = 0});
 }
 
-void SimulatedClients::leave(std::int64_t id) {
+void SimulatedClients::disconnect(std::int64_t id) {
   const auto found = open_.find(id);
   if (found == open_.end())
     return;
-  const load::Try request = found->second.sent;
+  const load::ClientAttempt request = found->second.attempt;
   SimulatedProxy& proxy = *simulation_.proxies[request.proxy];
   if (proxy.up())
     proxy.client_disconnected(id);
-  finish(request, load::End::left, {.status = 0});
+  finish(request, load::ClientResult::client_disconnected, {.status = 0});
 }
 
 // The request ends without a response.
-void SimulatedClients::break_off(std::int64_t id, load::End end) {
+void SimulatedClients::end_without_response(std::int64_t id, load::ClientResult end) {
   const auto found = open_.find(id);
   if (found == open_.end())
     return;
-  const load::Try request = found->second.sent;
+  const load::ClientAttempt request = found->second.attempt;
   finish(request, end, {.status = 0});
 }
 
-void SimulatedClients::answer(std::int64_t request, const FinalAnswer& answer) {
+void SimulatedClients::answer(std::int64_t request, const ClientResponse& answer) {
   const auto found = open_.find(request);
   if (found == open_.end())
     return;
-  const load::Try sent = found->second.sent;
-  finish(sent, answer.end, answer);
+  const load::ClientAttempt sent = found->second.attempt;
+  finish(sent, answer.result, answer);
 }
 
-void SimulatedClients::finish(const load::Try& request, load::End end, const FinalAnswer& answer) {
+void SimulatedClients::finish(const load::ClientAttempt& request, load::ClientResult end,
+                              const ClientResponse& answer) {
   const auto found = open_.find(request.id);
   if (found == open_.end())
     return;
-  simulation_.engine.cancel(found->second.timeout);
-  simulation_.engine.cancel(found->second.leave);
+  simulation_.engine.cancel(found->second.timeout_timer);
+  simulation_.engine.cancel(found->second.disconnect_timer);
   open_.erase(found);
   count(request, end, answer);
   record(request, end, answer);
-  if (end == load::End::succeeded)
+  if (end == load::ClientResult::succeeded)
     report_wrong_answer(request, answer);
-  load_.ended(request.id, end, answer.stay_away, simulation_.load_time());
+  load_.attempt_ended(request.id, end, answer.retry_after, simulation_.load_time());
   send_due();
 }
 
-void SimulatedClients::count(const load::Try& request, load::End end, const FinalAnswer& answer) {
+void SimulatedClients::count(const load::ClientAttempt& request, load::ClientResult end,
+                             const ClientResponse& answer) {
   Summary& summary = simulation_.summary;
   const auto& request_class =
       simulation_.day.deployment.request_classes[request.request_class].request_class;
   const Duration took = simulation_.engine.now() - simulation_.engine_time(request.at);
   switch (end) {
-    case load::End::succeeded:
+    case load::ClientResult::succeeded:
       ++summary.succeeded;
-      summary.wrong += answer.right ? 0 : 1;
-      summary.took_ms.push_back(static_cast<double>(took.count()) / 1e3);
-      if (answer.right)
-        summary.priority_weight +=
+      summary.wrong += answer.correct ? 0 : 1;
+      summary.latencies_ms.push_back(static_cast<double>(took.count()) / 1e3);
+      if (answer.correct)
+        summary.weight_in_time +=
             request_class.priority_weight *
             (took <= request_class.latency_objective ? 1 : request_class.late_weight_share);
       break;
-    case load::End::rejected:
+    case load::ClientResult::rejected:
       ++summary.rejected;
       break;
-    case load::End::failed:
+    case load::ClientResult::failed:
       ++summary.failed;
       break;
-    case load::End::unreached:
+    case load::ClientResult::unreached:
       ++summary.unreached;
       break;
-    case load::End::broken:
-      ++summary.broken;
+    case load::ClientResult::connection_lost:
+      ++summary.connection_lost;
       break;
-    case load::End::left:
-      ++summary.left;
+    case load::ClientResult::client_disconnected:
+      ++summary.client_disconnected;
       break;
-    case load::End::timed_out:
+    case load::ClientResult::timed_out:
       ++summary.timed_out;
       break;
-    case load::End::rejected_before_routing:
+    case load::ClientResult::rejected_before_routing:
       break;
   }
 }
 
-void SimulatedClients::record(const load::Try& request, load::End end, const FinalAnswer& answer) {
+void SimulatedClients::record(const load::ClientAttempt& request, load::ClientResult end,
+                              const ClientResponse& answer) {
   if (!simulation_.log.clients)
     return;
   const bool from_server = answer.server >= 0;
-  record::tried(
+  record::client_attempt_ended(
       *simulation_.log.clients,
-      {.from = simulation_.engine_time(request.at),
-       .to = simulation_.engine.now(),
-       .until = simulation_.engine_time(request.until),
+      {.sent = simulation_.engine_time(request.at),
+       .ended = simulation_.engine.now(),
+       .deadline = simulation_.engine_time(request.deadline),
        .id = request.id,
-       .first = request.first,
+       .first_id = request.first_id,
        .number = request.number,
        .request_class = request.request_class,
        .tenant = request.tenant,
        .proxy = proxy_name(request.proxy),
        .key = request.key,
        .poison = request.poison,
-       .end = load::to_string(end),
+       .result = load::to_string(end),
        .status = answer.status,
-       .why = answer.why,
+       .reason = answer.reason,
        .endpoint = from_server ? fleet_.spec(answer.server).name : std::string_view(),
        .build = from_server ? static_cast<double>(fleet_.spec(answer.server).build.number) : -1.0,
-       .right = answer.right});
+       .correct = answer.correct});
 }
 
 // Some clients report a wrong answer, and some a right one.
-void SimulatedClients::report_wrong_answer(const load::Try& request, const FinalAnswer& answer) {
+void SimulatedClients::report_wrong_answer(const load::ClientAttempt& request,
+                                           const ClientResponse& answer) {
   const day::Scenario& day = simulation_.day;
   const double share =
-      answer.right ? day.false_report_share : day.deployment.wrong_answer_report_share;
+      answer.correct ? day.false_report_share : day.deployment.wrong_answer_report_share;
   if (simulation_.uniform_sample() >= share)
     return;
   SimulatedProxy& proxy = *simulation_.proxies[request.proxy];
@@ -197,19 +203,20 @@
 }
 
 void SimulatedClients::proxy_started(int proxy) {
-  load_.proxy(proxy, true, simulation_.load_time());
+  load_.set_proxy_up(proxy, true, simulation_.load_time());
 }
 
 void SimulatedClients::proxy_stopped(int proxy) {
-  load_.proxy(proxy, false, simulation_.load_time());
+  load_.set_proxy_up(proxy, false, simulation_.load_time());
   std::vector<std::int64_t> lost;
   for (const auto& [id, open] : open_)
-    if (open.sent.proxy == proxy)
+    if (open.attempt.proxy == proxy)
       lost.push_back(id);
   std::sort(lost.begin(), lost.end());
   for (const std::int64_t id : lost)
-    simulation_.engine.in(simulation_.network.way(),
-                          [this, id] { break_off(id, load::End::broken); });
+    simulation_.engine.in(simulation_.network.sample_delay(), [this, id] {
+      end_without_response(id, load::ClientResult::connection_lost);
+    });
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/simulated_clients.h
+++ b/src/emulator/simulated_clients.h
@@ -17,39 +17,42 @@
   /// Sends what is due, now and from now on.
   void send_due();
   /// A proxy's response reaches its client.
-  void answer(std::int64_t request, const FinalAnswer& answer);
+  void answer(std::int64_t request, const ClientResponse& answer);
   /// The front layer learns, late, that a proxy is up or down; a proxy that is down loses its
   /// requests.
   void proxy_started(int proxy);
   void proxy_stopped(int proxy);
   /// Whether all requests have ended, and no more are to come.
-  bool over() const { return load_.over(); }
+  bool is_finished() const { return load_.is_finished(); }
   /// For faults of the clients.
-  load::Load& load() { return load_; }
+  load::LoadGenerator& load() { return load_; }
 
  private:
   struct OpenRequest {
-    load::Try sent{};
-    Engine::Id timeout{};
-    Engine::Id leave{};
+    load::ClientAttempt attempt{};
+    Engine::TaskId timeout_timer{};
+    Engine::TaskId disconnect_timer{};
     int incarnation = 0;  // of the proxy that it was sent to
   };
 
-  void send(const load::Try& request);
+  void send(const load::ClientAttempt& request);
   void arrive(std::int64_t id);
-  void give_up(std::int64_t id);
-  void leave(std::int64_t id);
-  void break_off(std::int64_t id, load::End end);
-  void finish(const load::Try& request, load::End end, const FinalAnswer& answer);
-  void count(const load::Try& request, load::End end, const FinalAnswer& answer);
-  void record(const load::Try& request, load::End end, const FinalAnswer& answer);
-  void report_wrong_answer(const load::Try& request, const FinalAnswer& answer);
+  void time_out(std::int64_t id);
+  void disconnect(std::int64_t id);
+  void end_without_response(std::int64_t id, load::ClientResult end);
+  void finish(const load::ClientAttempt& request, load::ClientResult end,
+              const ClientResponse& answer);
+  void count(const load::ClientAttempt& request, load::ClientResult end,
+             const ClientResponse& answer);
+  void record(const load::ClientAttempt& request, load::ClientResult end,
+              const ClientResponse& answer);
+  void report_wrong_answer(const load::ClientAttempt& request, const ClientResponse& answer);
 
   Simulation& simulation_;
   Fleet& fleet_;
-  load::Load load_;
+  load::LoadGenerator load_;
   std::unordered_map<std::int64_t, OpenRequest> open_{};
-  Engine::Id load_timer_{};
+  Engine::TaskId load_timer_{};
 };
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/simulated_controller.cpp
+++ b/src/emulator/simulated_controller.cpp
@@ -56,7 +56,7 @@
 }
 
 void SimulatedController::decide() {
-  if (!rollout_ || silent_ || failing_)
+  if (!rollout_ || unresponsive_ || failing_)
     return;
   const TimePoint now = simulation_.engine.now();
   rollout_->set_electorate({membership_.promotion_electorate(), membership_.rollback_electorate()});
@@ -81,11 +81,11 @@
   for (; logged_changes_ < changes.size(); ++logged_changes_) {
     const rollout::Change& change = changes[logged_changes_];
     const char* phase = rollout::api_name(change.phase);
-    simulation_.summary.verdicts.push_back(
+    simulation_.summary.release_changes.push_back(
         {change.at, change.build, change.stage, phase, change.why});
     if (simulation_.log.notifications)
-      record::release_moved(*simulation_.log.notifications, change.at, change.build, change.stage,
-                            phase, change.why);
+      record::release_changed(*simulation_.log.notifications, change.at, change.build, change.stage,
+                              phase, change.why);
   }
 }
 
@@ -106,34 +106,38 @@
     return;
   const TimePoint now = simulation_.engine.now();
   if (simulation_.log.notifications)
-    record::told_news(*simulation_.log.notifications, now, proxy_name(proxy), published_.build,
-                      published_.stage, rollout::api_name(published_.phase), published_.cap);
+    record::release_notified(*simulation_.log.notifications, now, proxy_name(proxy),
+                             published_.build, published_.stage,
+                             rollout::api_name(published_.phase), published_.cap);
   ReleaseUpdate update = published_;
   update.since += now - published_at_;
-  simulation_.engine.in(simulation_.network.way(), [&to, update, incarnation = to.incarnation()] {
-    if (to.incarnation() == incarnation)
-      to.release_updated(update);
-  });
+  simulation_.engine.in(simulation_.network.sample_delay(),
+                        [&to, update, incarnation = to.incarnation()] {
+                          if (to.incarnation() == incarnation)
+                            to.release_updated(update);
+                        });
 }
 
 void SimulatedController::vote(int proxy, int build, int stage, Verdict verdict) {
   ++simulation_.summary.votes;
   const int incarnation = simulation_.proxies[proxy]->incarnation();
   if (!rollout_) {
-    answer_vote({proxy, incarnation}, 2 * simulation_.network.way(), Outcome::connect_failure);
+    answer_vote({proxy, incarnation}, 2 * simulation_.network.sample_delay(),
+                Outcome::connect_failure);
     return;
   }
   simulation_.engine.in(
-      simulation_.network.way(), [this, proxy, incarnation, build, stage, verdict] {
+      simulation_.network.sample_delay(), [this, proxy, incarnation, build, stage, verdict] {
         if (rollout_)
           count_vote({proxy, incarnation}, build, stage, verdict);
         else
-          answer_vote({proxy, incarnation}, simulation_.network.way(), Outcome::reset);
+          answer_vote({proxy, incarnation}, simulation_.network.sample_delay(), Outcome::reset);
       });
 }
 
 void SimulatedController::count_vote(Voter voter, int build, int stage, Verdict verdict) {
-  const bool counts = !failing_ && (!silent_ || simulation_.uniform_sample() < counted_share_);
+  const bool counts =
+      !failing_ && (!unresponsive_ || simulation_.uniform_sample() < counted_share_);
   const TimePoint now = simulation_.engine.now();
   Outcome outcome = Outcome::error;
   if (counts) {
@@ -141,13 +145,13 @@
     outcome = rollout_->vote(proxy_name(voter.proxy), build, stage, verdict, now);
   }
   if (simulation_.log.notifications)
-    record::voted(*simulation_.log.notifications, now, proxy_name(voter.proxy), build, stage,
-                  rollout::api_name(verdict), rollout::api_name(outcome));
-  if (silent_) {
+    record::vote_received(*simulation_.log.notifications, now, proxy_name(voter.proxy), build,
+                          stage, rollout::api_name(verdict), rollout::api_name(outcome));
+  if (unresponsive_) {
     answer_vote(voter, simulation_.day.deployment.vote_timeout, Outcome::timeout);
     return;
   }
-  answer_vote(voter, simulation_.network.way(), outcome);
+  answer_vote(voter, simulation_.network.sample_delay(), outcome);
   decide();
 }
 
@@ -165,8 +169,8 @@
                         simulation_.engine.now());
 }
 
-void SimulatedController::begin_heartbeats() {
-  const bool reachable = rollout_ && !silent_ && !failing_;
+void SimulatedController::start_heartbeats() {
+  const bool reachable = rollout_ && !unresponsive_ && !failing_;
   for (int proxy = 0; reachable && proxy < static_cast<int>(simulation_.proxies.size()); ++proxy)
     if (simulation_.proxies[proxy]->up())
       heartbeat(proxy);
@@ -174,7 +178,7 @@
   if (rollout_)
     membership_.set_canary_running(rollout_->release_update(now).phase == ReleasePhase::canary);
   membership_.expire(now);
-  simulation_.engine.in(heartbeat_interval, [this] { begin_heartbeats(); });
+  simulation_.engine.in(heartbeat_interval, [this] { start_heartbeats(); });
 }
 
 void SimulatedController::submit(const day::ScheduledRelease& offer) {
@@ -186,13 +190,13 @@
   decide();
 }
 
-void SimulatedController::fall_silent(double counted_share) {
-  silent_ = true;
+void SimulatedController::stop_answering_votes(double counted_share) {
+  unresponsive_ = true;
   counted_share_ = counted_share;
 }
 
 void SimulatedController::recover() {
-  silent_ = false;
+  unresponsive_ = false;
   failing_ = false;
   decide();
 }
--- a/src/emulator/simulated_controller.h
+++ b/src/emulator/simulated_controller.h
@@ -29,14 +29,14 @@
   /// Sends a proxy the present update.
   void notify(int proxy);
   /// Lets proxies send heartbeats from now on.
-  void begin_heartbeats();
+  void start_heartbeats();
 
   /// Updates reach the proxies this much later.
   void set_publish_delay(Duration delay) { publish_delay_ = delay; }
   /// From now on votes get no answer; this share of them counts all the same.
-  void fall_silent(double counted_share);
+  void stop_answering_votes(double counted_share);
   /// From now on votes are answered with an error.
-  void fail() { failing_ = true; }
+  void answer_votes_with_errors() { failing_ = true; }
   /// Ends both of these.
   void recover();
 
@@ -65,10 +65,10 @@
   TimePoint last_publish_due_{};
   int published_version_ = 0;
   std::size_t logged_changes_ = 0;
-  bool silent_ = false;
+  bool unresponsive_ = false;
   bool failing_ = false;
   double counted_share_ = 0;  // of the votes, while silent
-  Engine::Id check_timer_{};
+  Engine::TaskId check_timer_{};
 };
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/simulated_proxy.cpp
+++ b/src/emulator/simulated_proxy.cpp
@@ -23,13 +23,13 @@
 
 SimulatedProxy::SimulatedProxy(Engine& engine, const deployment::Deployment& deployment,
                                const SimulatedProxySettings& settings, Fleet& fleet,
-                               Network& network, Ways ways)
+                               Network& network, Outputs ways)
     : engine_(engine),
       deployment_(deployment),
       settings_(settings),
       fleet_(fleet),
       network_(network),
-      ways_(std::move(ways)),
+      outputs_(std::move(ways)),
       last_attempt_id_(static_cast<std::uint64_t>(settings.number) << attempt_bits) {}
 
 void SimulatedProxy::start() {
@@ -60,7 +60,7 @@
     for (InFlightAttempt& attempt : request.attempts) {
       engine_.cancel(attempt.timer);
       if (!attempt.ended)
-        fleet_.gone(attempt.server, attempt.id);
+        fleet_.cancel(attempt.server, attempt.id);
     }
   }
   for (const Upstream& upstream : upstreams_)
@@ -72,7 +72,7 @@
   policy_.reset();
 }
 
-void SimulatedProxy::request_arrived(const load::Try& request, TimePoint deadline) {
+void SimulatedProxy::request_arrived(const load::ClientAttempt& request, TimePoint deadline) {
   const auto& request_class = deployment_.request_classes[request.request_class].request_class;
   const Duration remaining =
       std::min(std::max(Duration(1), deadline - request.at), request_class.deadline);
@@ -138,10 +138,10 @@
       break;
     case Action::subscribe:
     case Action::fetch:
-      ways_.refresh(settings_.number);
+      outputs_.refresh(settings_.number);
       break;
     case Action::vote:
-      ways_.vote(settings_.number, decision.build, decision.stage, decision.verdict);
+      outputs_.vote(settings_.number, decision.build, decision.stage, decision.verdict);
       break;
     case Action::wake:
       schedule_policy(decision.duration);
@@ -162,19 +162,20 @@
 
 void SimulatedProxy::reject(const Decision& decision) {
   InFlightRequest& request = requests_.at(decision.request_id);
-  finish(request, {.end = load::End::rejected,
+  finish(request, {.result = load::ClientResult::rejected,
                    .status = 503,
-                   .why = request.attempts.empty() ? "no-room" : rollout::api_name(request.last),
-                   .stay_away = decision.duration});
+                   .reason = request.attempts.empty() ? "no-room" : rollout::api_name(request.last),
+                   .retry_after = decision.duration});
   forget_if_done(decision.request_id);
 }
 
 void SimulatedProxy::fail(const Decision& decision) {
   InFlightRequest& request = requests_.at(decision.request_id);
   const bool late = request.attempts.empty() || request.last == Outcome::timeout;
-  finish(request, {.end = load::End::failed,
-                   .status = late ? 504 : 502,
-                   .why = request.attempts.empty() ? "expired" : rollout::api_name(request.last)});
+  finish(request,
+         {.result = load::ClientResult::failed,
+          .status = late ? 504 : 502,
+          .reason = request.attempts.empty() ? "expired" : rollout::api_name(request.last)});
   forget_if_done(decision.request_id);
 }
 
@@ -184,8 +185,8 @@
     return;
   attempt.cancelled = true;
   engine_.cancel(attempt.timer);
-  engine_.in(network_.way(),
-             [this, server = attempt.server, id = attempt.id] { fleet_.gone(server, id); });
+  engine_.in(network_.sample_delay(),
+             [this, server = attempt.server, id = attempt.id] { fleet_.cancel(server, id); });
   fail_attempt_later(attempt.id, Duration{}, Outcome::cancelled);
 }
 
@@ -206,7 +207,7 @@
   if (decision.duration > Duration{})
     timeout = std::min(timeout, decision.duration);
 
-  const Duration way = network_.way();
+  const Duration way = network_.sample_delay();
   const Connection connection = take_connection(upstream, way);
   if (!connection.available) {
     request.attempts[index].upstream = no_upstream;
@@ -234,7 +235,7 @@
   if (upstream.busy >= settings_.connections_per_server)
     return {.failure = Outcome::connect_failure};
   // Refused where nobody listens, closed at once where there are too many.
-  if (!fleet_.runs(upstream.server))
+  if (!fleet_.is_running(upstream.server))
     return {.failure_delay = 2 * way, .failure = Outcome::connect_failure};
   const int max_connections = fleet_.max_connections(upstream.server);
   if (max_connections > 0 && fleet_.connections(upstream.server) >= max_connections)
@@ -249,7 +250,7 @@
     return;
   Upstream& upstream = upstreams_[attempt.upstream];
   --upstream.busy;
-  if (!fleet_.runs(upstream.server))
+  if (!fleet_.is_running(upstream.server))
     return;
   const int max_connections = fleet_.max_connections(upstream.server);
   const bool stays_open =
@@ -274,7 +275,7 @@
     return;
   const AttemptPlace place = found->second;
   const int server = requests_.at(place.request_id).attempts[place.index].server;
-  engine_.in(network_.way(), [this, server, id] { fleet_.gone(server, id); });
+  engine_.in(network_.sample_delay(), [this, server, id] { fleet_.cancel(server, id); });
   attempt_ended(id, Outcome::timeout, {});
 }
 
@@ -288,24 +289,25 @@
   const InFlightAttempt& attempt = request.attempts[place.index];
   if (attempt.ended || attempt.cancelled)
     return;
-  if (!fleet_.runs(server)) {
+  if (!fleet_.is_running(server)) {
     attempt_ended(id, Outcome::reset, {});
     return;
   }
-  const load::Try& client_request = request.client_request;
+  const load::ClientAttempt& client_request = request.client_request;
   fleet_.arrive(server, {.id = id,
                          .proxy = settings_.number,
                          .request_class = client_request.request_class,
                          .attempt = static_cast<int>(place.index),
                          .request_id = place.request_id,
-                         .try_id = client_request.id,
+                         .client_attempt_id = client_request.id,
                          .work = client_request.work,
                          .key = client_request.key,
                          .poison = client_request.poison,
-                         .first = fresh_connection});
+                         .fresh_connection = fresh_connection});
 }
 
-void SimulatedProxy::attempt_ended(std::uint64_t id, Outcome outcome, const Answer& answer) {
+void SimulatedProxy::attempt_ended(std::uint64_t id, Outcome outcome,
+                                   const ServerResponse& answer) {
   const auto found = attempt_of_.find(id);
   if (found == attempt_of_.end())
     return;
@@ -320,19 +322,19 @@
   release_connection(attempt, outcome);
   request.last = outcome;
   LoadReport load;
-  if (answer.held >= 0) {
-    load.utilization = answer.busy;
-    load.in_flight = answer.held;
+  if (answer.in_flight >= 0) {
+    load.utilization = answer.utilization;
+    load.in_flight = answer.in_flight;
   }
   const bool answers = outcome == Outcome::ok && !request.answered;
   policy_->attempt_ended(place.request_id, static_cast<int>(place.index), outcome,
                          request.answered || answers, load, local_time());
   if (answers)
-    finish(request, {.end = load::End::succeeded,
+    finish(request, {.result = load::ClientResult::succeeded,
                      .status = 200,
-                     .why = "answered",
+                     .reason = "answered",
                      .server = attempt.server,
-                     .right = answer.right});
+                     .correct = answer.correct});
   forget_if_done(place.request_id);
   run_policy();
 }
@@ -349,15 +351,15 @@
       broken.push_back(id);
   std::sort(broken.begin(), broken.end());
   for (const std::uint64_t id : broken)
-    fail_attempt_later(id, network_.way(), Outcome::reset);
+    fail_attempt_later(id, network_.sample_delay(), Outcome::reset);
 }
 
-void SimulatedProxy::finish(InFlightRequest& request, const FinalAnswer& answer) {
+void SimulatedProxy::finish(InFlightRequest& request, const ClientResponse& answer) {
   if (request.answered)
     return;
   request.answered = true;
   request_of_.erase(request.client_request.id);
-  ways_.answer(request.client_request.id, answer);
+  outputs_.respond(request.client_request.id, answer);
 }
 
 void SimulatedProxy::forget_if_done(int request_id) {
--- a/src/emulator/simulated_proxy.h
+++ b/src/emulator/simulated_proxy.h
@@ -21,13 +21,13 @@
 namespace robinhoist::emulator {
 
 /// A proxy's response to a client.
-struct FinalAnswer {
-  load::End end = load::End::succeeded;
+struct ClientResponse {
+  load::ClientResult result = load::ClientResult::succeeded;
   int status = 200;  ///< of HTTP; 0: none came
-  const char* why = "";
+  const char* reason = "";
   int server = -1;  ///< that answered; -1: none did
-  bool right = true;
-  Duration stay_away{};  ///< as Retry-After says
+  bool correct = true;
+  Duration retry_after{};  ///< as Retry-After says
 };
 
 struct SimulatedProxySettings {
@@ -42,8 +42,8 @@
 class SimulatedProxy {
  public:
   /// What leaves the proxy now.
-  struct Ways {
-    std::function<void(std::int64_t client_request, const FinalAnswer&)> answer;
+  struct Outputs {
+    std::function<void(std::int64_t client_request, const ClientResponse&)> respond;
     std::function<void(int proxy, int build, int stage, Verdict verdict)> vote;
     /// Asks for the complete list.
     std::function<void(int proxy)> refresh;
@@ -52,7 +52,8 @@
   };
 
   SimulatedProxy(Engine& engine, const deployment::Deployment& deployment,
-                 const SimulatedProxySettings& settings, Fleet& fleet, Network& network, Ways ways);
+                 const SimulatedProxySettings& settings, Fleet& fleet, Network& network,
+                 Outputs ways);
 
   /// A process begins, with the list that the one before has cached, if any.
   void start();
@@ -63,7 +64,7 @@
   int incarnation() const { return incarnation_; }
 
   // Inputs. Those of updates, votes and servers do nothing while the proxy is down.
-  void request_arrived(const load::Try& request, TimePoint deadline);
+  void request_arrived(const load::ClientAttempt& request, TimePoint deadline);
   void client_disconnected(std::int64_t client_request);
   void endpoints_updated(const std::vector<registry::Endpoint>& endpoints, EndpointUpdateKind kind);
   /// `update.since` is its age now.
@@ -71,7 +72,7 @@
   void vote_answered(Outcome outcome);
   void answer_found_wrong(int server);
   /// The end of an attempt, as the network brings it.
-  void attempt_ended(std::uint64_t id, Outcome outcome, const Answer& answer);
+  void attempt_ended(std::uint64_t id, Outcome outcome, const ServerResponse& answer);
   void server_killed(int server);
 
   long attempts() const { return attempt_count_; }
@@ -86,10 +87,10 @@
     int upstream;  // no_upstream: it has no connection
     bool ended = false;
     bool cancelled = false;
-    Engine::Id timer{};
+    Engine::TaskId timer{};
   };
   struct InFlightRequest {
-    load::Try client_request{};
+    load::ClientAttempt client_request{};
     TimePoint deadline{};
     std::vector<InFlightAttempt> attempts{};
     bool answered = false;
@@ -130,7 +131,7 @@
   void fail_attempt_later(std::uint64_t id, Duration delay, Outcome outcome);
   void attempt_timed_out(std::uint64_t id);
   void deliver(std::uint64_t id, int server, bool fresh_connection);
-  void finish(InFlightRequest& request, const FinalAnswer& answer);
+  void finish(InFlightRequest& request, const ClientResponse& answer);
   void forget_if_done(int request_id);
 
   int upstream_index(const registry::Endpoint& endpoint);
@@ -143,7 +144,7 @@
   SimulatedProxySettings settings_;
   Fleet& fleet_;
   Network& network_;
-  Ways ways_;
+  Outputs outputs_;
   std::unique_ptr<Policy> policy_{};  // null: the proxy is down
   TimePoint started_at_{};
   int incarnation_ = 0;
@@ -156,7 +157,7 @@
   int last_request_id_ = 0;
   bool release_known_ = false;
   bool running_policy_ = false;
-  Engine::Id policy_timer_{};
+  Engine::TaskId policy_timer_{};
   std::uint64_t last_attempt_id_ = 0;
   long attempt_count_ = 0;
   long decisions_ = 0;
--- a/src/emulator/simulated_proxy_updates.cpp
+++ b/src/emulator/simulated_proxy_updates.cpp
@@ -28,7 +28,7 @@
     return found->second;
   if (endpoint.phase == EndpointPhase::removed)
     return no_upstream;
-  const int server = ways_.server_of(endpoint.name);
+  const int server = outputs_.server_of(endpoint.name);
   if (server < 0)
     return no_upstream;
   upstreams_.push_back({.server = server});
--- a/src/emulator/simulated_registry.cpp
+++ b/src/emulator/simulated_registry.cpp
@@ -70,15 +70,15 @@
 
 void SimulatedRegistry::send(int proxy, const EndpointList& endpoints, bool complete) {
   if (simulation_.log.notifications)
-    record::told_list(*simulation_.log.notifications, simulation_.engine.now(), proxy_name(proxy),
-                      *endpoints, complete);
+    record::endpoints_notified(*simulation_.log.notifications, simulation_.engine.now(),
+                               proxy_name(proxy), *endpoints, complete);
   SimulatedProxy& to = *simulation_.proxies[proxy];
-  simulation_.engine.in(
-      simulation_.network.way(), [&to, endpoints, complete, incarnation = to.incarnation()] {
-        if (to.incarnation() == incarnation)
-          to.endpoints_updated(*endpoints, complete ? EndpointUpdateKind::complete
-                                                    : EndpointUpdateKind::incremental);
-      });
+  simulation_.engine.in(simulation_.network.sample_delay(), [&to, endpoints, complete,
+                                                             incarnation = to.incarnation()] {
+    if (to.incarnation() == incarnation)
+      to.endpoints_updated(
+          *endpoints, complete ? EndpointUpdateKind::complete : EndpointUpdateKind::incremental);
+  });
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/simulated_servers.cpp
+++ b/src/emulator/simulated_servers.cpp
@@ -26,8 +26,8 @@
   return simulation_.day.initial_build;
 }
 
-bool SimulatedServers::runs(const Machine& machine) const {
-  return machine.server >= 0 && fleet_.runs(machine.server);
+bool SimulatedServers::is_running(const Machine& machine) const {
+  return machine.server >= 0 && fleet_.is_running(machine.server);
 }
 
 void SimulatedServers::execute(const rollout::Command& command) {
@@ -66,7 +66,7 @@
 
 void SimulatedServers::boot(int machine, bool cold) {
   const auto found = machines_.find(machine);
-  if (found == machines_.end() || runs(found->second))
+  if (found == machines_.end() || is_running(found->second))
     return;
   const day::Scenario& day = simulation_.day;
   Machine& booting = found->second;
@@ -108,7 +108,7 @@
     registry_.remove(stopping.name);
     return;
   }
-  fleet_.silence(stopping.server);
+  fleet_.hang(stopping.server);
   simulation_.engine.in(simulation_.day.silent_removal_delay,
                         [this, machine, name = stopping.name] {
                           const auto found = machines_.find(machine);
@@ -134,7 +134,7 @@
 std::vector<int> SimulatedServers::pick(double share) {
   std::vector<int> running;
   for (const auto& [id, machine] : machines_)
-    if (runs(machine) && !machine.draining)
+    if (is_running(machine) && !machine.draining)
       running.push_back(id);
   std::shuffle(running.begin(), running.end(), simulation_.random);
   const auto wanted =
@@ -147,7 +147,7 @@
                                         const std::function<void(int)>& function) const {
   for (const int id : machines) {
     const auto found = machines_.find(id);
-    if (found != machines_.end() && runs(found->second))
+    if (found != machines_.end() && is_running(found->second))
       function(found->second.server);
   }
 }
@@ -174,14 +174,14 @@
   return found == server_of_.end() ? -1 : found->second;
 }
 
-void SimulatedServers::begin_shared_harm() {
+void SimulatedServers::start_shared_slowdown() {
   double factor = 1;
   for (const day::ScheduledRelease& offer : simulation_.day.releases)
     if (offer.build.flaw == machine::Flaw::shared)
-      factor += (offer.build.strength - 1) *
+      factor += (offer.build.severity - 1) *
                 fleet_.share_of_traffic(offer.build.number, shared_harm_window);
-  fleet_.harm_all(factor);
-  simulation_.engine.in(shared_harm_interval, [this] { begin_shared_harm(); });
+  fleet_.set_shared_slowdown(factor);
+  simulation_.engine.in(shared_harm_interval, [this] { start_shared_slowdown(); });
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/simulated_servers.h
+++ b/src/emulator/simulated_servers.h
@@ -42,7 +42,7 @@
   /// -1: there is none of that name.
   int server_of(const std::string& name) const;
   /// Lets a build that harms all machines do so from now on.
-  void begin_shared_harm();
+  void start_shared_slowdown();
 
  private:
   struct Machine {
@@ -58,7 +58,7 @@
   void stop(int machine, bool silently);
   void list(int machine);
   const machine::Build& build(int number) const;
-  bool runs(const Machine& machine) const;
+  bool is_running(const Machine& machine) const;
 
   Simulation& simulation_;
   Fleet& fleet_;
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -115,7 +115,7 @@
   if (auto names = form.optional_child("policies")) {
     for (std::size_t i = 0; i < names->positional_count(); ++i) {
       policies.push_back(names->positional(i, "a policy"));
-      if (!emulator::policy_of(policies.back()))
+      if (!emulator::parse_policy(policies.back()))
         names->add_problem(policies.back() +
                            " is not one of module, random, round-robin, least-requests; the last "
                            "three may be followed by /never, /always or /threshold");
@@ -164,7 +164,7 @@
     for (const Row& row : rows) {
       Cell cell;
       cell.values = row;
-      cell.policy = emulator::policy_of(policy).value_or(emulator::PolicySpec{});
+      cell.policy = emulator::parse_policy(policy).value_or(emulator::PolicySpec{});
       if (policies.size() > 1)
         cell.values.push_back(policy);
       settings::SexpReader base =
@@ -181,7 +181,7 @@
       // Read again from the changed text, so that messages name the cell.
       cell.scenario = day::read(settings::SexpReader::from_text(
           cell.scenario_text, experiment.scenario_file + " (" + label + ")"));
-      if (const std::string reason = emulator::why_not(cell.scenario); !reason.empty())
+      if (const std::string reason = emulator::unsupported_reason(cell.scenario); !reason.empty())
         throw settings::ValidationError(
             experiment.scenario_file + ": cannot be emulated: " + reason, 1);
       experiment.digest_input += "\n" + policy + "\n" + cell.scenario_text;
--- a/src/lab/experiment_runner.cpp
+++ b/src/lab/experiment_runner.cpp
@@ -193,22 +193,22 @@
 MeasureValues run_cell(const Cell& cell, long seed) {
   const emulator::Summary summary = emulator::run(cell.scenario, seed, "", {}, cell.policy);
   MeasureValues values;
-  const double tries = std::max(1.0, static_cast<double>(summary.tries));
+  const double tries = std::max(1.0, static_cast<double>(summary.client_attempts));
   values["revenue"] =
-      summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 0;
+      summary.weight_offered > 0 ? 100 * summary.weight_in_time / summary.weight_offered : 0;
   values["declined"] = 100 * static_cast<double>(summary.rejected) / tries;
   values["voided"] = 100 * static_cast<double>(summary.failed) / tries;
-  values["submissions"] = static_cast<double>(summary.attempts) / tries;
-  if (!summary.took_ms.empty()) {
-    values["p50"] = quantile(summary.took_ms, 0.5);
-    values["p99"] = quantile(summary.took_ms, 0.99);
+  values["submissions"] = static_cast<double>(summary.proxy_attempts) / tries;
+  if (!summary.latencies_ms.empty()) {
+    values["p50"] = quantile(summary.latencies_ms, 0.5);
+    values["p99"] = quantile(summary.latencies_ms, 0.99);
   }
   std::map<int, TimePoint> begun, rolled_back;
-  for (const auto& verdict : summary.verdicts) {
+  for (const auto& verdict : summary.release_changes) {
     if (verdict.phase == "trial")
       begun.emplace(verdict.build, verdict.at);
     // A rollback because the next release was created is no verdict on the build.
-    if (verdict.phase == "going-back" && verdict.why != "the next build is offered")
+    if (verdict.phase == "going-back" && verdict.reason != "the next build is offered")
       rolled_back.emplace(verdict.build, verdict.at);
   }
   int good = 0, good_rolled_back = 0, bad = 0, bad_rolled_back = 0;
--- a/src/lab/fault_search.cpp
+++ b/src/lab/fault_search.cpp
@@ -121,9 +121,9 @@
   result.faults = std::move(faults);
   const emulator::Summary summary = emulator::run(scenario, seed, folder);
   result.priority_weight =
-      summary.max_weight > 0 ? 100 * summary.priority_weight / summary.max_weight : 100;
+      summary.weight_offered > 0 ? 100 * summary.weight_in_time / summary.weight_offered : 100;
   audit::Report report = audit::audit(folder);
-  if (!report.kept()) {
+  if (!report.passed()) {
     std::istringstream lines(audit::to_text(report));
     for (std::string line; std::getline(lines, line);)
       if (line.find("broken") != std::string::npos)
--- a/src/load/load.cpp
+++ b/src/load/load.cpp
@@ -10,54 +10,55 @@
 constexpr double wave_s = 20, burst_s = 2;  // the periods of two shapes
 }  // namespace
 
-const char* to_string(End end) {
+const char* to_string(ClientResult end) {
   static const char* const words[] = {"settled",   "declined", "voided",    "not-taken",
                                       "unreached", "broken",   "timed-out", "left"};
   return words[static_cast<int>(end)];
 }
 
-Load::Load(const Settings& settings, unsigned salt)
+LoadGenerator::LoadGenerator(const Settings& settings, unsigned salt)
     : settings_(settings),
       random_(salt),
-      dead_since_(settings.proxies, TimePoint(Duration(-1))),
+      down_since_(settings.proxies, TimePoint(Duration(-1))),
       up_(settings.proxies, true) {
   plan_arrival(TimePoint{});
 }
 
-double Load::uniform_sample() {
+double LoadGenerator::uniform_sample() {
   return boost::random::uniform_real_distribution<double>(0, 1)(random_);
 }
 
-double Load::rate_at(TimePoint now) const {
+double LoadGenerator::rate_at(TimePoint now) const {
   const double s = to_seconds(now.time_since_epoch());
   const double length = std::max(1e-6, to_seconds(settings_.length));
-  double factor = burst_ / std::max(0.01, 1 - poison_share_);
+  double factor = rate_factor_ / std::max(0.01, 1 - poison_share_);
   switch (settings_.shape) {
     case Shape::steady:
       break;
     case Shape::wave:
-      factor *= 1 + settings_.swing * std::sin(2 * 3.14159265358979 * s / wave_s);
+      factor *= 1 + settings_.amplitude * std::sin(2 * 3.14159265358979 * s / wave_s);
       break;
     case Shape::ramp:
-      factor *= 1 + settings_.swing * (2 * s / length - 1);
+      factor *= 1 + settings_.amplitude * (2 * s / length - 1);
       break;
     case Shape::bursty:
-      factor *= std::fmod(s, 2 * burst_s) < burst_s ? 1 + settings_.swing : 1 - settings_.swing;
+      factor *=
+          std::fmod(s, 2 * burst_s) < burst_s ? 1 + settings_.amplitude : 1 - settings_.amplitude;
       break;
   }
   return std::max(0.1, settings_.rate * factor);
 }
 
-void Load::plan_arrival(TimePoint from) {
+void LoadGenerator::plan_arrival(TimePoint from) {
   const double wait = boost::random::exponential_distribution<double>(rate_at(from))(random_);
   arrival_at_ = from + std::max(Duration(1), from_seconds(wait));
   if (arrival_at_ >= TimePoint(settings_.length))
     arrivals_over_ = true;
 }
 
-Try Load::fresh(TimePoint now) {
-  Try one;
-  one.id = one.first = next_id_++;
+ClientAttempt LoadGenerator::draw_request(TimePoint now) {
+  ClientAttempt one;
+  one.id = one.first_id = next_id_++;
   one.at = now;
   double at = uniform_sample();
   for (std::size_t p = 0; p < settings_.request_classes.size(); ++p) {
@@ -78,11 +79,12 @@
   }
   const RequestClass& request_class = settings_.request_classes[one.request_class];
   const double mean = to_seconds(request_class.work);
-  if (request_class.spread == Spread::exponential) {
+  if (request_class.distribution == WorkDistribution::exponential) {
     one.work = from_seconds(
         boost::random::exponential_distribution<double>(1 / std::max(1e-6, mean))(random_));
   } else {
-    const double sigma2 = std::log(1 + request_class.cv * request_class.cv);
+    const double sigma2 = std::log(1 + request_class.coefficient_of_variation *
+                                           request_class.coefficient_of_variation);
     one.work = from_seconds(boost::random::lognormal_distribution<double>(
         std::log(std::max(1e-6, mean)) - sigma2 / 2, std::sqrt(sigma2))(random_));
   }
@@ -92,121 +94,124 @@
 }
 
 // Over which proxy it goes, how long its client waits, and whether it leaves before.
-void Load::address(Try& one, TimePoint now) {
+void LoadGenerator::assign_proxy_and_timing(ClientAttempt& one, TimePoint now) {
   std::vector<int> known;
   for (int u = 0; u < settings_.proxies; ++u)
-    if (up_[u] || now < dead_since_[u] + settings_.notice)
+    if (up_[u] || now < down_since_[u] + settings_.failover_delay)
       known.push_back(u);
   if (known.empty())
     for (int u = 0; u < settings_.proxies; ++u)
       known.push_back(u);
-  if (hot_share_ > 0 && uniform_sample() < hot_share_)
-    known = hot_;
+  if (hot_proxies_share_ > 0 && uniform_sample() < hot_proxies_share_)
+    known = hot_proxies_;
   one.proxy = known[static_cast<std::size_t>(uniform_sample() * static_cast<double>(known.size()))];
   const RequestClass& request_class = settings_.request_classes[one.request_class];
-  double part = settings_.patience_least +
-                uniform_sample() * (settings_.patience_most - settings_.patience_least);
+  double part =
+      settings_.min_patience + uniform_sample() * (settings_.max_patience - settings_.min_patience);
   if (one.tenant == abuse_tenant_ && abuse_tries_ > 0)
     part = abuse_patience_;
-  one.until = now + from_seconds(to_seconds(request_class.deadline) * part);
-  one.leaves = uniform_sample() < settings_.leaves
-                   ? now + from_seconds(to_seconds(one.until - now) * uniform_sample())
-                   : TimePoint{};
+  one.deadline = now + from_seconds(to_seconds(request_class.deadline) * part);
+  one.disconnects_at = uniform_sample() < settings_.disconnect_share
+                           ? now + from_seconds(to_seconds(one.deadline - now) * uniform_sample())
+                           : TimePoint{};
 }
 
-std::optional<Try> Load::next(TimePoint now) {
-  Try one;
-  if (!due_.empty() && due_.top().at <= now && (arrivals_over_ || due_.top().at <= arrival_at_)) {
-    one = due_.top().one;
-    due_.pop();
+std::optional<ClientAttempt> LoadGenerator::next(TimePoint now) {
+  ClientAttempt one;
+  if (!scheduled_.empty() && scheduled_.top().at <= now &&
+      (arrivals_over_ || scheduled_.top().at <= arrival_at_)) {
+    one = scheduled_.top().attempt;
+    scheduled_.pop();
     one.at = now;
   } else if (!arrivals_over_ && arrival_at_ <= now) {
-    one = fresh(arrival_at_);
-    first_at_[one.first] = arrival_at_;
+    one = draw_request(arrival_at_);
+    first_at_[one.first_id] = arrival_at_;
     plan_arrival(arrival_at_);
   } else {
     return {};
   }
-  address(one, one.at);
+  assign_proxy_and_timing(one, one.at);
   const bool abused = one.tenant == abuse_tenant_ && abuse_tries_ > 0;
-  open_[one.id] = {one, first_at_[one.first], abused ? abuse_tries_ : settings_.retries};
+  open_[one.id] = {one, first_at_[one.first_id], abused ? abuse_tries_ : settings_.retries};
   return one;
 }
 
-std::optional<TimePoint> Load::next_at() const {
+std::optional<TimePoint> LoadGenerator::next_at() const {
   std::optional<TimePoint> at;
   if (!arrivals_over_)
     at = arrival_at_;
-  if (!due_.empty())
-    at = at ? std::min(*at, due_.top().at) : due_.top().at;
+  if (!scheduled_.empty())
+    at = at ? std::min(*at, scheduled_.top().at) : scheduled_.top().at;
   return at;
 }
 
-void Load::ended(std::int64_t id, End end, Duration stay_away, TimePoint now) {
+void LoadGenerator::attempt_ended(std::int64_t id, ClientResult end, Duration stay_away,
+                                  TimePoint now) {
   auto found = open_.find(id);
   if (found == open_.end())
     return;
-  const Open open = found->second;
+  const OpenAttempt open = found->second;
   open_.erase(found);
-  const RequestClass& request_class = settings_.request_classes[open.one.request_class];
-  const bool never_ran =
-      end == End::rejected || end == End::rejected_before_routing || end == End::unreached;
-  bool again = end != End::succeeded && end != End::left && open.one.number < open.retries &&
-               end != End::rejected_before_routing;
+  const RequestClass& request_class = settings_.request_classes[open.attempt.request_class];
+  const bool never_ran = end == ClientResult::rejected ||
+                         end == ClientResult::rejected_before_routing ||
+                         end == ClientResult::unreached;
+  bool again = end != ClientResult::succeeded && end != ClientResult::client_disconnected &&
+               open.attempt.number < open.retries && end != ClientResult::rejected_before_routing;
   if (again && !never_ran) {
     // An idempotent request may come again while its repeats are dropped, counted from its first
     // try.
-    if (request_class.repeats == Repeats::only_rejected)
+    if (request_class.retry_policy == RetryPolicy::only_rejected)
       again = false;
-    if (request_class.repeats == Repeats::within_memory)
+    if (request_class.retry_policy == RetryPolicy::within_dedup_window)
       again = request_class.dedup_window > Duration{} &&
               now + request_class.deadline < open.first_at + request_class.dedup_window;
   }
-  const bool abused = open.one.tenant == abuse_tenant_ && abuse_tries_ > 0;
+  const bool abused = open.attempt.tenant == abuse_tenant_ && abuse_tries_ > 0;
   Duration wait{};
   if (!abused) {
     const Duration drawn =
-        settings_.pause_least +
-        from_seconds(uniform_sample() * to_seconds(settings_.pause_most - settings_.pause_least));
-    if (settings_.pause == Pause::fixed)
+        settings_.min_backoff +
+        from_seconds(uniform_sample() * to_seconds(settings_.max_backoff - settings_.min_backoff));
+    if (settings_.backoff == Backoff::fixed)
       wait = drawn;
-    if (settings_.pause == Pause::growing)
-      wait = drawn * (1 << std::min(open.one.number, 6));
-    if (stay_away > Duration{} && uniform_sample() < settings_.heeds)
+    if (settings_.backoff == Backoff::exponential)
+      wait = drawn * (1 << std::min(open.attempt.number, 6));
+    if (stay_away > Duration{} && uniform_sample() < settings_.retry_after_compliance)
       wait = std::max(wait, stay_away);
   }
   // A client has only so much time over all its tries, and a keyed one only while the mark holds.
   const TimePoint at = now + wait;
   if (!again ||
-      (request_class.repeats == Repeats::within_memory &&
+      (request_class.retry_policy == RetryPolicy::within_dedup_window &&
        at + request_class.deadline >= open.first_at + request_class.dedup_window) ||
       (!abused && at >= open.first_at + request_class.deadline * (1 + open.retries))) {
-    first_at_.erase(open.one.first);
+    first_at_.erase(open.attempt.first_id);
     return;
   }
-  Try next = open.one;
+  ClientAttempt next = open.attempt;
   next.id = next_id_++;
   ++next.number;
-  due_.push({at, next.id, next});
+  scheduled_.push({at, next.id, next});
 }
 
-void Load::proxy(int number, bool up, TimePoint now) {
+void LoadGenerator::set_proxy_up(int number, bool up, TimePoint now) {
   up_[number] = up;
   if (!up)
-    dead_since_[number] = now;
+    down_since_[number] = now;
 }
 
-void Load::hot(std::vector<int> proxies, double share) {
-  hot_ = std::move(proxies);
-  hot_share_ = hot_.empty() ? 0 : share;
+void LoadGenerator::concentrate_on_proxies(std::vector<int> proxies, double share) {
+  hot_proxies_ = std::move(proxies);
+  hot_proxies_share_ = hot_proxies_.empty() ? 0 : share;
 }
 
-void Load::poison(int tenant, double share) {
+void LoadGenerator::set_poison_share(int tenant, double share) {
   poison_tenant_ = tenant;
   poison_share_ = share;
 }
 
-void Load::abuse(int tenant, int tries, double patience) {
+void LoadGenerator::set_retry_abuse(int tenant, int tries, double patience) {
   abuse_tenant_ = tenant;
   abuse_tries_ = tries;
   abuse_patience_ = patience;
--- a/src/load/load.h
+++ b/src/load/load.h
@@ -20,108 +20,108 @@
 namespace robinhoist::load {
 
 enum class Shape { steady, wave, ramp, bursty };
-enum class Spread { exponential, lognormal };
-enum class Pause { none, fixed, growing };
-enum class Repeats { always, within_memory, only_rejected };
+enum class WorkDistribution { exponential, lognormal };
+enum class Backoff { none, fixed, exponential };
+enum class RetryPolicy { always, within_dedup_window, only_rejected };
 
 struct RequestClass {
   double share = 1;
   Duration work{}, deadline{}, dedup_window{};
-  Spread spread = Spread::exponential;
-  double cv = 1;  // of a lognormal spread
-  Repeats repeats = Repeats::always;
+  WorkDistribution distribution = WorkDistribution::exponential;
+  double coefficient_of_variation = 1;  // of a lognormal spread
+  RetryPolicy retry_policy = RetryPolicy::always;
   bool keyed = false;
 };
 
 struct Settings {
   double rate = 100;  // requests a second, first tries
   Shape shape = Shape::steady;
-  double swing = 0;  // of the rate, up and down
+  double amplitude = 0;  // of the rate, up and down
   Duration length{};
   std::vector<RequestClass> request_classes{};
   std::vector<double> tenants{1};  // shares
   int proxies = 1, retries = 0;
-  double patience_least = 1, patience_most = 1;  // of the expiry, for one try
-  Pause pause = Pause::fixed;
-  Duration pause_least{}, pause_most{};
-  double heeds = 1;   // share of clients that stay away as long as they are told
-  double leaves = 0;  // share of tries that their client gives up in the middle
-  Duration notice{};  // the front layer goes on with a dead proxy for so long
+  double min_patience = 1, max_patience = 1;  // of the expiry, for one try
+  Backoff backoff = Backoff::fixed;
+  Duration min_backoff{}, max_backoff{};
+  double retry_after_compliance = 1;  // share of clients that stay away as long as they are told
+  double disconnect_share = 0;        // share of tries that their client gives up in the middle
+  Duration failover_delay{};          // the front layer goes on with a dead proxy for so long
 };
 
-struct Try {
-  std::int64_t id = 0, first = 0;  // of the request's first try
+struct ClientAttempt {
+  std::int64_t id = 0, first_id = 0;  // of the request's first try
   int number = 0, request_class = 0, tenant = 0, proxy = 0;
-  TimePoint at{}, until{};  // sent, and when its client gives this try up
-  TimePoint leaves{};       // 0, or when it hangs up before
+  TimePoint at{}, deadline{};  // sent, and when its client gives this try up
+  TimePoint disconnects_at{};  // 0, or when it hangs up before
   Duration work{};
   std::string key{};
   bool poison = false;  // fails wherever it goes
 };
 
-enum class End {
+enum class ClientResult {
   succeeded,
   rejected,
   failed,
   rejected_before_routing,
   unreached,
-  broken,
+  connection_lost,
   timed_out,
-  left
+  client_disconnected
 };
-const char* to_string(End end);
+const char* to_string(ClientResult end);
 
-class Load {
+class LoadGenerator {
  public:
-  Load(const Settings& settings, unsigned salt);
+  LoadGenerator(const Settings& settings, unsigned salt);
 
-  std::optional<Try> next(TimePoint now);
+  std::optional<ClientAttempt> next(TimePoint now);
   std::optional<TimePoint> next_at() const;
   // `stay_away`: as a reject told.
-  void ended(std::int64_t id, End end, Duration stay_away, TimePoint now);
-  bool over() const { return arrivals_over_ && due_.empty() && open_.empty(); }
+  void attempt_ended(std::int64_t id, ClientResult end, Duration stay_away, TimePoint now);
+  bool is_finished() const { return arrivals_over_ && scheduled_.empty() && open_.empty(); }
   std::size_t open() const { return open_.size(); }
 
   // Proxies that die and come back; the front layer learns of it late.
-  void proxy(int number, bool up, TimePoint now);
+  void set_proxy_up(int number, bool up, TimePoint now);
 
   // Troubles.
-  void burst(double times) { burst_ = times; }
-  void hot(std::vector<int> proxies, double share);
-  void poison(int tenant, double share);                           // on top of the usual; 0: over
-  void abuse(int tenant, int tries, double patience_of_deadline);  // 0 tries: over
+  void set_rate_factor(double times) { rate_factor_ = times; }
+  void concentrate_on_proxies(std::vector<int> proxies, double share);
+  void set_poison_share(int tenant, double share);  // on top of the usual; 0: over
+  void set_retry_abuse(int tenant, int tries, double patience_of_deadline);  // 0 tries: over
 
  private:
-  struct Later {
+  struct ScheduledAttempt {
     TimePoint at;
     std::int64_t order;
-    Try one;
-    bool operator>(const Later& other) const {
+    ClientAttempt attempt;
+    bool operator>(const ScheduledAttempt& other) const {
       return std::tie(at, order) > std::tie(other.at, other.order);
     }
   };
   double uniform_sample();
   double rate_at(TimePoint now) const;
   void plan_arrival(TimePoint from);
-  Try fresh(TimePoint now);
-  void address(Try& one, TimePoint now);
+  ClientAttempt draw_request(TimePoint now);
+  void assign_proxy_and_timing(ClientAttempt& one, TimePoint now);
 
   Settings settings_;
   std::minstd_rand random_;
   TimePoint arrival_at_{};
   bool arrivals_over_ = false;
-  std::priority_queue<Later, std::vector<Later>, std::greater<>> due_{};
-  struct Open {
-    Try one;
+  std::priority_queue<ScheduledAttempt, std::vector<ScheduledAttempt>, std::greater<>> scheduled_{};
+  struct OpenAttempt {
+    ClientAttempt attempt;
     TimePoint first_at;
     int retries;
   };
-  std::unordered_map<std::int64_t, Open> open_{};
+  std::unordered_map<std::int64_t, OpenAttempt> open_{};
   std::unordered_map<std::int64_t, TimePoint> first_at_{};
-  std::vector<TimePoint> dead_since_;
+  std::vector<TimePoint> down_since_;
   std::vector<bool> up_;
-  std::vector<int> hot_{};
-  double hot_share_ = 0, burst_ = 1, poison_share_ = 0, abuse_patience_ = 1;
+  std::vector<int> hot_proxies_{};
+  double hot_proxies_share_ = 0, rate_factor_ = 1, poison_share_ = 0, abuse_patience_ = 1;
   int poison_tenant_ = -1, abuse_tenant_ = -1, abuse_tries_ = 0;
   std::int64_t next_id_ = 1;
 };
--- a/src/machine/forms.cpp
+++ b/src/machine/forms.cpp
@@ -8,14 +8,14 @@
   Capacity to;
   to.cores = form.integer("cores", 1, 1024, 2);
   to.slots = form.integer("slots", 1, 100000, 8 * to.cores);
-  to.waiting_room = form.integer("waiting-room", 0, 100000, 32 * to.cores);
+  to.queue_capacity = form.integer("waiting-room", 0, 100000, 32 * to.cores);
   to.speed = form.number("speed", 0.01, 100, 1.0);
-  to.crowding = form.number("crowding", 0, 1, 0.0);
+  to.contention = form.number("crowding", 0, 1, 0.0);
   form.finish();
-  to.cold_from = deployment.initial_warm_up_factor;
-  to.cold_for = deployment.warm_up_time;
-  to.fall_multiple = deployment.collapse_multiple;
-  to.fall_window = deployment.collapse_window;
+  to.initial_warm_up_factor = deployment.initial_warm_up_factor;
+  to.warm_up_time = deployment.warm_up_time;
+  to.collapse_multiple = deployment.collapse_multiple;
+  to.collapse_window = deployment.collapse_window;
   return to;
 }
 
@@ -40,13 +40,13 @@
       bad->add_problem(how + " is none of errors, slow, product, load, late, wrong, shared");
     const bool factor = to.flaw == Flaw::slow || to.flaw == Flaw::load || to.flaw == Flaw::late ||
                         to.flaw == Flaw::shared;
-    to.strength = factor ? bad->number("times", 1, 100) : bad->number("share", 0, 1);
+    to.severity = factor ? bad->number("times", 1, 100) : bad->number("share", 0, 1);
     if (to.flaw == Flaw::load || to.flaw == Flaw::late)
-      to.failing = bad->number("failing", 0, 1, 0.1);
+      to.failure_share = bad->number("failing", 0, 1, 0.1);
     if (to.flaw == Flaw::load)
-      to.busy = bad->number("busy", 0, 1);
+      to.flaw_utilization = bad->number("busy", 0, 1);
     if (to.flaw == Flaw::late)
-      to.after = bad->duration("after", 0ms, 1h);
+      to.flaw_delay = bad->duration("after", 0ms, 1h);
     if (to.flaw == Flaw::request_class) {
       to.request_class = deployment.request_class(bad->text("product"));
       if (to.request_class < 0)
--- a/src/record/meta.cpp
+++ b/src/record/meta.cpp
@@ -26,14 +26,14 @@
   for (auto& [name, span] : std::initializer_list<std::pair<const char*, Duration>>{
            {"length_ms", meta.length},
            {"drain_grace_ms", meta.drain_grace},
-           {"window_ms", meta.window},
-           {"fall_window_ms", meta.fall_window},
-           {"cold_for_ms", meta.cold_for},
+           {"window_ms", meta.quota_window},
+           {"fall_window_ms", meta.collapse_window},
+           {"cold_for_ms", meta.warm_up_time},
            {"answer_slack_ms", meta.answer_slack}})
     out.put_ms(name, span);
-  out.put("free", meta.free)
-      .put("fall_multiple", meta.fall_multiple)
-      .put("cold_from", meta.cold_from);
+  out.put("free", meta.free_requests)
+      .put("fall_multiple", meta.collapse_multiple)
+      .put("cold_from", meta.initial_warm_up_factor);
   out.put("by_product", meta.by_request_class)
       .put("safe_only_stages", meta.safe_only_stages)
       .begin_array("caps");
@@ -77,13 +77,13 @@
     meta.endpoints = json::integer(document, "nodes");
     meta.length = json::duration(document, "length_ms");
     meta.drain_grace = json::duration(document, "drain_grace_ms");
-    meta.window = json::duration(document, "window_ms");
-    meta.fall_window = json::duration(document, "fall_window_ms");
-    meta.cold_for = json::duration(document, "cold_for_ms");
+    meta.quota_window = json::duration(document, "window_ms");
+    meta.collapse_window = json::duration(document, "fall_window_ms");
+    meta.warm_up_time = json::duration(document, "cold_for_ms");
     meta.answer_slack = json::duration(document, "answer_slack_ms");
-    meta.free = json::number(document, "free");
-    meta.fall_multiple = json::number(document, "fall_multiple");
-    meta.cold_from = json::number(document, "cold_from");
+    meta.free_requests = json::number(document, "free");
+    meta.collapse_multiple = json::number(document, "fall_multiple");
+    meta.initial_warm_up_factor = json::number(document, "cold_from");
     meta.by_request_class = json::boolean(document, "by_product");
     meta.safe_only_stages = json::integer(document, "safe_only_stages");
     for (auto& cap : json::array(document, "caps").GetArray())
--- a/src/record/meta.h
+++ b/src/record/meta.h
@@ -23,8 +23,9 @@
   std::vector<double> caps{};
   std::vector<std::string>
       steps{};  // of all releases, "build/id", in the order in which they must run
-  Duration length{}, drain_grace{}, window{}, fall_window{}, cold_for{}, answer_slack{};
-  double free = 0, fall_multiple = 0, cold_from = 0;
+  Duration length{}, drain_grace{}, quota_window{}, collapse_window{}, warm_up_time{},
+      answer_slack{};
+  double free_requests = 0, collapse_multiple = 0, initial_warm_up_factor = 0;
   bool by_request_class = false;
   int safe_only_stages = 0, proxies = 0, endpoints = 0;
   long seed = 0;
--- a/src/record/record.cpp
+++ b/src/record/record.cpp
@@ -15,7 +15,7 @@
   std::fclose(file_);
 }
 
-void Writer::line(const std::string& json) {
+void Writer::write_line(const std::string& json) {
   std::lock_guard lock(mutex_);
   std::fwrite(json.data(), 1, json.size(), file_);
   std::fputc('\n', file_);
--- a/src/record/record.h
+++ b/src/record/record.h
@@ -17,7 +17,7 @@
   ~Writer();
   Writer(const Writer&) = delete;
   Writer& operator=(const Writer&) = delete;
-  void line(const std::string& json);
+  void write_line(const std::string& json);
   void flush();
 
  private:
--- a/src/standin/database.cpp
+++ b/src/standin/database.cpp
@@ -131,15 +131,15 @@
   if (history_.empty() || history_.back() != run || std::string(result) != "more")
     history_.push_back(run);
   if (record_)
-    record_->line(json::Writer()
-                      .begin_object()
-                      .put("t", static_cast<long>(loop_.now().time_since_epoch().count()))
-                      .put("mark", mark)
-                      .put("undo", undo)
-                      .put("how", result)
-                      .put("after", static_cast<long>(after))
-                      .end_object()
-                      .text());
+    record_->write_line(json::Writer()
+                            .begin_object()
+                            .put("t", static_cast<long>(loop_.now().time_since_epoch().count()))
+                            .put("mark", mark)
+                            .put("undo", undo)
+                            .put("how", result)
+                            .put("after", static_cast<long>(after))
+                            .end_object()
+                            .text());
 }
 
 http::Response Database::timed_run(const std::string& body) {
--- a/src/standin/server_pool.cpp
+++ b/src/standin/server_pool.cpp
@@ -11,8 +11,8 @@
 }  // namespace
 
 struct ServerPool::Server {
-  Server(const ServerSpec& given, unsigned salt, TimePoint started, machine::Marks* marks,
-         const machine::SharedHarm* harm)
+  Server(const ServerSpec& given, unsigned salt, TimePoint started, machine::DedupStore* marks,
+         const machine::SharedSlowdown* harm)
       : spec(given), machine(given.capacity, given.build, salt, started, marks, harm) {}
   struct OpenRequest {
     http::ExchangePtr exchange;
@@ -60,9 +60,9 @@
   if (spec.cold)
     server->started = net::wall_now();
   if (record_)
-    record::node_started(*record_, loop_.now(),
-                         {spec.name, spec.zone, spec.cell, spec.build.number, server->started,
-                          spec.cold, spec.capacity.cores, spec.capacity.speed});
+    record::server_started(*record_, loop_.now(),
+                           {spec.name, spec.zone, spec.cell, spec.build.number, server->started,
+                            spec.cold, spec.capacity.cores, spec.capacity.speed});
   servers_[spec.name] = std::move(server);
   return port;
 }
@@ -86,9 +86,9 @@
   server.open.clear();
   server.http_server.reset();
   if (record_)
-    record::node_stopped(*record_, loop_.now(), name, server.machine.most_pushed(),
-                         server.machine.fallen());
-  statistics_.max_cold_load = std::max(statistics_.max_cold_load, server.machine.most_pushed());
+    record::server_stopped(*record_, loop_.now(), name, server.machine.max_cold_load(),
+                           server.machine.has_collapsed());
+  statistics_.max_cold_load = std::max(statistics_.max_cold_load, server.machine.max_cold_load());
   servers_.erase(at);
 }
 
@@ -102,17 +102,17 @@
 
 void ServerPool::set_slowdown(const std::string& name, double factor) {
   if (is_running(name))
-    servers_[name]->machine.slowed(factor);
+    servers_[name]->machine.set_slowdown(factor);
 }
 
 void ServerPool::set_failure_share(const std::string& name, double share) {
   if (is_running(name))
-    servers_[name]->machine.failing(share);
+    servers_[name]->machine.set_failure_share(share);
 }
 
 void ServerPool::set_stolen_core_share(const std::string& name, double share) {
   if (is_running(name))
-    servers_[name]->machine.neighbour(share);
+    servers_[name]->machine.set_stolen_core_share(share);
 }
 
 void ServerPool::limit_connections(const std::string& name, std::size_t max_connections) {
@@ -139,7 +139,7 @@
   if (!record_)
     return;
   const http::Headers& headers = request.headers;
-  record::node_met(
+  record::request_arrived(
       *record_, loop_.now(), event,
       {server.spec.name, server.spec.build.number, id, request_class, headers.get("Robinhoist-Txn"),
        headers.get("Robinhoist-Submission"), headers.get("X-Try"), headers.get("Idempotency-Key"),
@@ -192,26 +192,26 @@
                   : Duration(1ms);
   const Idempotency idempotency =
       deployment_.request_classes[request_class].request_class.idempotency;
-  work.effect = idempotency != Idempotency::idempotent;
+  work.has_effect = idempotency != Idempotency::idempotent;
   if (idempotency == Idempotency::idempotent_with_key)
     work.key = request.headers.get("Idempotency-Key");
   if (!request.headers.get("X-Poison").empty()) {
     record_request(server, "poison", request, request_class, work.id);
     return exchange->answer(http::json_response(500, "{\"error\":\"poison\"}"));
   }
-  const bool had_collapsed = server.machine.fallen();
-  const machine::Entry entry = server.machine.arrive(work, loop_.now());
-  if (!had_collapsed && server.machine.fallen()) {
+  const bool had_collapsed = server.machine.has_collapsed();
+  const machine::Admission entry = server.machine.arrive(work, loop_.now());
+  if (!had_collapsed && server.machine.has_collapsed()) {
     ++statistics_.collapsed;
     record_request(server, "fell", request, request_class, work.id);
   }
   ++statistics_.arrived;
   recent_arrivals_.emplace_back(loop_.now(), server.spec.build.number);
-  if (entry == machine::Entry::down) {
+  if (entry == machine::Admission::collapsed) {
     server.hung = true;  // until it is started again
     return leave_unanswered("down");
   }
-  if (entry == machine::Entry::full) {
+  if (entry == machine::Admission::full) {
     ++statistics_.rejected;
     record_request(server, "refused", request, request_class, work.id);
     http::Response full = http::text_response(503, "no room\n");
@@ -222,8 +222,8 @@
   server.open[work.id] = {exchange, request_class, delay};
   exchange->on_disconnect = [this, at = &server, id = work.id] {
     at->open.erase(id);
-    at->machine.called_off(id, settings_.cancellation != machine::Cancelled::nothing,
-                           settings_.cancellation == machine::Cancelled::all, loop_.now());
+    at->machine.cancel(id, settings_.cancellation != machine::CancellationMode::nothing,
+                       settings_.cancellation == machine::CancellationMode::all, loop_.now());
     schedule_completion(*at);
   };
   schedule_completion(server);
@@ -233,31 +233,33 @@
   loop_.cancel(server.timer);
   if (server.hung)
     return;
-  if (auto at = server.machine.next_at())
+  if (auto at = server.machine.next_completion_at())
     server.timer = loop_.at(*at, [this, server = &server] { complete_due_work(*server); });
 }
 
 void ServerPool::complete_due_work(Server& server) {
   server.timer = net::Loop::no_timer;
-  while (auto done = server.machine.next(loop_.now())) {
+  while (auto done = server.machine.next_completed(loop_.now())) {
     ++statistics_.completed;
-    statistics_.effects += done->effect;
-    const bool unready = done->how == machine::Ran::well && !server.spec.schema_query.empty() &&
-                         is_schema_ready && !is_schema_ready(server.spec.schema_query);
+    statistics_.effects += done->changed_data;
+    const bool unready = done->result == machine::WorkResult::ok &&
+                         !server.spec.schema_query.empty() && is_schema_ready &&
+                         !is_schema_ready(server.spec.schema_query);
     if (unready)
-      done->how = machine::Ran::wrong;
+      done->result = machine::WorkResult::wrong;
     auto at = server.open.find(done->id);
     const bool is_open = at != server.open.end();
     if (record_)
-      record::node_ran(*record_, loop_.now(), server.spec.name, done->id,
-                       unready ? "unready" : machine::to_string(done->how), done->effect);
+      record::work_completed(*record_, loop_.now(), server.spec.name, done->id,
+                             unready ? "unready" : machine::to_string(done->result),
+                             done->changed_data);
     if (!is_open)
       continue;  // the proxy has disconnected
     Server::OpenRequest open = std::move(at->second);
     server.open.erase(at);
     open.exchange->on_disconnect = nullptr;
     http::Response response =
-        done->how == machine::Ran::failed
+        done->result == machine::WorkResult::failed
             ? http::json_response(500, "{\"error\":\"failed\"}")
             : http::json_response(
                   200, json::Writer()
@@ -265,12 +267,12 @@
                            .put("product", deployment_.request_classes[open.request_class].name)
                            .put("node", server.spec.name)
                            .put("build", server.spec.build.number)
-                           .put("right", done->how != machine::Ran::wrong)
+                           .put("right", done->result != machine::WorkResult::wrong)
                            .end_object()
                            .text());
     char load[96];
     std::snprintf(load, sizeof load, "TEXT cpu_utilization=%.2f,named_metrics.held=%d",
-                  server.machine.busy(), server.machine.held());
+                  server.machine.utilization(), server.machine.in_flight());
     response.headers.add("endpoint-load-metrics", load);
     if (open.delay > Duration{}) {
       loop_.in(open.delay, [exchange = open.exchange, response] { exchange->answer(response); });
@@ -284,7 +286,7 @@
 ServerPool::Statistics ServerPool::statistics() const {
   Statistics statistics = statistics_;
   for (auto& [name, server] : servers_)
-    statistics.max_cold_load = std::max(statistics.max_cold_load, server->machine.most_pushed());
+    statistics.max_cold_load = std::max(statistics.max_cold_load, server->machine.max_cold_load());
   return statistics;
 }
 
--- a/src/standin/server_pool.h
+++ b/src/standin/server_pool.h
@@ -31,7 +31,7 @@
 struct PoolSettings {
   Duration dedup_window{};               ///< the servers share the marks of completed keys
   std::vector<Duration> default_work{};  ///< by request class, for requests without X-Work-Us
-  machine::Cancelled cancellation = machine::Cancelled::nothing;
+  machine::CancellationMode cancellation = machine::CancellationMode::nothing;
   std::size_t max_clients = 10000;  ///< connections that a server accepts
 };
 
@@ -100,8 +100,8 @@
   PoolSettings settings_;
   std::minstd_rand random_;
   record::Writer* record_;
-  machine::Marks completed_keys_;
-  machine::SharedHarm shared_slowdown_{};
+  machine::DedupStore completed_keys_;
+  machine::SharedSlowdown shared_slowdown_{};
   std::map<std::string, std::unique_ptr<Server>> servers_;
   std::deque<std::pair<TimePoint, int>> recent_arrivals_{};  // time and build
   std::int64_t next_id_ = 1;
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -39,10 +39,10 @@
         {"file", 300ms, 500ms, 200ms, Idempotency::idempotent_with_key, DedupScope::zone, 1}};
     meta.caps = {0.1, 1};
     meta.drain_grace = 1s;
-    meta.window = 2s;
-    meta.fall_window = 1s;
+    meta.quota_window = 2s;
+    meta.collapse_window = 1s;
     meta.answer_slack = 20ms;
-    meta.free = 1;
+    meta.free_requests = 1;
     meta.length = 10s;
   }
 
@@ -237,14 +237,14 @@
     const RuleReport& rule = r == 6 ? report.steps : report.rules[r - 1];
     auto wanted = written.wanted.find(r == 6 ? "steps" : std::to_string(r));
     if (wanted == written.wanted.end()) {
-      EXPECT_TRUE(rule.kept()) << r << ": " << rule.first_breach;
+      EXPECT_TRUE(rule.passed()) << r << ": " << rule.first_violation;
       continue;
     }
     const std::string how = wanted->second.substr(0, wanted->second.find(' '));
-    EXPECT_EQ(rule.kept(), how == "kept") << r << ": " << rule.first_breach;
+    EXPECT_EQ(rule.passed(), how == "kept") << r << ": " << rule.first_violation;
     if (how != wanted->second) {
-      EXPECT_NE(rule.first_breach.find(wanted->second.substr(how.size() + 1)), std::string::npos)
-          << rule.first_breach;
+      EXPECT_NE(rule.first_violation.find(wanted->second.substr(how.size() + 1)), std::string::npos)
+          << rule.first_violation;
     }
   }
 }
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -24,22 +24,22 @@
     engine.at(TimePoint(5us), [&] { order.push_back(22); });  // has passed: now
   });
   engine.at(TimePoint(20us), [&] { order.push_back(4); });
-  Engine::Id dropped = engine.at(TimePoint(15us), [&] { order.push_back(99); });
+  Engine::TaskId dropped = engine.at(TimePoint(15us), [&] { order.push_back(99); });
   engine.cancel(dropped);
   engine.cancel(dropped);
-  Engine::Id itself{};
+  Engine::TaskId itself{};
   itself = engine.at(TimePoint(30us), [&] {
     engine.cancel(itself);  // while it runs
     order.push_back(5);
   });
-  Engine::Id old = itself;
+  Engine::TaskId old = itself;
   engine.run(TimePoint(40us));
   engine.at(TimePoint(50us), [&] { order.push_back(6); });
   engine.cancel(old);  // its place belongs to another by now
   engine.run(TimePoint(60us));
   EXPECT_EQ(order, (std::vector<int>{1, 2, 22, 3, 4, 5, 6}));
   EXPECT_EQ(engine.now(), TimePoint(60us));
-  EXPECT_EQ(engine.planned(), 0u);
+  EXPECT_EQ(engine.pending_tasks(), 0u);
 }
 
 struct Queue {
@@ -50,7 +50,7 @@
 // tenth.
 Queue queue(int cores, int slots, double rate, int count) {
   Engine engine;
-  machine::Capacity capacity{.cores = cores, .slots = slots, .waiting_room = 1000000};
+  machine::Capacity capacity{.cores = cores, .slots = slots, .queue_capacity = 1000000};
   machine::Machine server(capacity, machine::Build{.number = 1}, 1, long_ago, nullptr);
   std::minstd_rand chance(7);
   boost::random::exponential_distribution<double> gap(rate), work(100);
@@ -58,7 +58,7 @@
   double sum = 0, area = 0;
   long done = 0, next = 0, held = 0;
   TimePoint last{}, counted_from{};
-  Engine::Id timer{};
+  Engine::TaskId timer{};
   const auto moved = [&](long by) {
     if (next > count / 10)
       area += static_cast<double>(held) * static_cast<double>((engine.now() - last).count());
@@ -69,11 +69,11 @@
   };
   std::function<void()> finish, plan = [&] {
     engine.cancel(timer);
-    if (auto at = server.next_at())
+    if (auto at = server.next_completion_at())
       timer = engine.at(*at, [&] { finish(); });
   };
   finish = [&] {
-    while (auto one = server.next(engine.now())) {
+    while (auto one = server.next_completed(engine.now())) {
       moved(-1);
       if (one->id > count / 10) {
         sum += static_cast<double>((engine.now() - began[one->id]).count());
@@ -154,7 +154,7 @@
   // Without a record it is the same run.
   EXPECT_EQ(run(day, 3, "").events, a.events);
   audit::Report report = audit::audit(folder("a"));
-  EXPECT_TRUE(report.kept()) << audit::to_text(report);
+  EXPECT_TRUE(report.passed()) << audit::to_text(report);
   for (const char* name : {"a", "b", "c"})
     fs::remove_all(folder(name));
 }
@@ -163,7 +163,7 @@
 TEST(Run, sends_the_bad_release_back_and_the_good_one_out) {
   for (long seed : {1, 2, 3}) {
     std::map<int, std::string> last;
-    for (const auto& verdict : run(day_of(), seed, "").verdicts)
+    for (const auto& verdict : run(day_of(), seed, "").release_changes)
       last[verdict.build] = verdict.phase;
     EXPECT_EQ(last[2], "released") << seed;
     EXPECT_EQ(last[3], "withdrawn") << seed;
@@ -175,28 +175,28 @@
 TEST(Run, plays_baselines_beside_the_module) {
   const auto ends = [](const char* policy) {
     std::map<int, std::string> last;
-    for (const auto& verdict : run(day_of(), 1, "", {}, *policy_of(policy)).verdicts)
+    for (const auto& verdict : run(day_of(), 1, "", {}, *parse_policy(policy)).release_changes)
       last[verdict.build] = verdict.phase;
     return last[2] + " " + last[3];
   };
   EXPECT_EQ(ends("least-requests/never"), "released released");
   EXPECT_EQ(ends("random/always"), "withdrawn withdrawn");
   EXPECT_EQ(ends("round-robin"), "released withdrawn");
-  EXPECT_FALSE(policy_of("module/never"));
-  EXPECT_FALSE(policy_of("best"));
+  EXPECT_FALSE(parse_policy("module/never"));
+  EXPECT_FALSE(parse_policy("best"));
 }
 
 TEST(Run, bears_days_at_the_edge) {
   // Hardly any traffic; one umpire; far more umpires than txns; one node for all; work of no
   // length.
-  EXPECT_LT(run(day_of("(rate 150)", "(rate 0.1)"), 1, "").asked, 20);
+  EXPECT_LT(run(day_of("(rate 150)", "(rate 0.1)"), 1, "").requested, 20);
   EXPECT_GT(run(day_of("(umpires 2)", "(umpires 1)"), 1, "").succeeded, 1000);
   const Summary many = run(day_of("(umpires 2)", "(umpires 200)"), 1, "");
-  EXPECT_GT(many.succeeded, many.asked * 9 / 10);
+  EXPECT_GT(many.succeeded, many.requested * 9 / 10);
   const Summary crowded = run(day_of("(places 8)", "(places 1)"), 1, "");
-  EXPECT_EQ(crowded.tries, crowded.succeeded + crowded.rejected + crowded.failed +
-                               crowded.unreached + crowded.broken + crowded.left +
-                               crowded.timed_out);
+  EXPECT_EQ(crowded.client_attempts, crowded.succeeded + crowded.rejected + crowded.failed +
+                                         crowded.unreached + crowded.connection_lost +
+                                         crowded.client_disconnected + crowded.timed_out);
   EXPECT_GT(crowded.rejected + crowded.failed, 100);
   // No delay at all: everything happens in the same microsecond, in the order in which it was
   // planned.
@@ -273,7 +273,7 @@
 
 TEST(Run, refuses_a_day_with_a_database) {
   const day::Scenario day = day::read(settings::SexpReader::from_file(ROOT "/days/steps.day"));
-  EXPECT_NE(why_not(day), "");
+  EXPECT_NE(unsupported_reason(day), "");
   EXPECT_THROW(run(day, 1, ""), std::runtime_error);
 }
 
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -334,30 +334,30 @@
   void run_line(const Words& words) {
     const std::string& keyword = words[0];
     if (keyword == "cold") {
-      capacity_.cold_for = milliseconds(words[1]);
-      capacity_.fall_window = 1s;
+      capacity_.warm_up_time = milliseconds(words[1]);
+      capacity_.collapse_window = 1s;
     } else if (keyword == "bad") {
       set_flaw(words[1], std::stod(words[2]));
     } else if (keyword == "arrive") {
       for (int i = 0; i < std::stoi(words[1]); ++i) {
         machine::Work work{next_id_++, std::stoi(words[2]), milliseconds(words[3]),
                            words.size() > 4 ? words[4] : "", words.size() > 4};
-        const machine::Entry entry = server().arrive(work, now_);
-        ++counts_[entry == machine::Entry::taken  ? "taken"
-                  : entry == machine::Entry::full ? "full"
-                                                  : "down"];
+        const machine::Admission entry = server().arrive(work, now_);
+        ++counts_[entry == machine::Admission::accepted ? "taken"
+                  : entry == machine::Admission::full   ? "full"
+                                                        : "down"];
       }
     } else if (keyword == "run") {
       for (const TimePoint until = now_ + milliseconds(words[1]); now_ < until; now_ += 1ms)
-        while (auto done = server().next(now_)) {
-          ++counts_[done->how == machine::Ran::well     ? "well"
-                    : done->how == machine::Ran::failed ? "failed"
-                    : done->how == machine::Ran::wrong  ? "wrong"
-                                                        : "repeat"];
-          counts_["effects"] += done->effect;
+        while (auto done = server().next_completed(now_)) {
+          ++counts_[done->result == machine::WorkResult::ok       ? "well"
+                    : done->result == machine::WorkResult::failed ? "failed"
+                    : done->result == machine::WorkResult::wrong  ? "wrong"
+                                                                  : "repeat"];
+          counts_["effects"] += done->changed_data;
         }
     } else if (keyword == "slow") {
-      server().slowed(std::stod(words[1]));
+      server().set_slowdown(std::stod(words[1]));
     } else if (keyword == "expect") {
       EXPECT_TRUE(tests::compare(counts_[words[1]], words[2], std::stod(words[3])))
           << counts_[words[1]];
@@ -383,16 +383,16 @@
                                                      {"late", machine::Flaw::late},
                                                      {"wrong", machine::Flaw::wrong}};
     build_.flaw = flaws.at(name);
-    build_.strength = strength;
+    build_.severity = strength;
     build_.request_class = 1;
-    build_.failing = 1;
-    build_.busy = 0.4;
-    build_.after = 500ms;
+    build_.failure_share = 1;
+    build_.flaw_utilization = 0.4;
+    build_.flaw_delay = 500ms;
   }
 
-  machine::Capacity capacity_{.cores = 2, .slots = 4, .waiting_room = 2};
+  machine::Capacity capacity_{.cores = 2, .slots = 4, .queue_capacity = 2};
   machine::Build build_{.number = 1};
-  machine::Marks marks_{200ms};
+  machine::DedupStore marks_{200ms};
   std::unique_ptr<machine::Machine> machine_{};
   TimePoint now_{1s};
   std::map<std::string, double> counts_{};
@@ -421,20 +421,20 @@
   always.share = only_rejected.share = 0.5;
   always.work = only_rejected.work = 10ms;
   always.deadline = only_rejected.deadline = 1s;
-  only_rejected.repeats = load::Repeats::only_rejected;
+  only_rejected.retry_policy = load::RetryPolicy::only_rejected;
   settings.request_classes = {always, only_rejected};
   std::vector<std::string> requests[2];
   for (auto& list : requests) {
-    load::Load load(settings, 11);
+    load::LoadGenerator load(settings, 11);
     std::map<int, int> most_repeats;
-    for (TimePoint now{}; !load.over(); now += 1ms)
+    for (TimePoint now{}; !load.is_finished(); now += 1ms)
       while (auto client_try = load.next(now)) {
         list.push_back(std::to_string(client_try->id) + "/" +
                        std::to_string(client_try->request_class) + "/" +
                        std::to_string(client_try->work.count()));
         int& most = most_repeats[client_try->request_class];
         most = std::max(most, client_try->number);
-        load.ended(client_try->id, load::End::failed, Duration{}, now);
+        load.attempt_ended(client_try->id, load::ClientResult::failed, Duration{}, now);
       }
     EXPECT_EQ(most_repeats[0], 2);
     EXPECT_EQ(most_repeats[1], 0);
--- a/tests/soak/observer.cpp
+++ b/tests/soak/observer.cpp
@@ -30,12 +30,12 @@
   meta.length = 10s;
   meta.answer_slack = 500ms;  // an answer up to so late earns nothing, but it is not lost
   meta.drain_grace = 1s + socket_slack;
-  meta.window = 2s;
-  meta.fall_window = 1s;
-  meta.cold_for = 1s;
-  meta.free = 1;
-  meta.fall_multiple = 4;
-  meta.cold_from = 0.3;
+  meta.quota_window = 2s;
+  meta.collapse_window = 1s;
+  meta.warm_up_time = 1s;
+  meta.free_requests = 1;
+  meta.collapse_multiple = 4;
+  meta.initial_warm_up_factor = 0.3;
   meta.caps = {1};
   meta.tenants = {"all"};
   meta.request_classes = {{.name = "look", .latency_objective = 300ms, .deadline = 400ms},
@@ -85,46 +85,46 @@
 }
 
 void Observer::proxy_started() {
-  record::proxy_life(proxies_, loop_.now(), proxy_name, "start");
+  record::proxy_process_event(proxies_, loop_.now(), proxy_name, "start");
 }
 
 void Observer::proxy_ended() {
-  record::proxy_life(proxies_, loop_.now(), proxy_name, "stop");
+  record::proxy_process_event(proxies_, loop_.now(), proxy_name, "stop");
 }
 
 void Observer::endpoint_started(const std::string& name) {
-  record::node_started(endpoints_, loop_.now(),
-                       {.endpoint = name,
-                        .zone = zone,
-                        .cell = 1,
-                        .build = 1,
-                        .started = {},
-                        .cold = false,
-                        .cores = 1,
-                        .speed = 1});
+  record::server_started(endpoints_, loop_.now(),
+                         {.endpoint = name,
+                          .zone = zone,
+                          .cell = 1,
+                          .build = 1,
+                          .started = {},
+                          .cold = false,
+                          .cores = 1,
+                          .speed = 1});
 }
 
 void Observer::list_told(const std::vector<registry::Endpoint>& entries, bool complete) {
-  record::told_list(told_, loop_.now(), proxy_name, entries, complete);
+  record::endpoints_notified(told_, loop_.now(), proxy_name, entries, complete);
 }
 
 void Observer::release_told() {
-  record::told_news(told_, loop_.now(), proxy_name, 1, 0, "released", 1);
+  record::release_notified(told_, loop_.now(), proxy_name, 1, 0, "released", 1);
 }
 
 long Observer::attempt_arrived(const Arrival& arrival, bool rejected) {
   const long work = next_work_++;
   const std::string name = std::string(proxy_name) + "." + arrival.request_id;
-  record::node_met(endpoints_, stalls_.earliest(), rejected ? "refused" : "taken",
-                   {.endpoint = arrival.endpoint,
-                    .build = 1,
-                    .id = work,
-                    .request_class = static_cast<int>(arrival.kind),
-                    .request_name = name,
-                    .attempt = "1",
-                    .try_id = arrival.request_id,
-                    .key = arrival.key,
-                    .work = "0"});
+  record::request_arrived(endpoints_, stalls_.earliest(), rejected ? "refused" : "taken",
+                          {.endpoint = arrival.endpoint,
+                           .build = 1,
+                           .work_id = work,
+                           .request_class = static_cast<int>(arrival.kind),
+                           .request_name = name,
+                           .attempt = "1",
+                           .client_attempt_id = arrival.request_id,
+                           .key = arrival.key,
+                           .work = "0"});
   check_arrival(arrival);
   return work;
 }
@@ -148,7 +148,7 @@
 }
 
 void Observer::attempt_ran(const std::string& endpoint, long work, const char* how, bool effect) {
-  record::node_ran(endpoints_, loop_.now(), endpoint, work, how, effect);
+  record::work_completed(endpoints_, loop_.now(), endpoint, work, how, effect);
 }
 
 void Observer::request_sent(const ClientRequest& request) {
@@ -168,23 +168,23 @@
 void Observer::request_ended(const ClientRequest& request, const char* end, int status,
                              bool right) {
   ++ends_[end];
-  record::tried(clients_, {.from = request.sent,
-                           .to = std::max(request.sent, stalls_.earliest()),
-                           .until = request.deadline,
-                           .id = request.id,
-                           .first = request.id,
-                           .number = 1,
-                           .request_class = static_cast<int>(request.kind),
-                           .tenant = 0,
-                           .proxy = proxy_name,
-                           .key = request.key,
-                           .poison = false,
-                           .end = end,
-                           .status = status,
-                           .why = "",
-                           .endpoint = "",
-                           .build = -1,
-                           .right = right});
+  record::client_attempt_ended(clients_, {.sent = request.sent,
+                                          .ended = std::max(request.sent, stalls_.earliest()),
+                                          .deadline = request.deadline,
+                                          .id = request.id,
+                                          .first_id = request.id,
+                                          .number = 1,
+                                          .request_class = static_cast<int>(request.kind),
+                                          .tenant = 0,
+                                          .proxy = proxy_name,
+                                          .key = request.key,
+                                          .poison = false,
+                                          .result = end,
+                                          .status = status,
+                                          .reason = "",
+                                          .endpoint = "",
+                                          .build = -1,
+                                          .correct = right});
 }
 
 void Observer::add_breach(const std::string& what) {
--- a/tests/soak/run.cpp
+++ b/tests/soak/run.cpp
@@ -175,10 +175,10 @@
                      .longest_stall = observer_.stalls().longest()};
     const audit::Report report = audit::audit(folder_);
     for (const audit::RuleReport& rule : report.rules)
-      if (!rule.kept())
+      if (!rule.passed())
         result.breaches.push_back(std::string(rule.name) + ": broken " +
-                                  std::to_string(rule.broken) +
-                                  " times, first: " + rule.first_breach);
+                                  std::to_string(rule.violations) +
+                                  " times, first: " + rule.first_violation);
     return result;
   }
 
