--- a/src/emulator/engine.h
+++ b/src/emulator/engine.h
@@ -1,5 +1,5 @@
-// Simulated time: tasks in the order of their times, ties in the order in which they were planned,
-// so that the same run is the same to the bit. One engine is one thread's.
+/// Event loop in simulated time. Tasks run in the order of their times, ties in the order in which
+/// they were scheduled, so that runs are reproducible bit for bit. An engine is used by one thread.
 #pragma once
 #include <algorithm>
 #include <chrono>
@@ -34,10 +34,10 @@
   std::uint64_t events() const { return events_; }
   std::size_t pending_tasks() const { return heap_.size(); }
 
-  // A time that has passed is now.
+  /// Schedules a task. A time in the past counts as now.
   template <class Task>
   TaskId at(TimePoint when, Task task) {
-    // Guards against captures that would need memory of their own for each event.
+    // Keeps captures small enough to be stored without an allocation for each event.
     static_assert(sizeof(Task) <= max_task_size && alignof(Task) <= alignof(std::max_align_t));
     std::uint32_t index;
     if (free_.empty()) {
@@ -49,15 +49,15 @@
     }
     Slot& slot = slots_[index];
     new (slot.storage) Task(std::move(task));
-    slot.invoke = [](void* at) { (*static_cast<Task*>(at))(); };
-    slot.destroy = [](void* at) { static_cast<Task*>(at)->~Task(); };
-    heap_.push_back({std::max(when, now_), next_++, index, slot.generation});
+    slot.invoke = [](void* storage) { (*static_cast<Task*>(storage))(); };
+    slot.destroy = [](void* storage) { static_cast<Task*>(storage)->~Task(); };
+    heap_.push_back({std::max(when, now_), next_order_++, index, slot.generation});
     std::push_heap(heap_.begin(), heap_.end(), later);
     return {index, slot.generation};
   }
   template <class Task>
-  TaskId in(Duration wait, Task task) {
-    return at(now_ + wait, std::move(task));
+  TaskId in(Duration delay, Task task) {
+    return at(now_ + delay, std::move(task));
   }
 
   void cancel(TaskId& id) {
@@ -66,7 +66,7 @@
     id = {};
   }
 
-  // Runs the next task that is due by `until`; false when there is none.
+  /// Runs the next task that is due by `until`; returns false when there is none.
   bool step(TimePoint until) {
     while (!heap_.empty()) {
       const Entry next = heap_.front();
@@ -79,7 +79,7 @@
         continue;  // cancelled
       now_ = next.at;
       ++events_;
-      // What it plans may move slots_ on, but a deque's elements stay where they are.
+      // The task may append to slots_; references to a deque's elements stay valid.
       running_ = next.slot;
       slot.invoke(slot.storage);
       running_ = none;
@@ -114,7 +114,7 @@
   }
   void release(std::uint32_t index) {
     if (index == running_)
-      return;  // it ends by itself
+      return;  // step() releases it when it returns
     Slot& slot = slots_[index];
     slot.destroy(slot.storage);
     slot.invoke = nullptr;
@@ -123,7 +123,7 @@
   }
 
   TimePoint now_{};
-  std::uint64_t next_ = 0, events_ = 0;
+  std::uint64_t next_order_ = 0, events_ = 0;
   std::uint32_t running_ = none;
   std::vector<Entry> heap_{};
   std::deque<Slot> slots_{};
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -49,7 +49,7 @@
       simulation_.sample_between(day.min_publish_delay, day.max_publish_delay));
 }
 
-// False: it is no fault of servers.
+// Returns false if it is not a fault of servers.
 bool FaultInjector::begin_server_fault(const Fault& fault) {
   Fleet& fleet = targets_.fleet;
   const double size = fault.magnitude;
@@ -94,7 +94,7 @@
   }
 }
 
-// False: it is no fault of clients.
+// Returns false if it is not a fault of clients.
 bool FaultInjector::begin_client_fault(const Fault& fault) {
   load::LoadGenerator& load = targets_.clients.load();
   const auto& deployment = simulation_.day.deployment;
@@ -147,8 +147,8 @@
     case FaultKind::proxy_roll:
       restart_proxies(fault);
       break;
-    case FaultKind::probe_fail:    // the decision module asks for no health checks
-    case FaultKind::watch_breaks:  // nothing is lost on the way here: a broken watch is resumed
+    case FaultKind::probe_fail:    // the decision module requests no health checks
+    case FaultKind::watch_breaks:  // no effect: a broken watch is resumed without losing events
     default:
       break;
   }
@@ -171,7 +171,7 @@
   }
 }
 
-// Another program takes a share of the cores, on and off.
+// Another program uses a share of the cores, on and off.
 void FaultInjector::take_cores(const Fault& fault) {
   const auto chosen =
       std::make_shared<const std::vector<int>>(targets_.servers.pick(fault.target_share));
@@ -210,7 +210,7 @@
   });
 }
 
-// A few proxies get a share of all traffic.
+// Sends a share of all traffic to a few proxies.
 void FaultInjector::concentrate_load(const Fault& fault) {
   const int proxies = simulation_.day.deployment.proxies;
   const int count = std::max(1, rounded(fault.target_share * proxies));
@@ -230,12 +230,12 @@
     chosen[proxy] = proxy;
   std::shuffle(chosen.begin(), chosen.end(), simulation_.random);
   const int count = std::clamp(rounded(fault.target_share * proxies), 1, proxies);
-  const bool in_turn = fault.kind == FaultKind::proxy_roll;
-  const int batch = in_turn ? std::max(1, static_cast<int>(fault.magnitude * proxies)) : proxies;
+  const bool rolling = fault.kind == FaultKind::proxy_roll;
+  const int batch = rolling ? std::max(1, static_cast<int>(fault.magnitude * proxies)) : proxies;
   const int batches = (count + batch - 1) / batch;
-  const Duration down = in_turn ? from_seconds(fault.extra) : fault.duration;
+  const Duration down = rolling ? from_seconds(fault.extra) : fault.duration;
   for (int i = 0; i < count; ++i) {
-    const Duration begins = in_turn ? fault.duration * (i / batch) / batches : Duration{};
+    const Duration begins = rolling ? fault.duration * (i / batch) / batches : Duration{};
     const int proxy = chosen[i];
     simulation_.engine.in(begins, [this, proxy] { targets_.processes.kill(proxy); });
     simulation_.engine.in(begins + down, [this, proxy] { targets_.processes.start(proxy); });
--- a/src/emulator/fault_injector.h
+++ b/src/emulator/fault_injector.h
@@ -12,7 +12,7 @@
 
 class FaultInjector {
  public:
-  /// The parts that faults act on.
+  /// The components that faults act on.
   struct Targets {
     Fleet& fleet;
     SimulatedServers& servers;
@@ -25,9 +25,9 @@
   FaultInjector(Simulation& simulation, const Targets& targets)
       : simulation_(simulation), targets_(targets) {}
 
-  /// Begins a fault now, and plans its end. The fault outlives the run.
+  /// Begins a fault now and schedules its end. `fault` must outlive the run.
   void begin(const day::Fault& fault);
-  /// Draws how late the registry and the controller notify in a scenario without such faults.
+  /// Draws the registry's and the controller's notification delays, which faults override.
   void draw_delays();
 
  private:
--- a/src/emulator/fleet.cpp
+++ b/src/emulator/fleet.cpp
@@ -6,19 +6,20 @@
 
 namespace robinhoist::emulator {
 namespace {
-constexpr Duration lately_most = std::chrono::seconds(1);
-// Wall clock of the record: any time will do that is not 'long ago'.
-constexpr std::int64_t wall_us = 1'700'000'000'000'000;
+constexpr Duration max_traffic_window = std::chrono::seconds(1);
+// Start of the wall clock in the event log. Must not be zero, which marks servers that started long
+// before.
+constexpr std::int64_t wall_clock_start_us = 1'700'000'000'000'000;
 }  // namespace
 
-Fleet::Fleet(Engine& engine, const deployment::Deployment& deployment, Duration memory,
-             machine::CancellationMode cancelled, unsigned salt, record::Writer* record)
+Fleet::Fleet(Engine& engine, const deployment::Deployment& deployment, Duration dedup_window,
+             machine::CancellationMode cancellation, unsigned salt, record::Writer* log)
     : engine_(engine),
       deployment_(deployment),
-      cancellation_(cancelled),
+      cancellation_(cancellation),
       random_(salt),
-      record_(record),
-      completed_keys_(memory) {}
+      log_(log),
+      completed_keys_(dedup_window) {}
 
 int Fleet::start(const ServerSpec& spec) {
   const TimePoint started = spec.cold ? engine_.now() : long_ago;
@@ -26,9 +27,9 @@
                                               &completed_keys_, &shared_slowdown_));
   Server& server = *servers_.back();
   if (spec.cold)
-    server.started = WallTime(engine_.now().time_since_epoch() + Duration(wall_us));
-  if (record_)
-    record::server_started(*record_, engine_.now(),
+    server.started = WallTime(engine_.now().time_since_epoch() + Duration(wall_clock_start_us));
+  if (log_)
+    record::server_started(*log_, engine_.now(),
                            {spec.name, deployment_.zones[spec.zone], spec.cell, spec.build.number,
                             server.started, spec.cold, spec.capacity.cores, spec.capacity.speed});
   return size() - 1;
@@ -40,9 +41,9 @@
     return;
   server.running = false;
   engine_.cancel(server.timer);
-  if (record_)
-    record::server_stopped(*record_, engine_.now(), server.spec.name,
-                           server.machine.max_cold_load(), server.machine.has_collapsed());
+  if (log_)
+    record::server_stopped(*log_, engine_.now(), server.spec.name, server.machine.max_cold_load(),
+                           server.machine.has_collapsed());
   server.open.clear();
   server.work_id_of.clear();
   server.connections = 0;
@@ -55,72 +56,74 @@
   engine_.cancel(servers_[index]->timer);
 }
 
-void Fleet::record_request(const Server& server, const char* what, const ServerRequest& sent,
-                           std::int64_t id) {
-  if (!record_)
+void Fleet::record_request(const Server& server, const char* event, const ServerRequest& request,
+                           std::int64_t work_id) {
+  if (!log_)
     return;
-  const std::string request_id = "umpire-" + std::to_string(sent.proxy) + "." +
-                                 std::to_string(sent.request_id),
-                    attempt = std::to_string(sent.attempt),
-                    try_id = std::to_string(sent.client_attempt_id),
-                    work = std::to_string(sent.work.count());
-  record::request_arrived(*record_, engine_.now(), what,
-                          {server.spec.name, server.spec.build.number, id, sent.request_class,
-                           request_id, attempt, try_id, sent.key, work});
+  const std::string request_id = "umpire-" + std::to_string(request.proxy) + "." +
+                                 std::to_string(request.request_id),
+                    attempt = std::to_string(request.attempt),
+                    client_attempt_id = std::to_string(request.client_attempt_id),
+                    work = std::to_string(request.work.count());
+  record::request_arrived(
+      *log_, engine_.now(), event,
+      {server.spec.name, server.spec.build.number, work_id, request.request_class, request_id,
+       attempt, client_attempt_id, request.key, work});
 }
 
-void Fleet::arrive(int index, const ServerRequest& sent) {
+void Fleet::arrive(int index, const ServerRequest& request) {
   Server& server = *servers_[index];
   if (!server.running)
     return;
-  const std::int64_t id = next_work_++;
-  const auto swallow = [&](const char* why) {
-    record_request(server, why, sent, id);
-    server.open[id] = {sent.id, -1, Duration{}};
-    server.work_id_of[sent.id] = id;
+  const std::int64_t id = next_work_id_++;
+  // Keeps the request open without ever responding.
+  const auto leave_unanswered = [&](const char* event) {
+    record_request(server, event, request, id);
+    server.open[id] = {request.id, -1, Duration{}};
+    server.work_id_of[request.id] = id;
   };
   if (server.hung)
-    return swallow("silent");
-  const Link there = link_between ? link_between(sent.proxy, server.spec.zone) : Link{};
-  if (there.cut)
-    return swallow("cut");
-  if (there.loss > 0 && std::uniform_real_distribution<double>(0, 1)(random_) < there.loss) {
-    record_request(server, "cut", sent, id);
-    return on_response(sent.id, {.status = ServerResponse::Status::connection_lost});
+    return leave_unanswered("silent");
+  const Link link = link_between ? link_between(request.proxy, server.spec.zone) : Link{};
+  if (link.cut)
+    return leave_unanswered("cut");
+  if (link.loss > 0 && std::uniform_real_distribution<double>(0, 1)(random_) < link.loss) {
+    record_request(server, "cut", request, id);
+    return on_response(request.id, {.status = ServerResponse::Status::connection_lost});
   }
-  if (sent.poison) {
-    record_request(server, "poison", sent, id);
-    return on_response(sent.id, {.status = ServerResponse::Status::failed});
+  if (request.poison) {
+    record_request(server, "poison", request, id);
+    return on_response(request.id, {.status = ServerResponse::Status::failed});
   }
   machine::Work work{.id = id,
-                     .request_class = sent.request_class,
-                     .work = sent.work,
+                     .request_class = request.request_class,
+                     .work = request.work,
                      .key = {},
                      .has_effect = false};
   const Idempotency idempotency =
-      deployment_.request_classes[sent.request_class].request_class.idempotency;
+      deployment_.request_classes[request.request_class].request_class.idempotency;
   work.has_effect = idempotency != Idempotency::idempotent;
   if (idempotency == Idempotency::idempotent_with_key)
-    work.key = sent.key;
-  const bool was_fallen = server.machine.has_collapsed();
-  const machine::Admission entry = server.machine.arrive(work, engine_.now());
-  if (!was_fallen && server.machine.has_collapsed())
-    record_request(server, "fell", sent, id);
+    work.key = request.key;
+  const bool had_collapsed = server.machine.has_collapsed();
+  const machine::Admission admission = server.machine.arrive(work, engine_.now());
+  if (!had_collapsed && server.machine.has_collapsed())
+    record_request(server, "fell", request, id);
   recent_arrivals_.emplace_back(engine_.now(), server.spec.build.number);
-  while (recent_arrivals_.front().first < engine_.now() - lately_most)
+  while (recent_arrivals_.front().first < engine_.now() - max_traffic_window)
     recent_arrivals_.pop_front();
-  if (entry == machine::Admission::collapsed) {
-    server.hung = true;  // for good
-    return swallow("down");
+  if (admission == machine::Admission::collapsed) {
+    server.hung = true;  // until the server is killed
+    return leave_unanswered("down");
   }
-  if (entry == machine::Admission::full) {
-    record_request(server, "refused", sent, id);
-    return on_response(sent.id, {.status = ServerResponse::Status::rejected});
+  if (admission == machine::Admission::full) {
+    record_request(server, "refused", request, id);
+    return on_response(request.id, {.status = ServerResponse::Status::rejected});
   }
-  record_request(server, "taken", sent, id);
-  server.open[id] = {sent.id, sent.request_class,
-                     there.delay + (sent.fresh_connection ? server.handshake_delay : Duration{})};
-  server.work_id_of[sent.id] = id;
+  record_request(server, "taken", request, id);
+  server.open[id] = {request.id, request.request_class,
+                     link.delay + (request.fresh_connection ? server.handshake_delay : Duration{})};
+  server.work_id_of[request.id] = id;
   schedule_completion(index);
 }
 
@@ -151,28 +154,28 @@
 void Fleet::complete_due_work(int index) {
   Server& server = *servers_[index];
   server.timer = {};
-  while (auto done = server.machine.next_completed(engine_.now())) {
-    if (record_)
-      record::work_completed(*record_, engine_.now(), server.spec.name, done->id,
-                             machine::to_string(done->result), done->changed_data);
-    auto at = server.open.find(done->id);
+  while (auto completed = server.machine.next_completed(engine_.now())) {
+    if (log_)
+      record::work_completed(*log_, engine_.now(), server.spec.name, completed->id,
+                             machine::to_string(completed->result), completed->changed_data);
+    auto at = server.open.find(completed->id);
     if (at == server.open.end())
-      continue;  // nobody waits for it any more
+      continue;  // the proxy has closed the connection
     const OpenRequest open = at->second;
     server.open.erase(at);
-    const ServerResponse answer{done->result == machine::WorkResult::failed
-                                    ? ServerResponse::Status::failed
-                                    : ServerResponse::Status::ok,
-                                done->result != machine::WorkResult::wrong,
-                                server.machine.utilization(), server.machine.in_flight()};
+    const ServerResponse response{completed->result == machine::WorkResult::failed
+                                      ? ServerResponse::Status::failed
+                                      : ServerResponse::Status::ok,
+                                  completed->result != machine::WorkResult::wrong,
+                                  server.machine.utilization(), server.machine.in_flight()};
     if (open.delay == Duration{}) {
       server.work_id_of.erase(open.id);
-      on_response(open.id, answer);
+      on_response(open.id, response);
     } else {
-      engine_.in(open.delay, [this, index, id = open.id, answer] {
+      engine_.in(open.delay, [this, index, id = open.id, response] {
         if (!servers_[index]->running || servers_[index]->work_id_of.erase(id) == 0)
           return;
-        on_response(id, answer);
+        on_response(id, response);
       });
     }
   }
@@ -182,11 +185,11 @@
 double Fleet::share_of_traffic(int build, Duration window) {
   while (!recent_arrivals_.empty() && recent_arrivals_.front().first < engine_.now() - window)
     recent_arrivals_.pop_front();
-  const auto its = std::count_if(recent_arrivals_.begin(), recent_arrivals_.end(),
-                                 [&](auto& one) { return one.second == build; });
+  const auto matching = std::count_if(recent_arrivals_.begin(), recent_arrivals_.end(),
+                                      [&](auto& arrival) { return arrival.second == build; });
   return recent_arrivals_.empty()
              ? 0
-             : static_cast<double>(its) / static_cast<double>(recent_arrivals_.size());
+             : static_cast<double>(matching) / static_cast<double>(recent_arrivals_.size());
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/network.h
+++ b/src/emulator/network.h
@@ -1,5 +1,5 @@
-// What the network does to a message: a delay with jitter. Cuts, slow links and losses are of the
-// way between an proxy and a zone, as in a day on sockets; they act where a server takes a request.
+/// Network delay of a message, with jitter. Cut, slow and lossy links lie between a proxy and a
+/// zone, as in scenarios on sockets; Fleet applies them when a request arrives at a server.
 #pragma once
 #include <random>
 
@@ -9,8 +9,8 @@
 namespace robinhoist::emulator {
 
 struct NetworkSettings {
-  Duration delay = std::chrono::microseconds(60);  // one way, as over loopback
-  double jitter = 0.3;                             // of the delay, up and down
+  Duration delay = std::chrono::microseconds(60);  // one way, about that of a loopback socket
+  double jitter = 0.3;                             // as a share of the delay, in both directions
 };
 
 class Network {
--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -8,10 +8,11 @@
 
 using namespace std::chrono_literals;
 
-class Module : public Policy {
+class DecisionModulePolicy : public Policy {
  public:
-  Module(unsigned salt, const EndpointSettings& endpoints, const CanaryQuotaSettings& canary_quota,
-         const AnalysisSettings& analysis, const RequestSettings& requests)
+  DecisionModulePolicy(unsigned salt, const EndpointSettings& endpoints,
+                       const CanaryQuotaSettings& canary_quota, const AnalysisSettings& analysis,
+                       const RequestSettings& requests)
       : policy_(salt, endpoints, canary_quota, analysis, requests) {}
   void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries,
                          TimePoint now) override {
@@ -39,13 +40,12 @@
   DecisionEngine policy_;
 };
 
-// One attempt for each request, to a listed endpoint by the book; what fails is failed, nothing is
-// sent again or rejected. A part of the requests equal to the cap goes to the release as a canary.
-// Where it votes by a threshold, it says 'back' when the canary's failures of the last seconds pass
-// a fixed share.
-class Baseline : public Policy {
+// Makes one attempt for each request, at an endpoint picked by a textbook rule. Never retries or
+// rejects. Sends a share of the requests equal to the cap to the canary. With threshold voting, it
+// votes to roll back when the canary's failures in a window exceed a fixed share.
+class BaselinePolicy : public Policy {
  public:
-  Baseline(const PolicySpec& spec, unsigned salt) : spec_(spec), random_(salt) {}
+  BaselinePolicy(const PolicySpec& spec, unsigned salt) : spec_(spec), random_(salt) {}
 
   void endpoints_updated(EndpointUpdateKind kind, const std::vector<EndpointInfo>& entries,
                          TimePoint) override {
@@ -53,26 +53,26 @@
       return;
     if (kind != EndpointUpdateKind::incremental)
       endpoints_.clear();
-    for (const EndpointInfo& one : entries) {
-      if (one.phase == EndpointPhase::ready)
-        endpoints_[one.endpoint] = one.build;
+    for (const EndpointInfo& entry : entries) {
+      if (entry.phase == EndpointPhase::ready)
+        endpoints_[entry.endpoint] = entry.build;
       else
-        endpoints_.erase(one.endpoint);
+        endpoints_.erase(entry.endpoint);
     }
   }
   void request_arrived(const RequestInfo& request, TimePoint) override {
-    requests_[request.request_id] = {.asked = request};
-    ready_.push_back(request.request_id);
+    requests_[request.request_id] = {.info = request};
+    arrived_.push_back(request.request_id);
   }
   void attempt_ended(int request, int, Outcome outcome, bool succeeded, const LoadReport&,
                      TimePoint now) override {
     auto at = requests_.find(request);
     if (at == requests_.end())
       return;
-    --out_[at->second.endpoint];
+    --in_flight_[at->second.endpoint];
     if (release_ && at->second.build == release_->build && release_->phase == ReleasePhase::canary)
-      trial_.emplace_back(now, outcome != Outcome::ok);
-    if (succeeded || at->second.left)
+      canary_results_.emplace_back(now, outcome != Outcome::ok);
+    if (succeeded || at->second.client_disconnected)
       requests_.erase(at);
     else
       ended_.push_back(request);
@@ -84,11 +84,11 @@
     if (at->second.endpoint < 0)
       requests_.erase(at);
     else
-      at->second.left = true;
+      at->second.client_disconnected = true;
   }
   void release_updated(const ReleaseUpdate& release, TimePoint) override {
     if (!release_ || release_->build != release.build) {
-      trial_.clear();
+      canary_results_.clear();
       voted_ = false;
     }
     release_ = release;
@@ -100,20 +100,20 @@
   bool knows(int request) const override { return requests_.count(request) > 0; }
 
   std::optional<Decision> next(TimePoint now) override {
-    while (!ready_.empty()) {
-      const int id = ready_.front();
-      ready_.pop_front();
+    while (!arrived_.empty()) {
+      const int id = arrived_.front();
+      arrived_.pop_front();
       auto at = requests_.find(id);
       if (at == requests_.end())
         continue;
-      const int endpoint = choose();
+      const int endpoint = pick_endpoint();
       if (endpoint < 0) {
         requests_.erase(at);
         return Decision{.action = Action::fail, .request_id = id};
       }
       at->second.endpoint = endpoint;
       at->second.build = endpoints_.at(endpoint);
-      ++out_[endpoint];
+      ++in_flight_[endpoint];
       return Decision{.action = Action::forward, .request_id = id, .endpoint = endpoint};
     }
     if (!ended_.empty()) {
@@ -126,51 +126,52 @@
   }
 
  private:
-  struct Held {
-    RequestInfo asked{};
+  struct OpenRequest {
+    RequestInfo info{};
     int endpoint = -1, build = -1;
-    bool left = false;
+    bool client_disconnected = false;
   };
   static constexpr Duration window = 5s;
-  static constexpr std::size_t enough = 20;
-  static constexpr double failed_most = 0.1;
+  static constexpr std::size_t min_results = 20;
+  static constexpr double max_failed_share = 0.1;
 
   double uniform_sample() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
-  int choose() {
-    const bool trial = release_ && release_->phase != ReleasePhase::released;
-    const bool young = !trial || uniform_sample() < release_->cap;
-    std::vector<int> among;
+  int pick_endpoint() {
+    const bool in_progress = release_ && release_->phase != ReleasePhase::released;
+    const bool use_canary = !in_progress || uniform_sample() < release_->cap;
+    std::vector<int> candidates;
     for (auto& [endpoint, build] : endpoints_)
-      if (!trial || (build == release_->build) == young)
-        among.push_back(endpoint);
-    // Nobody of that sort: the older build's, but never the canary's beyond its cap.
-    if (among.empty() && young)
+      if (!in_progress || (build == release_->build) == use_canary)
+        candidates.push_back(endpoint);
+    // Without canary endpoints the baseline takes the request; the canary never exceeds its cap.
+    if (candidates.empty() && use_canary)
       for (auto& [endpoint, build] : endpoints_)
         if (build != release_->build)
-          among.push_back(endpoint);
-    if (among.empty())
+          candidates.push_back(endpoint);
+    if (candidates.empty())
       return -1;
     if (spec_.routing == RoutingPolicy::random)
-      return among[static_cast<std::size_t>(uniform_sample() * static_cast<double>(among.size()))];
+      return candidates[static_cast<std::size_t>(uniform_sample() *
+                                                 static_cast<double>(candidates.size()))];
     if (spec_.routing == RoutingPolicy::round_robin)
-      return among[turn_++ % among.size()];
-    return *std::min_element(among.begin(), among.end(),
-                             [&](int a, int b) { return out_[a] < out_[b]; });
+      return candidates[next_turn_++ % candidates.size()];
+    return *std::min_element(candidates.begin(), candidates.end(),
+                             [&](int a, int b) { return in_flight_[a] < in_flight_[b]; });
   }
 
   std::optional<Decision> vote(TimePoint now) {
     if (!release_ || release_->phase != ReleasePhase::canary || voted_ ||
         spec_.voting == VotingPolicy::never)
       return {};
-    while (!trial_.empty() && trial_.front().first < now - window)
-      trial_.pop_front();
-    const auto failed =
-        std::count_if(trial_.begin(), trial_.end(), [](auto& one) { return one.second; });
-    const bool bad =
-        spec_.voting == VotingPolicy::always ||
-        (trial_.size() >= enough &&
-         static_cast<double>(failed) > failed_most * static_cast<double>(trial_.size()));
+    while (!canary_results_.empty() && canary_results_.front().first < now - window)
+      canary_results_.pop_front();
+    const auto failed = std::count_if(canary_results_.begin(), canary_results_.end(),
+                                      [](auto& result) { return result.second; });
+    const bool bad = spec_.voting == VotingPolicy::always ||
+                     (canary_results_.size() >= min_results &&
+                      static_cast<double>(failed) >
+                          max_failed_share * static_cast<double>(canary_results_.size()));
     if (!bad)
       return {};
     voted_ = true;
@@ -183,37 +184,37 @@
   PolicySpec spec_;
   std::minstd_rand random_;
   std::map<int, int> endpoints_{};  // build, by endpoint
-  std::map<int, int> out_{};
-  std::unordered_map<int, Held> requests_{};
-  std::deque<int> ready_{}, ended_{};
-  std::deque<std::pair<TimePoint, bool>> trial_{};
+  std::map<int, int> in_flight_{};
+  std::unordered_map<int, OpenRequest> requests_{};
+  std::deque<int> arrived_{}, ended_{};
+  std::deque<std::pair<TimePoint, bool>> canary_results_{};
   std::optional<ReleaseUpdate> release_{};
-  std::size_t turn_ = 0;
+  std::size_t next_turn_ = 0;
   bool voted_ = false;
 };
 
 }  // namespace
 
-std::optional<PolicySpec> parse_policy(const std::string& word) {
+std::optional<PolicySpec> parse_policy(const std::string& text) {
   PolicySpec spec;
-  const std::size_t slash = word.find('/');
-  const std::string route = word.substr(0, slash),
-                    votes = slash == std::string::npos ? "threshold" : word.substr(slash + 1);
-  if (route == "module")
+  const std::size_t slash = text.find('/');
+  const std::string routing = text.substr(0, slash),
+                    voting = slash == std::string::npos ? "threshold" : text.substr(slash + 1);
+  if (routing == "module")
     return slash == std::string::npos ? std::optional(spec) : std::nullopt;
-  if (route == "random")
+  if (routing == "random")
     spec.routing = RoutingPolicy::random;
-  else if (route == "round-robin")
+  else if (routing == "round-robin")
     spec.routing = RoutingPolicy::round_robin;
-  else if (route == "least-requests")
+  else if (routing == "least-requests")
     spec.routing = RoutingPolicy::least_requests;
   else
     return {};
-  if (votes == "never")
+  if (voting == "never")
     spec.voting = VotingPolicy::never;
-  else if (votes == "always")
+  else if (voting == "always")
     spec.voting = VotingPolicy::always;
-  else if (votes != "threshold")
+  else if (voting != "threshold")
     return {};
   return spec;
 }
@@ -224,8 +225,9 @@
                                     const AnalysisSettings& analysis,
                                     const RequestSettings& requests) {
   if (spec.routing == RoutingPolicy::module)
-    return std::make_unique<Module>(salt, endpoints, canary_quota, analysis, requests);
-  return std::make_unique<Baseline>(spec, salt);
+    return std::make_unique<DecisionModulePolicy>(salt, endpoints, canary_quota, analysis,
+                                                  requests);
+  return std::make_unique<BaselinePolicy>(spec, salt);
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -1,5 +1,5 @@
-// Who decides for an proxy in simulated time: the module, or a textbook baseline to compare it
-// with. Baselines keep no rule but the cap, and are no part of the request class.
+/// The policy of a proxy in simulated time: the decision module, or a textbook baseline to compare
+/// it with. Baselines observe no rule but the canary's cap, and are not part of the product.
 #pragma once
 #include <memory>
 #include <string>
@@ -26,20 +26,17 @@
 };
 
 enum class RoutingPolicy { module, random, round_robin, least_requests };
-enum class VotingPolicy {
-  never,
-  always,
-  threshold
-};  // of baselines; always: 'back' for every release
+/// Of baselines; always: votes to roll back every release.
+enum class VotingPolicy { never, always, threshold };
 
 struct PolicySpec {
   RoutingPolicy routing = RoutingPolicy::module;
   VotingPolicy voting = VotingPolicy::threshold;
 };
 
-// "module", or a baseline such as "least-requests", "random/never", "round-robin/always"; nothing
-// when it is none.
-std::optional<PolicySpec> parse_policy(const std::string& word);
+/// Parses "module", or a baseline such as "least-requests", "random/never" or "round-robin/always".
+/// Returns nothing for any other text.
+std::optional<PolicySpec> parse_policy(const std::string& text);
 
 std::unique_ptr<Policy> make_policy(const PolicySpec& spec, unsigned salt,
                                     const EndpointSettings& endpoints,
--- a/src/emulator/proxy_processes.h
+++ b/src/emulator/proxy_processes.h
@@ -1,4 +1,4 @@
-/// The proxies as processes in simulated time: they start, are killed, and come back.
+/// Starts, kills and restarts the proxies' processes in simulated time.
 #pragma once
 #include "emulator/simulated_clients.h"
 #include "emulator/simulated_controller.h"
@@ -13,11 +13,11 @@
                  SimulatedController& controller, SimulatedClients& clients)
       : simulation_(simulation), registry_(registry), controller_(controller), clients_(clients) {}
 
-  /// Nothing for a proxy that is up.
+  /// Starts a proxy; no effect if it is up.
   void start(int proxy);
-  /// Nothing for a proxy that is down.
+  /// Kills a proxy; no effect if it is down.
   void kill(int proxy);
-  /// Notes the orderly end of all that are up, at the end of the run.
+  /// Records the orderly stop of all proxies that are up, at the end of the run.
   void record_stops();
 
  private:
--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -17,10 +17,10 @@
 namespace robinhoist::emulator {
 namespace {
 
-// Requests still open this long after the scenario's end are left alone.
+// Time after the scenario's end that open requests may take; later ones are abandoned.
 constexpr Duration max_overtime = std::chrono::seconds(30);
-// A proxy's number stands in these upper bits of its attempts' ids.
-constexpr int proxy_bits = 40;
+// An attempt's id holds its proxy's number above these bits.
+constexpr int attempt_bits = 40;
 
 Duration longest_dedup_window(const day::Scenario& day) {
   Duration longest{};
@@ -29,8 +29,8 @@
   return longest;
 }
 
-Outcome outcome_of(ServerResponse::Status answer) {
-  switch (answer) {
+Outcome outcome_of(ServerResponse::Status status) {
+  switch (status) {
     case ServerResponse::Status::ok:
       return Outcome::ok;
     case ServerResponse::Status::failed:
@@ -62,7 +62,7 @@
       add_proxy(proxy, seed, policy);
   }
 
-  Summary play() {
+  Summary execute() {
     const day::Scenario& day = simulation_.day;
     Engine& engine = simulation_.engine;
     controller_.start();
@@ -71,7 +71,7 @@
     controller_.start_heartbeats();
     servers_.start_shared_slowdown();
     engine.run(simulation_.start);
-    plan_scenario();
+    schedule_scenario();
     clients_.send_due();
     const TimePoint end = simulation_.start + day.length;
     engine.run(end);
@@ -85,12 +85,12 @@
   void connect_servers() {
     servers_.on_started = [this](int machine) { controller_.machine_started(machine); };
     servers_.on_stopped = [this](int machine) { controller_.machine_stopped(machine); };
-    fleet_.on_response = [this](std::uint64_t attempt, const ServerResponse& answer) {
-      SimulatedProxy& proxy = *simulation_.proxies[attempt >> proxy_bits];
+    fleet_.on_response = [this](std::uint64_t attempt, const ServerResponse& response) {
+      SimulatedProxy& proxy = *simulation_.proxies[attempt >> attempt_bits];
       simulation_.engine.in(simulation_.network.sample_delay(),
-                            [&proxy, attempt, answer, incarnation = proxy.incarnation()] {
+                            [&proxy, attempt, response, incarnation = proxy.incarnation()] {
                               if (proxy.up() && proxy.incarnation() == incarnation)
-                                proxy.attempt_ended(attempt, outcome_of(answer.status), answer);
+                                proxy.attempt_ended(attempt, outcome_of(response.status), response);
                             });
     };
     fleet_.on_server_killed = [this](int server) {
@@ -105,15 +105,15 @@
     const LinkFaults& faults = simulation_.link_faults;
     const std::string& from = zones[proxy % zones.size()];
     const std::string& to = zones[zone];
-    Fleet::Link way;
+    Fleet::Link link;
     if (from == to)
-      return way;
-    way.cut = !faults.cut_zone.empty() && (from == faults.cut_zone || to == faults.cut_zone);
+      return link;
+    link.cut = !faults.cut_zone.empty() && (from == faults.cut_zone || to == faults.cut_zone);
     if (!faults.slow_zone.empty() && (from == faults.slow_zone || to == faults.slow_zone)) {
-      way.delay = faults.delay;
-      way.loss = faults.loss;
+      link.delay = faults.delay;
+      link.loss = faults.loss;
     }
-    return way;
+    return link;
   }
 
   void add_proxy(int number, long seed, const PolicySpec& policy) {
@@ -123,31 +123,31 @@
     settings.zone = static_cast<int>(number % deployment.zones.size());
     settings.salt = static_cast<unsigned>(1 + (seed * 7919 + number) % 2000000000);
     settings.policy = policy;
-    SimulatedProxy::Outputs ways;
-    ways.respond = [this](std::int64_t request, const ClientResponse& answer) {
+    SimulatedProxy::Outputs outputs;
+    outputs.respond = [this](std::int64_t request, const ClientResponse& response) {
       simulation_.engine.in(simulation_.network.sample_delay(),
-                            [this, request, answer] { clients_.answer(request, answer); });
+                            [this, request, response] { clients_.answer(request, response); });
     };
-    ways.vote = [this](int proxy, int build, int stage, Verdict verdict) {
+    outputs.vote = [this](int proxy, int build, int stage, Verdict verdict) {
       controller_.vote(proxy, build, stage, verdict);
     };
-    ways.refresh = [this](int proxy) {
+    outputs.refresh = [this](int proxy) {
       simulation_.engine.in(2 * simulation_.network.sample_delay(),
                             [this, proxy] { registry_.notify_complete(proxy); });
     };
-    ways.server_of = [this](const std::string& name) { return servers_.server_of(name); };
+    outputs.server_of = [this](const std::string& name) { return servers_.server_of(name); };
     simulation_.proxies.push_back(std::make_unique<SimulatedProxy>(
-        simulation_.engine, deployment, settings, fleet_, simulation_.network, std::move(ways)));
+        simulation_.engine, deployment, settings, fleet_, simulation_.network, std::move(outputs)));
   }
 
-  // What falls due in the scenario itself.
-  void plan_scenario() {
+  // Schedules the scenario's faults and releases.
+  void schedule_scenario() {
     faults_.draw_delays();
     for (const day::Fault& fault : simulation_.day.faults)
       simulation_.engine.at(simulation_.start + fault.at, [this, &fault] { faults_.begin(fault); });
-    for (const day::ScheduledRelease& offer : simulation_.day.releases)
-      simulation_.engine.at(simulation_.start + offer.at,
-                            [this, &offer] { controller_.submit(offer); });
+    for (const day::ScheduledRelease& release : simulation_.day.releases)
+      simulation_.engine.at(simulation_.start + release.at,
+                            [this, &release] { controller_.submit(release); });
   }
 
   Summary finish() {
@@ -175,20 +175,21 @@
 
 std::string unsupported_reason(const day::Scenario& day) {
   if (day.database)
-    return "it has a database, whose steps run on sockets only: play it with `robinhoist day`";
+    return "it has a database, whose migration steps run on sockets only; run it with `robinhoist "
+           "day`";
   return "";
 }
 
 Summary run(const day::Scenario& day, long seed, const std::string& folder,
             const NetworkSettings& network, const PolicySpec& policy) {
-  if (const std::string why = unsupported_reason(day); !why.empty())
-    throw std::runtime_error("the day can't be emulated: " + why);
+  if (const std::string reason = unsupported_reason(day); !reason.empty())
+    throw std::runtime_error("the scenario can't be emulated: " + reason);
   if (!folder.empty()) {
     std::filesystem::create_directories(folder);
     record::write(folder + "/meta.json", day::meta_of(day, seed));
     std::filesystem::remove(folder + "/database.jsonl");
   }
-  return Run(day, seed, folder, network, policy).play();
+  return Run(day, seed, folder, network, policy).execute();
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/run.h
+++ b/src/emulator/run.h
@@ -1,6 +1,6 @@
-// One scripted day in simulated time: the same notation, the same decision code, the same record as
-// on sockets. One run is one thread's, and the same to the bit for the same day and seed; many run
-// side by side.
+/// Runs a scenario in simulated time, with the same notation, decision code and event log as on
+/// sockets. A run uses one thread and is reproducible bit for bit for a scenario and seed; several
+/// can run in parallel.
 #pragma once
 #include <optional>
 #include <random>
@@ -15,13 +15,13 @@
 
 namespace robinhoist::emulator {
 
-// What is counted on the way, without a record.
+/// Counters of a run, kept with or without an event log.
 struct Summary {
   long requested = 0, client_attempts = 0, succeeded = 0, wrong = 0, rejected = 0, failed = 0,
        unreached = 0, connection_lost = 0, client_disconnected = 0, timed_out = 0,
        proxy_attempts = 0, votes = 0;
-  double weight_in_time = 0, weight_offered = 0;  // in time and right, of all that was asked
-  std::vector<double> latencies_ms{};             // of succeeded tries, all
+  double weight_in_time = 0, weight_offered = 0;  // weight_in_time: of correct answers in time
+  std::vector<double> latencies_ms{};             // of all attempts of clients that succeeded
   struct ReleaseChange {
     TimePoint at;
     int build, stage;
@@ -33,10 +33,10 @@
   double max_cold_load = 0;
 };
 
-// Whether a day can be played here: empty, or why not.
+/// Why a scenario can't be run in simulated time; empty: it can.
 std::string unsupported_reason(const day::Scenario& day);
 
-// `folder` empty: no record. Throws std::runtime_error.
+/// Writes the event log into the folder, unless it is empty. Throws std::runtime_error.
 Summary run(const day::Scenario& day, long seed, const std::string& folder,
             const NetworkSettings& network = {}, const PolicySpec& policy = {});
 
--- a/src/emulator/simulated_clients.cpp
+++ b/src/emulator/simulated_clients.cpp
@@ -8,7 +8,7 @@
 namespace robinhoist::emulator {
 namespace {
 
-// A client learns this soon that nobody listens.
+// Time until a client's connection to a proxy that is down is refused.
 constexpr Duration refusal_time = std::chrono::milliseconds(1);
 
 }  // namespace
@@ -20,37 +20,37 @@
 
 void SimulatedClients::send_due() {
   simulation_.engine.cancel(load_timer_);
-  while (const auto request = load_.next(simulation_.load_time()))
-    send(*request);
+  while (const auto attempt = load_.next(simulation_.load_time()))
+    send(*attempt);
   if (const auto next = load_.next_at())
     load_timer_ = simulation_.engine.at(simulation_.engine_time(*next), [this] { send_due(); });
 }
 
-void SimulatedClients::send(const load::ClientAttempt& request) {
+void SimulatedClients::send(const load::ClientAttempt& attempt) {
   Summary& summary = simulation_.summary;
   Engine& engine = simulation_.engine;
   const day::Scenario& day = simulation_.day;
   ++summary.client_attempts;
-  if (request.number == 0) {
+  if (attempt.number == 0) {
     ++summary.requested;
     summary.weight_offered +=
-        day.deployment.request_classes[request.request_class].request_class.priority_weight;
+        day.deployment.request_classes[attempt.request_class].request_class.priority_weight;
   }
-  const std::int64_t id = request.id;
+  const std::int64_t id = attempt.id;
   OpenRequest& open = open_[id];
-  open.attempt = request;
-  const SimulatedProxy& proxy = *simulation_.proxies[request.proxy];
+  open.attempt = attempt;
+  const SimulatedProxy& proxy = *simulation_.proxies[attempt.proxy];
   open.incarnation = proxy.incarnation();
   if (!proxy.up()) {
     engine.in(refusal_time,
               [this, id] { end_without_response(id, load::ClientResult::unreached); });
     return;
   }
-  const TimePoint deadline = simulation_.engine_time(request.deadline);
+  const TimePoint deadline = simulation_.engine_time(attempt.deadline);
   open.timeout_timer = engine.at(deadline + 2 * day.answer_slack, [this, id] { time_out(id); });
-  if (request.disconnects_at > TimePoint{})
+  if (attempt.disconnects_at > TimePoint{})
     open.disconnect_timer =
-        engine.at(simulation_.engine_time(request.disconnects_at), [this, id] { disconnect(id); });
+        engine.at(simulation_.engine_time(attempt.disconnects_at), [this, id] { disconnect(id); });
   engine.in(simulation_.network.sample_delay(), [this, id] { arrive(id); });
 }
 
@@ -65,77 +65,77 @@
     end_without_response(id, load::ClientResult::connection_lost);
     return;
   }
-  load::ClientAttempt request = open.attempt;
-  const TimePoint deadline = simulation_.engine_time(request.deadline);
-  request.at = simulation_.engine_time(request.at);
-  proxy.request_arrived(request, deadline);
+  load::ClientAttempt attempt = open.attempt;
+  const TimePoint deadline = simulation_.engine_time(attempt.deadline);
+  attempt.at = simulation_.engine_time(attempt.at);
+  proxy.request_arrived(attempt, deadline);
 }
 
 void SimulatedClients::time_out(std::int64_t id) {
   const auto found = open_.find(id);
   if (found == open_.end())
     return;
-  const load::ClientAttempt request = found->second.attempt;
-  simulation_.proxies[request.proxy]->client_disconnected(id);
-  finish(request, load::ClientResult::timed_out, {.status = 0});
+  const load::ClientAttempt attempt = found->second.attempt;
+  simulation_.proxies[attempt.proxy]->client_disconnected(id);
+  finish(attempt, load::ClientResult::timed_out, {.status = 0});
 }
 
 void SimulatedClients::disconnect(std::int64_t id) {
   const auto found = open_.find(id);
   if (found == open_.end())
     return;
-  const load::ClientAttempt request = found->second.attempt;
-  SimulatedProxy& proxy = *simulation_.proxies[request.proxy];
+  const load::ClientAttempt attempt = found->second.attempt;
+  SimulatedProxy& proxy = *simulation_.proxies[attempt.proxy];
   if (proxy.up())
     proxy.client_disconnected(id);
-  finish(request, load::ClientResult::client_disconnected, {.status = 0});
+  finish(attempt, load::ClientResult::client_disconnected, {.status = 0});
 }
 
 // The request ends without a response.
-void SimulatedClients::end_without_response(std::int64_t id, load::ClientResult end) {
+void SimulatedClients::end_without_response(std::int64_t id, load::ClientResult result) {
   const auto found = open_.find(id);
   if (found == open_.end())
     return;
-  const load::ClientAttempt request = found->second.attempt;
-  finish(request, end, {.status = 0});
+  const load::ClientAttempt attempt = found->second.attempt;
+  finish(attempt, result, {.status = 0});
 }
 
-void SimulatedClients::answer(std::int64_t request, const ClientResponse& answer) {
-  const auto found = open_.find(request);
+void SimulatedClients::answer(std::int64_t id, const ClientResponse& response) {
+  const auto found = open_.find(id);
   if (found == open_.end())
     return;
-  const load::ClientAttempt sent = found->second.attempt;
-  finish(sent, answer.result, answer);
+  const load::ClientAttempt attempt = found->second.attempt;
+  finish(attempt, response.result, response);
 }
 
-void SimulatedClients::finish(const load::ClientAttempt& request, load::ClientResult end,
-                              const ClientResponse& answer) {
-  const auto found = open_.find(request.id);
+void SimulatedClients::finish(const load::ClientAttempt& attempt, load::ClientResult result,
+                              const ClientResponse& response) {
+  const auto found = open_.find(attempt.id);
   if (found == open_.end())
     return;
   simulation_.engine.cancel(found->second.timeout_timer);
   simulation_.engine.cancel(found->second.disconnect_timer);
   open_.erase(found);
-  count(request, end, answer);
-  record(request, end, answer);
-  if (end == load::ClientResult::succeeded)
-    report_wrong_answer(request, answer);
-  load_.attempt_ended(request.id, end, answer.retry_after, simulation_.load_time());
+  count(attempt, result, response);
+  record(attempt, result, response);
+  if (result == load::ClientResult::succeeded)
+    report_wrong_answer(attempt, response);
+  load_.attempt_ended(attempt.id, result, response.retry_after, simulation_.load_time());
   send_due();
 }
 
-void SimulatedClients::count(const load::ClientAttempt& request, load::ClientResult end,
-                             const ClientResponse& answer) {
+void SimulatedClients::count(const load::ClientAttempt& attempt, load::ClientResult result,
+                             const ClientResponse& response) {
   Summary& summary = simulation_.summary;
   const auto& request_class =
-      simulation_.day.deployment.request_classes[request.request_class].request_class;
-  const Duration took = simulation_.engine.now() - simulation_.engine_time(request.at);
-  switch (end) {
+      simulation_.day.deployment.request_classes[attempt.request_class].request_class;
+  const Duration took = simulation_.engine.now() - simulation_.engine_time(attempt.at);
+  switch (result) {
     case load::ClientResult::succeeded:
       ++summary.succeeded;
-      summary.wrong += answer.correct ? 0 : 1;
+      summary.wrong += response.correct ? 0 : 1;
       summary.latencies_ms.push_back(static_cast<double>(took.count()) / 1e3);
-      if (answer.correct)
+      if (response.correct)
         summary.weight_in_time +=
             request_class.priority_weight *
             (took <= request_class.latency_objective ? 1 : request_class.late_weight_share);
@@ -163,43 +163,43 @@
   }
 }
 
-void SimulatedClients::record(const load::ClientAttempt& request, load::ClientResult end,
-                              const ClientResponse& answer) {
+void SimulatedClients::record(const load::ClientAttempt& attempt, load::ClientResult result,
+                              const ClientResponse& response) {
   if (!simulation_.log.clients)
     return;
-  const bool from_server = answer.server >= 0;
+  const bool from_server = response.server >= 0;
   record::client_attempt_ended(
       *simulation_.log.clients,
-      {.sent = simulation_.engine_time(request.at),
+      {.sent = simulation_.engine_time(attempt.at),
        .ended = simulation_.engine.now(),
-       .deadline = simulation_.engine_time(request.deadline),
-       .id = request.id,
-       .first_id = request.first_id,
-       .number = request.number,
-       .request_class = request.request_class,
-       .tenant = request.tenant,
-       .proxy = proxy_name(request.proxy),
-       .key = request.key,
-       .poison = request.poison,
-       .result = load::to_string(end),
-       .status = answer.status,
-       .reason = answer.reason,
-       .endpoint = from_server ? fleet_.spec(answer.server).name : std::string_view(),
-       .build = from_server ? static_cast<double>(fleet_.spec(answer.server).build.number) : -1.0,
-       .correct = answer.correct});
+       .deadline = simulation_.engine_time(attempt.deadline),
+       .id = attempt.id,
+       .first_id = attempt.first_id,
+       .number = attempt.number,
+       .request_class = attempt.request_class,
+       .tenant = attempt.tenant,
+       .proxy = proxy_name(attempt.proxy),
+       .key = attempt.key,
+       .poison = attempt.poison,
+       .result = load::to_string(result),
+       .status = response.status,
+       .reason = response.reason,
+       .endpoint = from_server ? fleet_.spec(response.server).name : std::string_view(),
+       .build = from_server ? static_cast<double>(fleet_.spec(response.server).build.number) : -1.0,
+       .correct = response.correct});
 }
 
-// Some clients report a wrong answer, and some a right one.
-void SimulatedClients::report_wrong_answer(const load::ClientAttempt& request,
-                                           const ClientResponse& answer) {
+// A share of the clients reports wrong answers; a few report correct ones by mistake.
+void SimulatedClients::report_wrong_answer(const load::ClientAttempt& attempt,
+                                           const ClientResponse& response) {
   const day::Scenario& day = simulation_.day;
   const double share =
-      answer.correct ? day.false_report_share : day.deployment.wrong_answer_report_share;
+      response.correct ? day.false_report_share : day.deployment.wrong_answer_report_share;
   if (simulation_.uniform_sample() >= share)
     return;
-  SimulatedProxy& proxy = *simulation_.proxies[request.proxy];
+  SimulatedProxy& proxy = *simulation_.proxies[attempt.proxy];
   simulation_.engine.in(simulation_.sample_between(day.min_report_delay, day.max_report_delay),
-                        [&proxy, server = answer.server] { proxy.answer_found_wrong(server); });
+                        [&proxy, server = response.server] { proxy.answer_found_wrong(server); });
 }
 
 void SimulatedClients::proxy_started(int proxy) {
--- a/src/emulator/simulated_clients.h
+++ b/src/emulator/simulated_clients.h
@@ -1,5 +1,5 @@
-/// The clients in simulated time: they send what the load generator hands out, wait, leave and
-/// report.
+/// The clients in simulated time: they send the load generator's requests, wait for responses,
+/// time out, disconnect and report wrong answers.
 #pragma once
 #include <cstdint>
 #include <unordered_map>
@@ -14,17 +14,17 @@
  public:
   SimulatedClients(Simulation& simulation, Fleet& fleet, long seed);
 
-  /// Sends what is due, now and from now on.
+  /// Sends the requests that are due, and schedules the next ones.
   void send_due();
   /// A proxy's response reaches its client.
-  void answer(std::int64_t request, const ClientResponse& answer);
-  /// The front layer learns, late, that a proxy is up or down; a proxy that is down loses its
+  void answer(std::int64_t attempt, const ClientResponse& response);
+  /// Tells the load generator that a proxy is up or down. A proxy that goes down loses its
   /// requests.
   void proxy_started(int proxy);
   void proxy_stopped(int proxy);
-  /// Whether all requests have ended, and no more are to come.
+  /// Whether all requests have ended and no more will arrive.
   bool is_finished() const { return load_.is_finished(); }
-  /// For faults of the clients.
+  /// For injecting faults of clients.
   load::LoadGenerator& load() { return load_; }
 
  private:
@@ -32,21 +32,21 @@
     load::ClientAttempt attempt{};
     Engine::TaskId timeout_timer{};
     Engine::TaskId disconnect_timer{};
-    int incarnation = 0;  // of the proxy that it was sent to
+    int incarnation = 0;  // of the proxy it was sent to
   };
 
-  void send(const load::ClientAttempt& request);
+  void send(const load::ClientAttempt& attempt);
   void arrive(std::int64_t id);
   void time_out(std::int64_t id);
   void disconnect(std::int64_t id);
-  void end_without_response(std::int64_t id, load::ClientResult end);
-  void finish(const load::ClientAttempt& request, load::ClientResult end,
-              const ClientResponse& answer);
-  void count(const load::ClientAttempt& request, load::ClientResult end,
-             const ClientResponse& answer);
-  void record(const load::ClientAttempt& request, load::ClientResult end,
-              const ClientResponse& answer);
-  void report_wrong_answer(const load::ClientAttempt& request, const ClientResponse& answer);
+  void end_without_response(std::int64_t id, load::ClientResult result);
+  void finish(const load::ClientAttempt& attempt, load::ClientResult result,
+              const ClientResponse& response);
+  void count(const load::ClientAttempt& attempt, load::ClientResult result,
+             const ClientResponse& response);
+  void record(const load::ClientAttempt& attempt, load::ClientResult result,
+              const ClientResponse& response);
+  void report_wrong_answer(const load::ClientAttempt& attempt, const ClientResponse& response);
 
   Simulation& simulation_;
   Fleet& fleet_;
--- a/src/emulator/simulated_controller.cpp
+++ b/src/emulator/simulated_controller.cpp
@@ -181,12 +181,12 @@
   simulation_.engine.in(heartbeat_interval, [this] { start_heartbeats(); });
 }
 
-void SimulatedController::submit(const day::ScheduledRelease& offer) {
+void SimulatedController::submit(const day::ScheduledRelease& release) {
   if (!rollout_) {
-    simulation_.engine.in(submit_retry_interval, [this, &offer] { submit(offer); });
+    simulation_.engine.in(submit_retry_interval, [this, &release] { submit(release); });
     return;
   }
-  rollout_->submit(offer.build.number, simulation_.engine.now());
+  rollout_->submit(release.build.number, simulation_.engine.now());
   decide();
 }
 
--- a/src/emulator/simulated_controller.h
+++ b/src/emulator/simulated_controller.h
@@ -1,5 +1,5 @@
-/// The release controller in simulated time: the rollout's core, membership, late updates, votes
-/// and its own faults.
+/// The release controller in simulated time: the rollout, membership, delayed updates, votes and
+/// injected faults.
 #pragma once
 #include <functional>
 #include <memory>
@@ -15,33 +15,33 @@
  public:
   SimulatedController(Simulation& simulation, SimulatedServers& servers);
 
-  /// Starts the process, with the state that the one before has saved, if any.
+  /// Starts the process from the state that the previous one has saved, if any.
   void start();
-  /// Ends the process without a word.
+  /// Kills the process.
   void crash();
 
   void machine_started(int machine);
   void machine_stopped(int machine);
-  /// Submits a release; while the process is down, as soon as it is back.
-  void submit(const day::ScheduledRelease& offer);
-  /// A vote leaves a proxy now.
+  /// Submits a release; while the process is down, retries until it is back.
+  void submit(const day::ScheduledRelease& release);
+  /// A proxy sends a vote now.
   void vote(int proxy, int build, int stage, Verdict verdict);
-  /// Sends a proxy the present update.
+  /// Sends a proxy the current update.
   void notify(int proxy);
-  /// Lets proxies send heartbeats from now on.
+  /// Starts the proxies' periodic heartbeats.
   void start_heartbeats();
 
-  /// Updates reach the proxies this much later.
+  /// Delays updates to the proxies.
   void set_publish_delay(Duration delay) { publish_delay_ = delay; }
-  /// From now on votes get no answer; this share of them counts all the same.
+  /// From now on votes get no response; this share of them is counted nevertheless.
   void stop_answering_votes(double counted_share);
-  /// From now on votes are answered with an error.
+  /// From now on votes get an error response.
   void answer_votes_with_errors() { failing_ = true; }
-  /// Ends both of these.
+  /// Ends both faults.
   void recover();
 
  private:
-  /// Who voted; the answer is lost when the proxy has restarted meanwhile.
+  /// The process that voted. The response is lost if the proxy has restarted meanwhile.
   struct Voter {
     int proxy;
     int incarnation;
@@ -67,7 +67,7 @@
   std::size_t logged_changes_ = 0;
   bool unresponsive_ = false;
   bool failing_ = false;
-  double counted_share_ = 0;  // of the votes, while silent
+  double counted_share_ = 0;  // of the votes, while unresponsive
   Engine::TaskId check_timer_{};
 };
 
--- a/src/emulator/simulated_proxy.cpp
+++ b/src/emulator/simulated_proxy.cpp
@@ -10,11 +10,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration tick = 1ms;  // as the router tells the decision module
-// A proxy's number stands in the upper bits of its attempts' ids.
+constexpr Duration tick = 1ms;  // the router's timer resolution, passed to the decision module
+// An attempt's id holds its proxy's number above these bits.
 constexpr int attempt_bits = 40;
 
-// Whether a connection stays open after an attempt that ended so.
+// Whether a connection stays open after an attempt with this outcome.
 bool keeps_connection(Outcome outcome) {
   return outcome == Outcome::ok || outcome == Outcome::error || outcome == Outcome::rejected;
 }
@@ -23,13 +23,13 @@
 
 SimulatedProxy::SimulatedProxy(Engine& engine, const deployment::Deployment& deployment,
                                const SimulatedProxySettings& settings, Fleet& fleet,
-                               Network& network, Outputs ways)
+                               Network& network, Outputs outputs)
     : engine_(engine),
       deployment_(deployment),
       settings_(settings),
       fleet_(fleet),
       network_(network),
-      outputs_(std::move(ways)),
+      outputs_(std::move(outputs)),
       last_attempt_id_(static_cast<std::uint64_t>(settings.number) << attempt_bits) {}
 
 void SimulatedProxy::start() {
@@ -91,7 +91,7 @@
   run_policy();
 }
 
-// As the router does, the policy runs with the next input or timer.
+// Like the router, leaves running the policy to the next input or timer.
 void SimulatedProxy::client_disconnected(std::int64_t client_request) {
   const auto found = request_of_.find(client_request);
   if (found == request_of_.end())
@@ -110,7 +110,7 @@
 
 void SimulatedProxy::run_policy() {
   if (running_policy_)
-    return;  // whoever runs it now goes on until there is nothing left
+    return;  // the outer call continues until there is no decision left
   running_policy_ = true;
   while (const auto decision = policy_->next(local_time())) {
     ++decisions_;
@@ -207,16 +207,16 @@
   if (decision.duration > Duration{})
     timeout = std::min(timeout, decision.duration);
 
-  const Duration way = network_.sample_delay();
-  const Connection connection = take_connection(upstream, way);
+  const Duration network_delay = network_.sample_delay();
+  const Connection connection = take_connection(upstream, network_delay);
   if (!connection.available) {
     request.attempts[index].upstream = no_upstream;
     fail_attempt_later(id, connection.failure_delay, connection.failure);
     return;
   }
   request.attempts[index].timer = engine_.in(timeout, [this, id] { attempt_timed_out(id); });
-  // A new connection takes a way there and back before the request goes.
-  const Duration arrives_in = connection.fresh ? 3 * way : way;
+  // A new connection takes a round trip before the request is sent.
+  const Duration arrives_in = connection.fresh ? 3 * network_delay : network_delay;
   engine_.in(arrives_in, [this, id, server = upstream.server, incarnation = incarnation_,
                           fresh = connection.fresh] {
     if (incarnation == incarnation_ && up())
@@ -226,7 +226,8 @@
 
 // ---- Connections and ends of attempts
 
-SimulatedProxy::Connection SimulatedProxy::take_connection(Upstream& upstream, Duration way) {
+SimulatedProxy::Connection SimulatedProxy::take_connection(Upstream& upstream,
+                                                           Duration network_delay) {
   if (upstream.idle > 0) {
     --upstream.idle;
     ++upstream.busy;
@@ -234,12 +235,12 @@
   }
   if (upstream.busy >= settings_.connections_per_server)
     return {.failure = Outcome::connect_failure};
-  // Refused where nobody listens, closed at once where there are too many.
+  // Refused by a server that is not running; closed at once by one at its connection limit.
   if (!fleet_.is_running(upstream.server))
-    return {.failure_delay = 2 * way, .failure = Outcome::connect_failure};
+    return {.failure_delay = 2 * network_delay, .failure = Outcome::connect_failure};
   const int max_connections = fleet_.max_connections(upstream.server);
   if (max_connections > 0 && fleet_.connections(upstream.server) >= max_connections)
-    return {.failure_delay = 2 * way, .failure = Outcome::reset};
+    return {.failure_delay = 2 * network_delay, .failure = Outcome::reset};
   ++upstream.busy;
   ++fleet_.connections(upstream.server);
   return {.available = true, .fresh = true};
@@ -273,8 +274,8 @@
   const auto found = attempt_of_.find(id);
   if (found == attempt_of_.end())
     return;
-  const AttemptPlace place = found->second;
-  const int server = requests_.at(place.request_id).attempts[place.index].server;
+  const AttemptPosition position = found->second;
+  const int server = requests_.at(position.request_id).attempts[position.index].server;
   engine_.in(network_.sample_delay(), [this, server, id] { fleet_.cancel(server, id); });
   attempt_ended(id, Outcome::timeout, {});
 }
@@ -284,9 +285,9 @@
   const auto found = attempt_of_.find(id);
   if (found == attempt_of_.end())
     return;
-  const AttemptPlace place = found->second;
-  const InFlightRequest& request = requests_.at(place.request_id);
-  const InFlightAttempt& attempt = request.attempts[place.index];
+  const AttemptPosition position = found->second;
+  const InFlightRequest& request = requests_.at(position.request_id);
+  const InFlightAttempt& attempt = request.attempts[position.index];
   if (attempt.ended || attempt.cancelled)
     return;
   if (!fleet_.is_running(server)) {
@@ -297,8 +298,8 @@
   fleet_.arrive(server, {.id = id,
                          .proxy = settings_.number,
                          .request_class = client_request.request_class,
-                         .attempt = static_cast<int>(place.index),
-                         .request_id = place.request_id,
+                         .attempt = static_cast<int>(position.index),
+                         .request_id = position.request_id,
                          .client_attempt_id = client_request.id,
                          .work = client_request.work,
                          .key = client_request.key,
@@ -307,13 +308,13 @@
 }
 
 void SimulatedProxy::attempt_ended(std::uint64_t id, Outcome outcome,
-                                   const ServerResponse& answer) {
+                                   const ServerResponse& response) {
   const auto found = attempt_of_.find(id);
   if (found == attempt_of_.end())
     return;
-  const AttemptPlace place = found->second;
-  InFlightRequest& request = requests_.at(place.request_id);
-  InFlightAttempt& attempt = request.attempts[place.index];
+  const AttemptPosition position = found->second;
+  InFlightRequest& request = requests_.at(position.request_id);
+  InFlightAttempt& attempt = request.attempts[position.index];
   if (attempt.ended)
     return;
   attempt.ended = true;
@@ -322,20 +323,20 @@
   release_connection(attempt, outcome);
   request.last = outcome;
   LoadReport load;
-  if (answer.in_flight >= 0) {
-    load.utilization = answer.utilization;
-    load.in_flight = answer.in_flight;
+  if (response.in_flight >= 0) {
+    load.utilization = response.utilization;
+    load.in_flight = response.in_flight;
   }
-  const bool answers = outcome == Outcome::ok && !request.answered;
-  policy_->attempt_ended(place.request_id, static_cast<int>(place.index), outcome,
-                         request.answered || answers, load, local_time());
-  if (answers)
+  const bool completes_request = outcome == Outcome::ok && !request.answered;
+  policy_->attempt_ended(position.request_id, static_cast<int>(position.index), outcome,
+                         request.answered || completes_request, load, local_time());
+  if (completes_request)
     finish(request, {.result = load::ClientResult::succeeded,
                      .status = 200,
                      .reason = "answered",
                      .server = attempt.server,
-                     .correct = answer.correct});
-  forget_if_done(place.request_id);
+                     .correct = response.correct});
+  forget_if_done(position.request_id);
   run_policy();
 }
 
@@ -346,20 +347,20 @@
     if (upstream.server == server)
       upstream.idle = 0;
   std::vector<std::uint64_t> broken;
-  for (const auto& [id, place] : attempt_of_)
-    if (requests_.at(place.request_id).attempts[place.index].server == server)
+  for (const auto& [id, position] : attempt_of_)
+    if (requests_.at(position.request_id).attempts[position.index].server == server)
       broken.push_back(id);
   std::sort(broken.begin(), broken.end());
   for (const std::uint64_t id : broken)
     fail_attempt_later(id, network_.sample_delay(), Outcome::reset);
 }
 
-void SimulatedProxy::finish(InFlightRequest& request, const ClientResponse& answer) {
+void SimulatedProxy::finish(InFlightRequest& request, const ClientResponse& response) {
   if (request.answered)
     return;
   request.answered = true;
   request_of_.erase(request.client_request.id);
-  outputs_.respond(request.client_request.id, answer);
+  outputs_.respond(request.client_request.id, response);
 }
 
 void SimulatedProxy::forget_if_done(int request_id) {
--- a/src/emulator/simulated_proxy.h
+++ b/src/emulator/simulated_proxy.h
@@ -1,7 +1,7 @@
 /// One proxy in simulated time.
 ///
-/// It hosts a policy as the router on sockets does, with connections, time-outs and the way to and
-/// from the servers modelled. It makes no choice of its own.
+/// Hosts a policy as the router on sockets does; connections, time-outs and network delays are
+/// modelled. All decisions are the policy's.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -23,56 +23,57 @@
 /// A proxy's response to a client.
 struct ClientResponse {
   load::ClientResult result = load::ClientResult::succeeded;
-  int status = 200;  ///< of HTTP; 0: none came
+  int status = 200;  ///< of HTTP; 0: no response
   const char* reason = "";
-  int server = -1;  ///< that answered; -1: none did
+  int server = -1;  ///< that responded; -1: none
   bool correct = true;
-  Duration retry_after{};  ///< as Retry-After says
+  Duration retry_after{};  ///< 0: none
 };
 
 struct SimulatedProxySettings {
   int number = 0;
   int zone = 0;
   unsigned salt = 1;
-  Duration reserve = std::chrono::milliseconds(5);  ///< of the client's time, for the way back
+  Duration reserve =
+      std::chrono::milliseconds(5);  ///< of the client's time, for the response's way back
   int connections_per_server = 256;
   PolicySpec policy{};
 };
 
 class SimulatedProxy {
  public:
-  /// What leaves the proxy now.
+  /// Messages that the proxy sends.
   struct Outputs {
     std::function<void(std::int64_t client_request, const ClientResponse&)> respond;
     std::function<void(int proxy, int build, int stage, Verdict verdict)> vote;
-    /// Asks for the complete list.
+    /// Requests the complete endpoint list.
     std::function<void(int proxy)> refresh;
-    /// The server of that name; -1: there is none.
+    /// Looks up a server by its name; -1: there is none.
     std::function<int(const std::string& name)> server_of;
   };
 
   SimulatedProxy(Engine& engine, const deployment::Deployment& deployment,
                  const SimulatedProxySettings& settings, Fleet& fleet, Network& network,
-                 Outputs ways);
+                 Outputs outputs);
 
-  /// A process begins, with the list that the one before has cached, if any.
+  /// Starts the process from the endpoint list that the previous one has cached, if any.
   void start();
-  /// The process ends without a word.
+  /// Kills the process.
   void kill();
   bool up() const { return policy_ != nullptr; }
-  /// Grows with each start: what was meant for an earlier process is lost.
+  /// Incremented with each start; messages for an earlier process are dropped.
   int incarnation() const { return incarnation_; }
 
-  // Inputs. Those of updates, votes and servers do nothing while the proxy is down.
+  // Inputs. Updates, vote results and server events are ignored while the proxy is down.
   void request_arrived(const load::ClientAttempt& request, TimePoint deadline);
   void client_disconnected(std::int64_t client_request);
   void endpoints_updated(const std::vector<registry::Endpoint>& endpoints, EndpointUpdateKind kind);
-  /// `update.since` is its age now.
+  /// `update.since`: the age of the update.
   void release_updated(const ReleaseUpdate& update);
   void vote_answered(Outcome outcome);
   void answer_found_wrong(int server);
-  /// The end of an attempt, as the network brings it.
-  void attempt_ended(std::uint64_t id, Outcome outcome, const ServerResponse& answer);
+  /// The response or failure of an attempt reaches the proxy.
+  void attempt_ended(std::uint64_t id, Outcome outcome, const ServerResponse& response);
   void server_killed(int server);
 
   long attempts() const { return attempt_count_; }
@@ -84,7 +85,7 @@
   struct InFlightAttempt {
     std::uint64_t id;
     int server;
-    int upstream;  // no_upstream: it has no connection
+    int upstream;  // no_upstream: no connection
     bool ended = false;
     bool cancelled = false;
     Engine::TaskId timer{};
@@ -96,19 +97,19 @@
     bool answered = false;
     Outcome last = Outcome::obsolete;
   };
-  /// A server as the policy numbers it.
+  /// A server, under the policy's index.
   struct Upstream {
     int server = -1;
     EndpointPhase phase = EndpointPhase::removed;
     int idle = 0;  // connections kept open
     int busy = 0;
   };
-  /// Where an attempt stands.
-  struct AttemptPlace {
+  /// Position of an attempt in its request.
+  struct AttemptPosition {
     int request_id;
     std::size_t index;
   };
-  /// The connection that an attempt goes out on, or why there is none.
+  /// The connection of an attempt, or why there is none.
   struct Connection {
     bool available = false;
     bool fresh = false;
@@ -126,17 +127,17 @@
   void close_idle(Upstream& upstream);
   void schedule_policy(Duration delay);
 
-  Connection take_connection(Upstream& upstream, Duration way);
+  Connection take_connection(Upstream& upstream, Duration network_delay);
   void release_connection(const InFlightAttempt& attempt, Outcome outcome);
   void fail_attempt_later(std::uint64_t id, Duration delay, Outcome outcome);
   void attempt_timed_out(std::uint64_t id);
   void deliver(std::uint64_t id, int server, bool fresh_connection);
-  void finish(InFlightRequest& request, const ClientResponse& answer);
+  void finish(InFlightRequest& request, const ClientResponse& response);
   void forget_if_done(int request_id);
 
   int upstream_index(const registry::Endpoint& endpoint);
   EndpointInfo describe(const registry::Endpoint& endpoint, int index) const;
-  void remove_unlisted(const std::vector<bool>& named);
+  void remove_unlisted(const std::vector<bool>& listed);
   void assume_lowest_build_released();
 
   Engine& engine_;
@@ -149,11 +150,12 @@
   TimePoint started_at_{};
   int incarnation_ = 0;
   std::vector<Upstream> upstreams_{};
-  std::map<std::string, int> upstream_of_{};               // by name and address
-  std::map<std::string, registry::Endpoint> endpoints_{};  // kept over restarts, as the cache is
+  std::map<std::string, int> upstream_of_{};  // by name and address
+  std::map<std::string, registry::Endpoint>
+      endpoints_{};  // kept across restarts, like the endpoint cache
   std::unordered_map<int, InFlightRequest> requests_{};
   std::unordered_map<std::int64_t, int> request_of_{};  // by client request
-  std::unordered_map<std::uint64_t, AttemptPlace> attempt_of_{};
+  std::unordered_map<std::uint64_t, AttemptPosition> attempt_of_{};
   int last_request_id_ = 0;
   bool release_known_ = false;
   bool running_policy_ = false;
--- a/src/emulator/simulated_proxy_updates.cpp
+++ b/src/emulator/simulated_proxy_updates.cpp
@@ -1,4 +1,4 @@
-// How a simulated proxy reads updates of endpoints and of the release.
+// Handling of endpoint and release updates in SimulatedProxy.
 #include <algorithm>
 
 #include "emulator/simulated_proxy.h"
@@ -10,17 +10,17 @@
 // The wall clock at the start of the simulation.
 constexpr WallTime wall_clock_zero{Duration(1'700'000'000'000'000)};
 
-// A digest of a name that is the same at every proxy (FNV-1a; any would do).
-std::uint64_t digest(const std::string& name) {
-  std::uint64_t sum = 1469598103934665603ULL;
+// Hash of a name that is the same at every proxy (FNV-1a; any such hash would do).
+std::uint64_t name_hash(const std::string& name) {
+  std::uint64_t hash = 1469598103934665603ULL;
   for (const unsigned char byte : name)
-    sum = (sum ^ byte) * 1099511628211ULL;
-  return sum;
+    hash = (hash ^ byte) * 1099511628211ULL;
+  return hash;
 }
 
 }  // namespace
 
-// Indices are not used again: a run is over before there are too many.
+// Indices are not reused; a run is too short for their number to matter.
 int SimulatedProxy::upstream_index(const registry::Endpoint& endpoint) {
   const std::string id = endpoint.name + "@" + endpoint.address;
   const auto found = upstream_of_.find(id);
@@ -39,18 +39,18 @@
 
 EndpointInfo SimulatedProxy::describe(const registry::Endpoint& endpoint, int index) const {
   return registry::endpoint_info(endpoint, index, deployment_.zone(endpoint.zone),
-                                 digest(endpoint.name),
+                                 name_hash(endpoint.name),
                                  wall_clock_zero + started_at_.time_since_epoch());
 }
 
-// What a complete list does not name has been removed.
-void SimulatedProxy::remove_unlisted(const std::vector<bool>& named) {
+// Endpoints that are missing from a complete list have been removed.
+void SimulatedProxy::remove_unlisted(const std::vector<bool>& listed) {
   for (std::size_t i = 0; i < upstreams_.size(); ++i)
-    if (i >= named.size() || !named[i])
+    if (i >= listed.size() || !listed[i])
       upstreams_[i].phase = EndpointPhase::removed;
 }
 
-// Until the controller has spoken, builds above the lowest listed one count as not yet announced.
+// Until the first release update, builds above the lowest listed one count as not yet announced.
 void SimulatedProxy::assume_lowest_build_released() {
   if (release_known_ || endpoints_.empty())
     return;
@@ -69,7 +69,7 @@
   if (complete)
     endpoints_.clear();
   std::vector<EndpointInfo> infos;
-  std::vector<bool> named(upstreams_.size(), false);
+  std::vector<bool> listed(upstreams_.size(), false);
   for (const registry::Endpoint& endpoint : endpoints) {
     if (endpoint.phase == EndpointPhase::removed)
       endpoints_.erase(endpoint.name);
@@ -78,13 +78,13 @@
     const int index = upstream_index(endpoint);
     if (index == no_upstream)
       continue;
-    named.resize(upstreams_.size(), false);
-    named[index] = true;
+    listed.resize(upstreams_.size(), false);
+    listed[index] = true;
     upstreams_[index].phase = endpoint.phase;
     infos.push_back(describe(endpoint, index));
   }
   if (complete)
-    remove_unlisted(named);
+    remove_unlisted(listed);
   for (Upstream& upstream : upstreams_)
     if (upstream.phase == EndpointPhase::removed && upstream.idle > 0)
       close_idle(upstream);
--- a/src/emulator/simulated_registry.cpp
+++ b/src/emulator/simulated_registry.cpp
@@ -9,8 +9,8 @@
 namespace robinhoist::emulator {
 namespace {
 
-// Changes are gathered this long, as the registry's service does.
-constexpr Duration gather_time = std::chrono::milliseconds(2);
+// Changes within this time go out in one notification, as in the registry service.
+constexpr Duration batch_time = std::chrono::milliseconds(2);
 
 }  // namespace
 
@@ -23,8 +23,8 @@
 void SimulatedRegistry::update_later(const registry::Endpoint& endpoint, bool removed) {
   Engine& engine = simulation_.engine;
   last_due_ = std::max(last_due_, engine.now() + delay_);
-  const auto held = std::make_shared<registry::Endpoint>(endpoint);
-  engine.at(last_due_, [this, held, removed] { apply(*held, removed); });
+  const auto change = std::make_shared<registry::Endpoint>(endpoint);
+  engine.at(last_due_, [this, change, removed] { apply(*change, removed); });
 }
 
 void SimulatedRegistry::apply(registry::Endpoint endpoint, bool removed) {
@@ -42,7 +42,7 @@
   if (notification_planned_)
     return;
   notification_planned_ = true;
-  simulation_.engine.in(gather_time, [this] { notify_changes(); });
+  simulation_.engine.in(batch_time, [this] { notify_changes(); });
 }
 
 SimulatedRegistry::EndpointList SimulatedRegistry::list_of(
--- a/src/emulator/simulated_registry.h
+++ b/src/emulator/simulated_registry.h
@@ -1,4 +1,4 @@
-/// The endpoint registry in simulated time: what it lists, and how late proxies are notified.
+/// The endpoint registry in simulated time, with delayed notifications to the proxies.
 #pragma once
 #include <map>
 #include <memory>
@@ -14,7 +14,7 @@
  public:
   explicit SimulatedRegistry(Simulation& simulation) : simulation_(simulation) {}
 
-  /// Changes reach the registry, and so the proxies, this much later.
+  /// Delays changes on their way to the registry, and so to the proxies.
   void set_delay(Duration delay) { delay_ = delay; }
   void put(const registry::Endpoint& endpoint) { update_later(endpoint, false); }
   void remove(const std::string& name);
--- a/src/emulator/simulated_servers.cpp
+++ b/src/emulator/simulated_servers.cpp
@@ -7,8 +7,8 @@
 namespace robinhoist::emulator {
 namespace {
 
-constexpr Duration shared_harm_interval = std::chrono::milliseconds(10);
-constexpr Duration shared_harm_window = std::chrono::seconds(1);
+constexpr Duration shared_slowdown_interval = std::chrono::milliseconds(10);
+constexpr Duration shared_slowdown_window = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -20,9 +20,9 @@
 }
 
 const machine::Build& SimulatedServers::build(int number) const {
-  for (const day::ScheduledRelease& offer : simulation_.day.releases)
-    if (offer.build.number == number)
-      return offer.build;
+  for (const day::ScheduledRelease& release : simulation_.day.releases)
+    if (release.build.number == number)
+      return release.build;
   return simulation_.day.initial_build;
 }
 
@@ -54,9 +54,9 @@
   machines_[command.machine] = {.name = "node-" + std::to_string(command.machine),
                                 .slot = command.slot,
                                 .build = command.build};
-  const bool from_the_beginning =
+  const bool is_initial =
       command.build == day.initial_build.number && command.machine < day.server_slots;
-  if (from_the_beginning) {
+  if (is_initial) {
     boot(command.machine, false);
     return;
   }
@@ -176,12 +176,12 @@
 
 void SimulatedServers::start_shared_slowdown() {
   double factor = 1;
-  for (const day::ScheduledRelease& offer : simulation_.day.releases)
-    if (offer.build.flaw == machine::Flaw::shared)
-      factor += (offer.build.severity - 1) *
-                fleet_.share_of_traffic(offer.build.number, shared_harm_window);
+  for (const day::ScheduledRelease& release : simulation_.day.releases)
+    if (release.build.flaw == machine::Flaw::shared)
+      factor += (release.build.severity - 1) *
+                fleet_.share_of_traffic(release.build.number, shared_slowdown_window);
   fleet_.set_shared_slowdown(factor);
-  simulation_.engine.in(shared_harm_interval, [this] { start_shared_slowdown(); });
+  simulation_.engine.in(shared_slowdown_interval, [this] { start_shared_slowdown(); });
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/simulated_servers.h
+++ b/src/emulator/simulated_servers.h
@@ -1,4 +1,4 @@
-/// The machines of the controller in simulated time: servers that boot, drain, stop and break.
+/// The controller's machines in simulated time: servers that boot, drain, stop and crash.
 #pragma once
 #include <functional>
 #include <map>
@@ -16,22 +16,23 @@
  public:
   SimulatedServers(Simulation& simulation, Fleet& fleet, SimulatedRegistry& registry);
 
-  /// Run when a machine takes requests, and when it has stopped.
+  /// Called when a machine accepts requests, and when it has stopped.
   std::function<void(int machine)> on_started{};
   std::function<void(int machine)> on_stopped{};
 
   /// Carries out a command of the controller.
   void execute(const rollout::Command& command);
-  /// Starts a machine's server, unless it runs. `cold`: it has to warm up.
+  /// Starts a machine's server unless it is running. `cold`: it has to warm up.
   void boot(int machine, bool cold);
-  /// Stops a machine's server by a fault, `silently` as a machine without power.
+  /// Stops a machine's server by a fault. `silently`: it hangs without closing connections, like a
+  /// machine that loses power.
   void crash(int machine, bool silently);
-  /// Starts a machine again after a fault, if the controller still has it.
+  /// Restarts a machine after a fault, unless the controller has removed it meanwhile.
   void recover(int machine);
 
-  /// Some of the running machines, drawn; one at least, if any runs.
+  /// A random share of the running machines; at least one, if any is running.
   std::vector<int> pick(double share);
-  /// Runs a function on the server of each machine that has one that runs.
+  /// Calls a function for each of these machines whose server is running.
   void for_each_running(const std::vector<int>& machines,
                         const std::function<void(int server)>& function) const;
   /// The same, also for servers that have stopped.
@@ -41,7 +42,7 @@
   std::vector<int> listed() const;
   /// -1: there is none of that name.
   int server_of(const std::string& name) const;
-  /// Lets a build that harms all machines do so from now on.
+  /// Starts applying the slowdown by builds that affect all machines (machine::Flaw::shared).
   void start_shared_slowdown();
 
  private:
@@ -65,7 +66,7 @@
   SimulatedRegistry& registry_;
   std::map<int, Machine> machines_{};
   std::map<std::string, int> server_of_{};
-  std::vector<double> speeds_{};  // by slot, against the usual machine
+  std::vector<double> speeds_{};  // by slot, relative to the configured capacity
 };
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/simulation.cpp
+++ b/src/emulator/simulation.cpp
@@ -5,7 +5,7 @@
 namespace robinhoist::emulator {
 namespace {
 
-// From the start of the processes to the scenario's own start.
+// Time from the start of the processes to the start of the scenario.
 constexpr Duration settle_time = std::chrono::seconds(2);
 
 std::unique_ptr<record::Writer> open(const std::string& folder, const char* file) {
--- a/src/emulator/simulation.h
+++ b/src/emulator/simulation.h
@@ -1,5 +1,5 @@
-/// What all parts of a simulated scenario share: the clock, random numbers, the network, the event
-/// log and the summary.
+/// State shared by all parts of a simulated scenario: the clock, random numbers, the network, the
+/// event log and the summary.
 #pragma once
 #include <memory>
 #include <random>
@@ -16,7 +16,7 @@
 
 namespace robinhoist::emulator {
 
-/// The files of the event log; each null when no record is kept.
+/// The files of the event log; null when none is kept.
 struct EventLog {
   explicit EventLog(const std::string& folder);
 
@@ -31,13 +31,13 @@
   std::string cut_zone{};   ///< empty: none is cut off
   std::string slow_zone{};  ///< empty: none has slow links
   Duration delay{};         ///< of answers over the slow links
-  double loss = 0;          ///< share of connections that break there
+  double loss = 0;          ///< share of requests whose connection is reset
 };
 
 using Proxies = std::vector<std::unique_ptr<SimulatedProxy>>;
 
-/// One run. Everything that is drawn or planned goes through it, in one order, so that the same
-/// scenario and seed give the same run.
+/// One run. All random numbers and tasks come from here, in a fixed order, so that a scenario and
+/// seed reproduce the run.
 struct Simulation {
   Simulation(const day::Scenario& scenario, long seed, const std::string& folder,
              const NetworkSettings& network_settings);
@@ -46,9 +46,9 @@
 
   double uniform_sample();
   Duration sample_between(Duration min, Duration max);
-  /// Now, in the time of the load generator, which begins with the scenario.
+  /// The current time on the load generator's clock, which starts with the scenario.
   TimePoint load_time() const { return TimePoint(engine.now() - start); }
-  /// A point in time of the load generator as one of the engine.
+  /// Converts a time of the load generator's clock to the engine's.
   TimePoint engine_time(TimePoint load_time) const { return start + load_time.time_since_epoch(); }
 
   const day::Scenario& day;
--- a/src/load/load.cpp
+++ b/src/load/load.cpp
@@ -7,13 +7,14 @@
 
 namespace robinhoist::load {
 namespace {
-constexpr double wave_s = 20, burst_s = 2;  // the periods of two shapes
+constexpr double wave_period_s = 20;
+constexpr double burst_half_period_s = 2;
 }  // namespace
 
-const char* to_string(ClientResult end) {
-  static const char* const words[] = {"settled",   "declined", "voided",    "not-taken",
+const char* to_string(ClientResult result) {
+  static const char* const names[] = {"settled",   "declined", "voided",    "not-taken",
                                       "unreached", "broken",   "timed-out", "left"};
-  return words[static_cast<int>(end)];
+  return names[static_cast<int>(result)];
 }
 
 LoadGenerator::LoadGenerator(const Settings& settings, unsigned salt)
@@ -21,7 +22,7 @@
       random_(salt),
       down_since_(settings.proxies, TimePoint(Duration(-1))),
       up_(settings.proxies, true) {
-  plan_arrival(TimePoint{});
+  schedule_arrival(TimePoint{});
 }
 
 double LoadGenerator::uniform_sample() {
@@ -36,20 +37,21 @@
     case Shape::steady:
       break;
     case Shape::wave:
-      factor *= 1 + settings_.amplitude * std::sin(2 * 3.14159265358979 * s / wave_s);
+      factor *= 1 + settings_.amplitude * std::sin(2 * 3.14159265358979 * s / wave_period_s);
       break;
     case Shape::ramp:
       factor *= 1 + settings_.amplitude * (2 * s / length - 1);
       break;
     case Shape::bursty:
-      factor *=
-          std::fmod(s, 2 * burst_s) < burst_s ? 1 + settings_.amplitude : 1 - settings_.amplitude;
+      factor *= std::fmod(s, 2 * burst_half_period_s) < burst_half_period_s
+                    ? 1 + settings_.amplitude
+                    : 1 - settings_.amplitude;
       break;
   }
   return std::max(0.1, settings_.rate * factor);
 }
 
-void LoadGenerator::plan_arrival(TimePoint from) {
+void LoadGenerator::schedule_arrival(TimePoint from) {
   const double wait = boost::random::exponential_distribution<double>(rate_at(from))(random_);
   arrival_at_ = from + std::max(Duration(1), from_seconds(wait));
   if (arrival_at_ >= TimePoint(settings_.length))
@@ -57,83 +59,86 @@
 }
 
 ClientAttempt LoadGenerator::draw_request(TimePoint now) {
-  ClientAttempt one;
-  one.id = one.first_id = next_id_++;
-  one.at = now;
+  ClientAttempt attempt;
+  attempt.id = attempt.first_id = next_id_++;
+  attempt.at = now;
   double at = uniform_sample();
   for (std::size_t p = 0; p < settings_.request_classes.size(); ++p) {
-    one.request_class = static_cast<int>(p);
+    attempt.request_class = static_cast<int>(p);
     if ((at -= settings_.request_classes[p].share) < 0)
       break;
   }
   at = uniform_sample();
   for (std::size_t t = 0; t < settings_.tenants.size(); ++t) {
-    one.tenant = static_cast<int>(t);
+    attempt.tenant = static_cast<int>(t);
     if ((at -= settings_.tenants[t]) < 0)
       break;
   }
   if (poison_share_ > 0 && uniform_sample() < poison_share_) {
-    one.poison = true;
+    attempt.poison = true;
     if (poison_tenant_ >= 0)
-      one.tenant = poison_tenant_;
+      attempt.tenant = poison_tenant_;
   }
-  const RequestClass& request_class = settings_.request_classes[one.request_class];
+  const RequestClass& request_class = settings_.request_classes[attempt.request_class];
   const double mean = to_seconds(request_class.work);
   if (request_class.distribution == WorkDistribution::exponential) {
-    one.work = from_seconds(
+    attempt.work = from_seconds(
         boost::random::exponential_distribution<double>(1 / std::max(1e-6, mean))(random_));
   } else {
     const double sigma2 = std::log(1 + request_class.coefficient_of_variation *
                                            request_class.coefficient_of_variation);
-    one.work = from_seconds(boost::random::lognormal_distribution<double>(
+    attempt.work = from_seconds(boost::random::lognormal_distribution<double>(
         std::log(std::max(1e-6, mean)) - sigma2 / 2, std::sqrt(sigma2))(random_));
   }
   if (request_class.keyed)
-    one.key = "k" + std::to_string(random_()) + "-" + std::to_string(one.id);
-  return one;
+    attempt.key = "k" + std::to_string(random_()) + "-" + std::to_string(attempt.id);
+  return attempt;
 }
 
-// Over which proxy it goes, how long its client waits, and whether it leaves before.
-void LoadGenerator::assign_proxy_and_timing(ClientAttempt& one, TimePoint now) {
-  std::vector<int> known;
+// Draws the proxy, the client's time-out, and whether the client disconnects earlier.
+void LoadGenerator::assign_proxy_and_timing(ClientAttempt& attempt, TimePoint now) {
+  std::vector<int> candidates;
   for (int u = 0; u < settings_.proxies; ++u)
     if (up_[u] || now < down_since_[u] + settings_.failover_delay)
-      known.push_back(u);
-  if (known.empty())
+      candidates.push_back(u);
+  if (candidates.empty())
     for (int u = 0; u < settings_.proxies; ++u)
-      known.push_back(u);
+      candidates.push_back(u);
   if (hot_proxies_share_ > 0 && uniform_sample() < hot_proxies_share_)
-    known = hot_proxies_;
-  one.proxy = known[static_cast<std::size_t>(uniform_sample() * static_cast<double>(known.size()))];
-  const RequestClass& request_class = settings_.request_classes[one.request_class];
-  double part =
+    candidates = hot_proxies_;
+  attempt.proxy = candidates[static_cast<std::size_t>(uniform_sample() *
+                                                      static_cast<double>(candidates.size()))];
+  const RequestClass& request_class = settings_.request_classes[attempt.request_class];
+  double patience =
       settings_.min_patience + uniform_sample() * (settings_.max_patience - settings_.min_patience);
-  if (one.tenant == abuse_tenant_ && abuse_tries_ > 0)
-    part = abuse_patience_;
-  one.deadline = now + from_seconds(to_seconds(request_class.deadline) * part);
-  one.disconnects_at = uniform_sample() < settings_.disconnect_share
-                           ? now + from_seconds(to_seconds(one.deadline - now) * uniform_sample())
-                           : TimePoint{};
+  if (attempt.tenant == abuse_tenant_ && abuse_retries_ > 0)
+    patience = abuse_patience_;
+  attempt.deadline = now + from_seconds(to_seconds(request_class.deadline) * patience);
+  attempt.disconnects_at =
+      uniform_sample() < settings_.disconnect_share
+          ? now + from_seconds(to_seconds(attempt.deadline - now) * uniform_sample())
+          : TimePoint{};
 }
 
 std::optional<ClientAttempt> LoadGenerator::next(TimePoint now) {
-  ClientAttempt one;
+  ClientAttempt attempt;
   if (!scheduled_.empty() && scheduled_.top().at <= now &&
       (arrivals_over_ || scheduled_.top().at <= arrival_at_)) {
-    one = scheduled_.top().attempt;
+    attempt = scheduled_.top().attempt;
     scheduled_.pop();
-    one.at = now;
+    attempt.at = now;
   } else if (!arrivals_over_ && arrival_at_ <= now) {
-    one = draw_request(arrival_at_);
-    first_at_[one.first_id] = arrival_at_;
-    plan_arrival(arrival_at_);
+    attempt = draw_request(arrival_at_);
+    first_at_[attempt.first_id] = arrival_at_;
+    schedule_arrival(arrival_at_);
   } else {
     return {};
   }
-  assign_proxy_and_timing(one, one.at);
-  const bool abused = one.tenant == abuse_tenant_ && abuse_tries_ > 0;
-  open_[one.id] = {one, first_at_[one.first_id], abused ? abuse_tries_ : settings_.retries};
-  return one;
+  assign_proxy_and_timing(attempt, attempt.at);
+  const bool abused = attempt.tenant == abuse_tenant_ && abuse_retries_ > 0;
+  open_[attempt.id] = {attempt, first_at_[attempt.first_id],
+                       abused ? abuse_retries_ : settings_.retries};
+  return attempt;
 }
 
 std::optional<TimePoint> LoadGenerator::next_at() const {
@@ -145,7 +150,7 @@
   return at;
 }
 
-void LoadGenerator::attempt_ended(std::int64_t id, ClientResult end, Duration stay_away,
+void LoadGenerator::attempt_ended(std::int64_t id, ClientResult result, Duration retry_after,
                                   TimePoint now) {
   auto found = open_.find(id);
   if (found == open_.end())
@@ -153,21 +158,22 @@
   const OpenAttempt open = found->second;
   open_.erase(found);
   const RequestClass& request_class = settings_.request_classes[open.attempt.request_class];
-  const bool never_ran = end == ClientResult::rejected ||
-                         end == ClientResult::rejected_before_routing ||
-                         end == ClientResult::unreached;
-  bool again = end != ClientResult::succeeded && end != ClientResult::client_disconnected &&
-               open.attempt.number < open.retries && end != ClientResult::rejected_before_routing;
-  if (again && !never_ran) {
-    // An idempotent request may come again while its repeats are dropped, counted from its first
-    // try.
+  const bool never_ran = result == ClientResult::rejected ||
+                         result == ClientResult::rejected_before_routing ||
+                         result == ClientResult::unreached;
+  bool may_retry =
+      result != ClientResult::succeeded && result != ClientResult::client_disconnected &&
+      open.attempt.number < open.retries && result != ClientResult::rejected_before_routing;
+  if (may_retry && !never_ran) {
+    // A keyed request may be retried while servers drop repeats of its key, counted from its first
+    // attempt.
     if (request_class.retry_policy == RetryPolicy::only_rejected)
-      again = false;
+      may_retry = false;
     if (request_class.retry_policy == RetryPolicy::within_dedup_window)
-      again = request_class.dedup_window > Duration{} &&
-              now + request_class.deadline < open.first_at + request_class.dedup_window;
+      may_retry = request_class.dedup_window > Duration{} &&
+                  now + request_class.deadline < open.first_at + request_class.dedup_window;
   }
-  const bool abused = open.attempt.tenant == abuse_tenant_ && abuse_tries_ > 0;
+  const bool abused = open.attempt.tenant == abuse_tenant_ && abuse_retries_ > 0;
   Duration wait{};
   if (!abused) {
     const Duration drawn =
@@ -177,12 +183,13 @@
       wait = drawn;
     if (settings_.backoff == Backoff::exponential)
       wait = drawn * (1 << std::min(open.attempt.number, 6));
-    if (stay_away > Duration{} && uniform_sample() < settings_.retry_after_compliance)
-      wait = std::max(wait, stay_away);
+    if (retry_after > Duration{} && uniform_sample() < settings_.retry_after_compliance)
+      wait = std::max(wait, retry_after);
   }
-  // A client has only so much time over all its tries, and a keyed one only while the mark holds.
+  // All attempts of a request share a time limit, and a keyed request is retried only within the
+  // dedup window.
   const TimePoint at = now + wait;
-  if (!again ||
+  if (!may_retry ||
       (request_class.retry_policy == RetryPolicy::within_dedup_window &&
        at + request_class.deadline >= open.first_at + request_class.dedup_window) ||
       (!abused && at >= open.first_at + request_class.deadline * (1 + open.retries))) {
@@ -211,9 +218,9 @@
   poison_share_ = share;
 }
 
-void LoadGenerator::set_retry_abuse(int tenant, int tries, double patience) {
+void LoadGenerator::set_retry_abuse(int tenant, int retries, double patience) {
   abuse_tenant_ = tenant;
-  abuse_tries_ = tries;
+  abuse_retries_ = retries;
   abuse_patience_ = patience;
 }
 
--- a/src/load/load.h
+++ b/src/load/load.h
@@ -1,7 +1,9 @@
-// What clients do, free of I/O and clocks: when requests arrive, what they are, over which proxy
-// they go, how long a client waits, and when it comes again. An open loop: arrivals are drawn ahead
-// of time and do not wait for answers. The host sends what next(now) hands out and says how each
-// try ended.
+/// Open-loop load generator, free of I/O and clocks.
+///
+/// Draws when requests arrive, their class and work, the proxy that each is sent to, the client's
+/// deadline and its retries. Arrivals are drawn ahead of time and do not wait for responses. The
+/// host sends the attempts that next() returns, and reports the result of each with
+/// attempt_ended().
 #pragma once
 #include <boost/random/exponential_distribution.hpp>
 #include <boost/random/lognormal_distribution.hpp>
@@ -28,35 +30,37 @@
   double share = 1;
   Duration work{}, deadline{}, dedup_window{};
   WorkDistribution distribution = WorkDistribution::exponential;
-  double coefficient_of_variation = 1;  // of a lognormal spread
+  double coefficient_of_variation = 1;  // of a lognormal distribution
   RetryPolicy retry_policy = RetryPolicy::always;
-  bool keyed = false;
+  bool keyed = false;  // requests carry an idempotency key
 };
 
 struct Settings {
-  double rate = 100;  // requests a second, first tries
+  double rate = 100;  // requests per second, retries not included
   Shape shape = Shape::steady;
-  double amplitude = 0;  // of the rate, up and down
+  double amplitude = 0;  // of the variation, as a share of the rate
   Duration length{};
   std::vector<RequestClass> request_classes{};
   std::vector<double> tenants{1};  // shares
   int proxies = 1, retries = 0;
-  double min_patience = 1, max_patience = 1;  // of the expiry, for one try
+  double min_patience = 1,
+         max_patience = 1;  // client's time-out for an attempt, relative to the deadline
   Backoff backoff = Backoff::fixed;
   Duration min_backoff{}, max_backoff{};
-  double retry_after_compliance = 1;  // share of clients that stay away as long as they are told
-  double disconnect_share = 0;        // share of tries that their client gives up in the middle
-  Duration failover_delay{};          // the front layer goes on with a dead proxy for so long
+  double retry_after_compliance = 1;  // share of clients that observe Retry-After
+  double disconnect_share = 0;        // share of attempts whose client disconnects early
+  Duration failover_delay{};          // time for which a proxy that is down still gets requests
 };
 
 struct ClientAttempt {
-  std::int64_t id = 0, first_id = 0;  // of the request's first try
-  int number = 0, request_class = 0, tenant = 0, proxy = 0;
-  TimePoint at{}, deadline{};  // sent, and when its client gives this try up
-  TimePoint disconnects_at{};  // 0, or when it hangs up before
+  std::int64_t id = 0, first_id = 0;  // first_id: of the request's first attempt
+  int number = 0;                     // of retries before this attempt
+  int request_class = 0, tenant = 0, proxy = 0;
+  TimePoint at{}, deadline{};  // when it is sent, and when its client times out
+  TimePoint disconnects_at{};  // when its client disconnects early; 0: it does not
   Duration work{};
   std::string key{};
-  bool poison = false;  // fails wherever it goes
+  bool poison = false;  // fails at every server
 };
 
 enum class ClientResult {
@@ -69,7 +73,7 @@
   timed_out,
   client_disconnected
 };
-const char* to_string(ClientResult end);
+const char* to_string(ClientResult result);
 
 class LoadGenerator {
  public:
@@ -77,19 +81,23 @@
 
   std::optional<ClientAttempt> next(TimePoint now);
   std::optional<TimePoint> next_at() const;
-  // `stay_away`: as a reject told.
-  void attempt_ended(std::int64_t id, ClientResult end, Duration stay_away, TimePoint now);
+  /// `retry_after`: the delay that a rejection asked for.
+  void attempt_ended(std::int64_t id, ClientResult result, Duration retry_after, TimePoint now);
   bool is_finished() const { return arrivals_over_ && scheduled_.empty() && open_.empty(); }
   std::size_t open() const { return open_.size(); }
 
-  // Proxies that die and come back; the front layer learns of it late.
+  /// Marks a proxy as up or down. A proxy that goes down still gets requests for failover_delay.
   void set_proxy_up(int number, bool up, TimePoint now);
 
-  // Troubles.
-  void set_rate_factor(double times) { rate_factor_ = times; }
+  // Injected faults.
+  void set_rate_factor(double factor) { rate_factor_ = factor; }
   void concentrate_on_proxies(std::vector<int> proxies, double share);
-  void set_poison_share(int tenant, double share);  // on top of the usual; 0: over
-  void set_retry_abuse(int tenant, int tries, double patience_of_deadline);  // 0 tries: over
+  /// Adds requests that fail at every server, as a share of all requests. tenant -1: of any tenant;
+  /// share 0: ends the fault.
+  void set_poison_share(int tenant, double share);
+  /// Lets a tenant retry at once, ignoring backoff and Retry-After. retries 0: ends
+  /// the fault.
+  void set_retry_abuse(int tenant, int retries, double patience);
 
  private:
   struct ScheduledAttempt {
@@ -102,9 +110,9 @@
   };
   double uniform_sample();
   double rate_at(TimePoint now) const;
-  void plan_arrival(TimePoint from);
+  void schedule_arrival(TimePoint from);
   ClientAttempt draw_request(TimePoint now);
-  void assign_proxy_and_timing(ClientAttempt& one, TimePoint now);
+  void assign_proxy_and_timing(ClientAttempt& attempt, TimePoint now);
 
   Settings settings_;
   std::minstd_rand random_;
@@ -122,7 +130,7 @@
   std::vector<bool> up_;
   std::vector<int> hot_proxies_{};
   double hot_proxies_share_ = 0, rate_factor_ = 1, poison_share_ = 0, abuse_patience_ = 1;
-  int poison_tenant_ = -1, abuse_tenant_ = -1, abuse_tries_ = 0;
+  int poison_tenant_ = -1, abuse_tenant_ = -1, abuse_retries_ = 0;
   std::int64_t next_id_ = 1;
 };
 
--- a/src/machine/forms.h
+++ b/src/machine/forms.h
@@ -1,5 +1,4 @@
-// Machines and builds as settings and days write them: the keys of a (capacity ...) and a (build N
-// ...) form.
+/// Reads the (capacity ...) and (build N ...) forms of settings and scenarios.
 #pragma once
 #include "deployment/deployment.h"
 #include "machine/machine.h"
--- a/src/machine/machine.cpp
+++ b/src/machine/machine.cpp
@@ -6,15 +6,15 @@
 
 namespace robinhoist::machine {
 namespace {
-Duration times(Duration s, double by) {
-  return Duration(static_cast<std::int64_t>(static_cast<double>(s.count()) * by));
+Duration scaled(Duration duration, double factor) {
+  return Duration(static_cast<std::int64_t>(static_cast<double>(duration.count()) * factor));
 }
-constexpr Duration quick_answer = std::chrono::microseconds(300);  // an error or a known repeat
+constexpr Duration quick_response_time = std::chrono::microseconds(300);  // errors, duplicates
 }  // namespace
 
-bool DedupStore::contains(const std::string& key, TimePoint arrived) {
+bool DedupStore::contains(const std::string& key, TimePoint arrived_at) {
   auto at = completed_at_.find(key);
-  return at != completed_at_.end() && arrived < at->second + window_;
+  return at != completed_at_.end() && arrived_at < at->second + window_;
 }
 
 void DedupStore::insert(const std::string& key, TimePoint now) {
@@ -29,16 +29,16 @@
 }
 
 Machine::Machine(const Capacity& capacity, const Build& build, unsigned salt, TimePoint started,
-                 DedupStore* marks, const SharedSlowdown* harm)
+                 DedupStore* completed_keys, const SharedSlowdown* shared_slowdown)
     : capacity_(capacity),
       build_(build),
       random_(salt),
       started_(started),
-      completed_keys_(marks),
-      shared_slowdown_(harm) {}
+      completed_keys_(completed_keys),
+      shared_slowdown_(shared_slowdown) {}
 
-bool Machine::draw(double share) {
-  return share > 0 && std::uniform_real_distribution<double>(0, 1)(random_) < share;
+bool Machine::draw(double probability) {
+  return probability > 0 && std::uniform_real_distribution<double>(0, 1)(random_) < probability;
 }
 
 double Machine::warm_up_factor(TimePoint now) const {
@@ -57,22 +57,23 @@
          slowdown_;
 }
 
-// Times that work takes against a warm, empty, undisturbed machine of the first build.
+// Factor on the time that work takes, relative to a warm and idle machine of the first build
+// without faults.
 double Machine::slowdown_factor(TimePoint now) const {
-  double times =
+  double factor =
       slowdown_ / (build_.speed * capacity_.speed * warm_up_factor(now) * (1 - stolen_core_share_));
   if (build_.flaw == Flaw::slow)
-    times *= build_.severity;
+    factor *= build_.severity;
   if (build_.flaw == Flaw::late && now >= started_ + build_.flaw_delay)
-    times *= build_.severity;
+    factor *= build_.severity;
   if (build_.flaw == Flaw::load && utilization() > build_.flaw_utilization)
-    times *= build_.severity;
+    factor *= build_.severity;
   if (shared_slowdown_)
-    times *= shared_slowdown_->factor;
-  // More in work than there are cores share them.
-  double crowd = static_cast<double>(running_.size()) + 1;
-  times *= std::max(1.0, crowd / capacity_.cores);
-  return times * (1 + capacity_.contention * std::max(0.0, crowd - 2 * capacity_.cores));
+    factor *= shared_slowdown_->factor;
+  // More running requests than cores share the cores.
+  double running = static_cast<double>(running_.size()) + 1;
+  factor *= std::max(1.0, running / capacity_.cores);
+  return factor * (1 + capacity_.contention * std::max(0.0, running - 2 * capacity_.cores));
 }
 
 void Machine::collapse(TimePoint) {
@@ -89,25 +90,25 @@
     while (cold_arrivals_.front().first <= now - capacity_.collapse_window)
       cold_arrivals_.pop_front();
     Duration sum{};
-    for (auto& [at, much] : cold_arrivals_)
-      sum += much;
-    double most =
+    for (auto& [at, work_time] : cold_arrivals_)
+      sum += work_time;
+    const double limit =
         capacity_.collapse_multiple * available_cores(now) * to_seconds(capacity_.collapse_window);
-    max_cold_load_ = std::max(max_cold_load_, to_seconds(sum) / most);
-    if (to_seconds(sum) > most) {
+    max_cold_load_ = std::max(max_cold_load_, to_seconds(sum) / limit);
+    if (to_seconds(sum) > limit) {
       collapse(now);
       return Admission::collapsed;
     }
   }
   Job job{.work = work, .result = WorkResult::ok, .arrived_at = now};
-  const bool bad_now = (build_.flaw == Flaw::late && now >= started_ + build_.flaw_delay) ||
-                       (build_.flaw == Flaw::load && utilization() > build_.flaw_utilization);
+  const bool flaw_acts = (build_.flaw == Flaw::late && now >= started_ + build_.flaw_delay) ||
+                         (build_.flaw == Flaw::load && utilization() > build_.flaw_utilization);
   if (!work.key.empty() && completed_keys_ && completed_keys_->contains(work.key, now))
     job.result = WorkResult::duplicate;
   else if (draw(failure_share_) || (build_.flaw == Flaw::errors && draw(build_.severity)) ||
            (build_.flaw == Flaw::request_class && work.request_class == build_.request_class &&
             draw(build_.severity)) ||
-           (bad_now && draw(build_.failure_share)))
+           (flaw_acts && draw(build_.failure_share)))
     job.result = WorkResult::failed;
   else if (build_.flaw == Flaw::wrong && draw(build_.severity))
     job.result = WorkResult::wrong;
@@ -123,7 +124,8 @@
 }
 
 void Machine::start(Job job, TimePoint now) {
-  job.done_at = now + (job.quick ? quick_answer : times(job.work.work, slowdown_factor(now)));
+  job.done_at =
+      now + (job.quick ? quick_response_time : scaled(job.work.work, slowdown_factor(now)));
   running_.push_back(std::move(job));
 }
 
@@ -136,11 +138,11 @@
 }
 
 void Machine::cancel(std::int64_t id, bool queued, bool running, TimePoint now) {
-  auto is = [id](const Job& job) { return job.work.id == id; };
+  auto matches = [id](const Job& job) { return job.work.id == id; };
   if (queued)
-    queue_.erase(std::remove_if(queue_.begin(), queue_.end(), is), queue_.end());
+    queue_.erase(std::remove_if(queue_.begin(), queue_.end(), matches), queue_.end());
   if (running)
-    running_.erase(std::remove_if(running_.begin(), running_.end(), is), running_.end());
+    running_.erase(std::remove_if(running_.begin(), running_.end(), matches), running_.end());
   start_queued(now);
 }
 
@@ -160,8 +162,8 @@
   Job job = std::move(*first);
   running_.erase(first);
   CompletedWork done{job.work.id, job.result, false};
-  // The mark is set in the moment of the effect: of two that ran side by side the second changes
-  // nothing.
+  // The key is stored when the effect takes place, so that of two concurrent runs with the same key
+  // the second changes nothing.
   if (job.work.has_effect && (job.result == WorkResult::ok || job.result == WorkResult::wrong)) {
     if (!job.work.key.empty() && completed_keys_ &&
         completed_keys_->contains(job.work.key, job.arrived_at)) {
@@ -176,9 +178,9 @@
   return done;
 }
 
-const char* to_string(WorkResult how) {
-  static const char* const words[] = {"well", "failed", "wrong", "repeat"};
-  return words[static_cast<int>(how)];
+const char* to_string(WorkResult result) {
+  static const char* const names[] = {"well", "failed", "wrong", "repeat"};
+  return names[static_cast<int>(result)];
 }
 
 }  // namespace robinhoist::machine
--- a/src/machine/machine.h
+++ b/src/machine/machine.h
@@ -1,6 +1,8 @@
-// What one server machine does, in simulated or real time alike: cores, slots and a waiting room, a
-// cold start, falling over when pushed, and the forms in which a build can be bad. Free of I/O and
-// clocks: the host says what arrives and when it is, then pulls what is done.
+/// Model of one server machine, used in simulated and in real time.
+///
+/// It models cores, slots, a queue, the warm-up after a start, the collapse of a cold machine under
+/// overload, and the flaws that a build can have. Free of I/O and clocks: the host passes in
+/// arrivals and the current time, and fetches completed work.
 #pragma once
 #include <chrono>
 #include <cstdint>
@@ -19,56 +21,58 @@
 
 struct Capacity {
   int cores = 2;
-  int slots = 16;           // requests in work at once
-  int queue_capacity = 64;  // further ones wait; beyond that they are turned away unseen
-  double speed = 1;         // work done in a second by one core, in seconds of a standard core
-  double contention = 0;  // work grows by this part for each request in work beyond twice the cores
-  double initial_warm_up_factor = 0.3;  // of the capacity, at its start
-  Duration warm_up_time{};              // until it is warm; rises evenly
-  double collapse_multiple = 4;         // sent so many times what it can do,
-  Duration collapse_window{};           // for so long while cold, it falls over for good; 0: never
+  int slots = 16;           // requests that run at once
+  int queue_capacity = 64;  // further requests wait; those beyond are rejected unprocessed
+  double speed = 1;         // of a core, relative to a standard core
+  double contention = 0;    // growth of the work, by each running request beyond twice the cores
+  double initial_warm_up_factor = 0.3;  // of the warm capacity, at the start
+  Duration warm_up_time{};              // until it is warm; the capacity rises linearly
+  // A cold machine collapses, for good, when the work sent to it in the window exceeds this
+  // multiple of its capacity. Window 0: it never does.
+  double collapse_multiple = 4;
+  Duration collapse_window{};
 };
 
 enum class Flaw { none, errors, slow, request_class, load, late, wrong, shared };
 
 struct Build {
   int number = 0;
-  double speed = 1;  // against the first build
+  double speed = 1;  // relative to the first build
   Flaw flaw = Flaw::none;
-  double severity = 0;       // share of requests that fail or are wrong; for slow, load, late and
-                             // shared: times the work
-  double failure_share = 0;  // load and late: the share that fails meanwhile
-  int request_class = -1;    // for request class
-  Duration flaw_delay{};     // late: from so long after the machine's start
-  double flaw_utilization = 0;  // load: while over this part of its cores is busy
+  double severity = 0;          // share of requests that fail or get wrong answers; for slow, load,
+                                // late and shared: factor on the work
+  double failure_share = 0;     // load and late: share of requests that fail while the flaw acts
+  int request_class = -1;       // flaw request_class: the one that it affects
+  Duration flaw_delay{};        // late: time from the machine's start until the flaw acts
+  double flaw_utilization = 0;  // load: the flaw acts above this share of busy cores
 };
 
 struct Work {
   std::int64_t id = 0;
   int request_class = 0;
-  Duration work{};    // on one standard core
-  std::string key{};  // against repeats; empty: none
+  Duration work{};    // time on one standard core
+  std::string key{};  // idempotency key; empty: none
   bool has_effect = false;
 };
 
 enum class Admission { accepted, full, collapsed };
-// What a server stops when its client has left.
+/// Work that a server drops when its client has disconnected.
 enum class CancellationMode { nothing, queued, all };
 enum class WorkResult { ok, failed, wrong, duplicate };
-const char* to_string(WorkResult how);
+const char* to_string(WorkResult result);
 
 struct CompletedWork {
   std::int64_t id;
   WorkResult result;
-  bool changed_data;  // whether it changed data now
+  bool changed_data;  // by this run
 };
 
-// The marks that a group of machines keeps of keyed work done, against repeats: what reaches one of
-// them within the memory of a mark is a repeat, however long it then waits for its turn.
+/// Idempotency keys of completed work, shared by a group of machines. Work that arrives within the
+/// window after its key was completed is a duplicate, however long it then waits in the queue.
 class DedupStore {
  public:
-  explicit DedupStore(Duration memory) : window_(memory) {}
-  bool contains(const std::string& key, TimePoint arrived);
+  explicit DedupStore(Duration window) : window_(window) {}
+  bool contains(const std::string& key, TimePoint arrived_at);
   void insert(const std::string& key, TimePoint now);
 
  private:
@@ -78,7 +82,7 @@
   std::deque<std::pair<TimePoint, std::string>> order_{};
 };
 
-// How much a build that harms all machines slows them, by the traffic that it gets.
+/// Slowdown of all machines by a build with the flaw `shared`; grows with that build's traffic.
 struct SharedSlowdown {
   double factor = 1;
 };
@@ -86,21 +90,22 @@
 class Machine {
  public:
   Machine(const Capacity& capacity, const Build& build, unsigned salt, TimePoint started,
-          DedupStore* marks, const SharedSlowdown* harm = nullptr);
+          DedupStore* completed_keys, const SharedSlowdown* shared_slowdown = nullptr);
 
   Admission arrive(const Work& work, TimePoint now);
-  // The client no longer waits. Waiting work is dropped when `queued`, running work when `running`.
+  /// The client has disconnected. Drops the work if it is queued and `queued` is set, or if it runs
+  /// and `running` is set.
   void cancel(std::int64_t id, bool queued, bool running, TimePoint now);
-  // What is done by now, one by one.
+  /// Returns the work that is completed by now, one item a call.
   std::optional<CompletedWork> next_completed(TimePoint now);
   std::optional<TimePoint> next_completion_at() const;
 
-  // Troubles from outside.
-  void set_slowdown(double times) { slowdown_ = times; }            // 1: none
-  void set_failure_share(double share) { failure_share_ = share; }  // fails at once
-  void set_stolen_core_share(double share) {
-    stolen_core_share_ = share;
-  }  // of the cores taken by another program
+  // Injected faults.
+  void set_slowdown(double factor) { slowdown_ = factor; }  // 1: none
+  /// Share of requests that fail at once.
+  void set_failure_share(double share) { failure_share_ = share; }
+  /// Share of the cores that another program uses.
+  void set_stolen_core_share(double share) { stolen_core_share_ = share; }
   void collapse(TimePoint now);
 
   double warm_up_factor(TimePoint now) const;
@@ -108,11 +113,11 @@
   int in_flight() const { return static_cast<int>(running_.size() + queue_.size()); }
   int queued() const { return static_cast<int>(queue_.size()); }
   double utilization() const;
-  // What it can do now, in standard cores.
+  /// Present capacity, in standard cores.
   double available_cores(TimePoint now) const;
   const Build& build() const { return build_; }
   TimePoint started() const { return started_; }
-  // Work sent to it while cold over what it may be sent in a window, at most so far.
+  /// Largest load in a collapse window while cold, relative to the load that makes it collapse.
   double max_cold_load() const { return max_cold_load_; }
 
  private:
@@ -122,7 +127,7 @@
     TimePoint arrived_at{}, done_at{};
     bool quick = false;
   };
-  bool draw(double share);
+  bool draw(double probability);
   void start(Job job, TimePoint now);
   void start_queued(TimePoint now);
   double slowdown_factor(TimePoint now) const;
@@ -135,8 +140,7 @@
   const SharedSlowdown* shared_slowdown_;
   std::vector<Job> running_{};
   std::deque<Job> queue_{};
-  std::deque<std::pair<TimePoint, Duration>>
-      cold_arrivals_{};  // while cold: when, and how much work
+  std::deque<std::pair<TimePoint, Duration>> cold_arrivals_{};  // time and work
   double slowdown_ = 1, failure_share_ = 0, stolen_core_share_ = 0, max_cold_load_ = 0;
   bool collapsed_ = false;
 };
--- a/src/record/meta.cpp
+++ b/src/record/meta.cpp
@@ -8,11 +8,11 @@
 
 namespace robinhoist::record {
 namespace {
-const std::pair<const char*, Idempotency> effects[] = {
+const std::pair<const char*, Idempotency> idempotency_names[] = {
     {"inquiry", Idempotency::idempotent},
     {"referenced", Idempotency::idempotent_with_key},
     {"once-only", Idempotency::non_idempotent}};
-const std::pair<const char*, DedupScope> groups[] = {
+const std::pair<const char*, DedupScope> dedup_scope_names[] = {
     {"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}};
 }  // namespace
 
@@ -23,14 +23,14 @@
       .put("seed", meta.seed)
       .put("umpires", meta.proxies)
       .put("nodes", meta.endpoints);
-  for (auto& [name, span] : std::initializer_list<std::pair<const char*, Duration>>{
+  for (auto& [name, duration] : std::initializer_list<std::pair<const char*, Duration>>{
            {"length_ms", meta.length},
            {"drain_grace_ms", meta.drain_grace},
            {"window_ms", meta.quota_window},
            {"fall_window_ms", meta.collapse_window},
            {"cold_for_ms", meta.warm_up_time},
            {"answer_slack_ms", meta.answer_slack}})
-    out.put_ms(name, span);
+    out.put_ms(name, duration);
   out.put("free", meta.free_requests)
       .put("fall_multiple", meta.collapse_multiple)
       .put("cold_from", meta.initial_warm_up_factor);
@@ -52,8 +52,8 @@
         .put_ms("sla_ms", request_class.latency_objective)
         .put_ms("expiry_ms", request_class.deadline)
         .put_ms("memory_ms", request_class.dedup_window)
-        .put("effect", effects[static_cast<int>(request_class.idempotency)].first)
-        .put("group", groups[static_cast<int>(request_class.dedup_scope)].first)
+        .put("effect", idempotency_names[static_cast<int>(request_class.idempotency)].first)
+        .put("group", dedup_scope_names[static_cast<int>(request_class.dedup_scope)].first)
         .put("revenue", request_class.priority_weight)
         .end_object();
   out.end_array().end_object();
@@ -70,7 +70,7 @@
   try {
     auto document = json::parse_object(text.str());
     if (json::integer(document, "version") != 1)
-      throw json::DecodeError("a version that is not known here");
+      throw json::DecodeError("unsupported version");
     Meta meta;
     meta.seed = static_cast<long>(json::number(document, "seed"));
     meta.proxies = json::integer(document, "umpires");
@@ -98,16 +98,16 @@
       request_class.latency_objective = json::duration(each, "sla_ms");
       request_class.deadline = json::duration(each, "expiry_ms");
       request_class.dedup_window = json::duration(each, "memory_ms");
-      request_class.idempotency =
-          json::enumerator<Idempotency>(each, "effect", {effects[0], effects[1], effects[2]});
-      request_class.dedup_scope =
-          json::enumerator<DedupScope>(each, "group", {groups[0], groups[1], groups[2]});
+      request_class.idempotency = json::enumerator<Idempotency>(
+          each, "effect", {idempotency_names[0], idempotency_names[1], idempotency_names[2]});
+      request_class.dedup_scope = json::enumerator<DedupScope>(
+          each, "group", {dedup_scope_names[0], dedup_scope_names[1], dedup_scope_names[2]});
       request_class.priority_weight = json::number(each, "revenue");
       meta.request_classes.push_back(request_class);
     }
     return meta;
-  } catch (const json::DecodeError& bad) {
-    throw json::DecodeError(file + ": " + bad.what());
+  } catch (const json::DecodeError& error) {
+    throw json::DecodeError(file + ": " + error.what());
   }
 }
 
--- a/src/record/meta.h
+++ b/src/record/meta.h
@@ -1,4 +1,5 @@
-// What a record's reader must know of the day: the figures of the rules, request classes and zones.
+/// The parameters of a scenario that the reader of its event log needs: limits of the rules,
+/// request classes and caps.
 #pragma once
 #include <string>
 #include <vector>
@@ -21,8 +22,8 @@
   std::vector<RequestClass> request_classes{};
   std::vector<std::string> tenants{};
   std::vector<double> caps{};
-  std::vector<std::string>
-      steps{};  // of all releases, "build/id", in the order in which they must run
+  /// Of all releases, "build/id", in the order in which they must run.
+  std::vector<std::string> steps{};
   Duration length{}, drain_grace{}, quota_window{}, collapse_window{}, warm_up_time{},
       answer_slack{};
   double free_requests = 0, collapse_multiple = 0, initial_warm_up_factor = 0;
--- a/src/record/record.cpp
+++ b/src/record/record.cpp
@@ -32,13 +32,13 @@
     throw json::DecodeError(file + ": can't be read");
   std::string text;
   for (long number = 1; std::getline(in, text); ++number) {
-    const bool last = in.eof();  // no line end: cut short
+    const bool last = in.eof();  // no line end: the line may be cut short
     try {
       line(json::parse_object(text));
-    } catch (const json::DecodeError& bad) {
+    } catch (const json::DecodeError& error) {
       if (last)
         return 1;
-      throw json::DecodeError(file + ":" + std::to_string(number) + ": " + bad.what());
+      throw json::DecodeError(file + ":" + std::to_string(number) + ": " + error.what());
     }
   }
   return 0;
--- a/src/record/record.h
+++ b/src/record/record.h
@@ -1,5 +1,5 @@
-// A played day's record: one JSON object a line, times in microseconds since the day's start.
-// Written by several threads, read back whole by the auditor.
+/// The event log of a scenario: one JSON object a line, times in microseconds since the start.
+/// Several threads write it; the auditor reads it back.
 #pragma once
 #include <cstdio>
 #include <functional>
@@ -13,7 +13,8 @@
 
 class Writer {
  public:
-  explicit Writer(const std::string& file);  // throws std::runtime_error when it can't be written
+  /// Throws std::runtime_error when the file can't be written.
+  explicit Writer(const std::string& file);
   ~Writer();
   Writer(const Writer&) = delete;
   Writer& operator=(const Writer&) = delete;
@@ -25,8 +26,8 @@
   std::FILE* file_;
 };
 
-// Calls with each line; a last line cut short is passed over and told by the return value (how
-// many). Throws json::DecodeError with file and line for anything else that makes no sense.
+/// Calls `line` with each line. A last line that is cut short is skipped; returns the number of
+/// lines skipped. Throws json::DecodeError, with file and line number, for any other invalid line.
 int read(const std::string& file, const std::function<void(const json::Value&)>& line);
 
 }  // namespace robinhoist::record
