--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -49,8 +49,8 @@
   }
 }
 
-// Of each request its first attempt, and of those that succeeded with a right answer the first to
-// end.
+// For each request, its first attempt, and the first to end of those that succeeded with a correct
+// answer.
 struct Outcomes {
   FirstAttempts first{};
   FirstAttempts first_success{};
@@ -123,7 +123,8 @@
   report.max_slow_start_use = events.max_slow_start_use;
   report.proxy_attempts = static_cast<long>(events.arrivals.size());
   if (events.cut_files > 0)
-    report.notes.push_back(std::to_string(events.cut_files) + " of the files end in mid-line");
+    report.notes.push_back(std::to_string(events.cut_files) +
+                           " of the files end with an incomplete line");
   report.request_classes.resize(events.meta.request_classes.size());
   count_attempts(events, report);
   count_requests(events, report);
--- a/src/audit/event_reader.cpp
+++ b/src/audit/event_reader.cpp
@@ -16,7 +16,7 @@
   return static_cast<long>(json::number(line, field));
 }
 
-// A text field that holds a number, as headers do; `fallback` for any other text.
+// A text field with a number, copied from a header; `fallback` for any other text.
 long number_in_text(const json::Value& line, const char* field, long fallback) {
   const std::string text = json::text(line, field);
   const bool is_number = !text.empty() && text.find_first_not_of("0123456789") == std::string::npos;
--- a/src/audit/events.h
+++ b/src/audit/events.h
@@ -1,4 +1,4 @@
-/// What a scenario's record holds, read for the audit.
+/// The events of a scenario's event log, as the audit needs them.
 #pragma once
 #include <map>
 #include <string>
@@ -9,15 +9,15 @@
 
 namespace robinhoist::audit {
 
-/// How one attempt of a client ended, by the record's words.
+/// Result of one attempt of a client.
 enum class ClientResult {
   succeeded,
   rejected,
   failed,
   rejected_before_routing,
   unreached,
-  client_disconnected,  ///< the client left first
-  lost                  ///< anything else: no answer came
+  client_disconnected,  ///< the client disconnected before a response came
+  lost                  ///< any other end without a response
 };
 
 /// One attempt of a client.
@@ -29,10 +29,10 @@
   long first_id;  ///< of the first attempt of the same request
   std::string proxy;
   ClientResult result;
-  std::string result_name;  ///< the record's word for it
+  std::string result_name;  ///< as in the event log
   int request_class;
   bool correct;
-  bool poison;  ///< fails wherever it goes
+  bool poison;  ///< fails at every server
 };
 
 /// An attempt of a proxy as it reached a server.
@@ -40,29 +40,29 @@
   TimePoint at;
   std::string server;
   std::string proxy;
-  bool refused;  ///< the server turned it away without running it
+  bool refused;  ///< rejected by the server without processing
   int build;
   int request_class;
-  long work_id;  ///< the server's name for it
+  long work_id;  ///< assigned by the server
   long client_request_id;
   Duration work;
 };
 
-/// A run that changed data.
+/// A run of a request at a server that changed data.
 struct Effect {
   long work_id;
   TimePoint at;
 };
 
-/// A process of a server.
+/// The start of a server's process.
 struct ServerStart {
   TimePoint at;
   std::string zone;
   int cell;
-  long started;  ///< as the registry lists it
+  long started;  ///< as in the registry
 };
 
-/// A server that fell over while it was warming up.
+/// A server that collapsed under load while it was warming up.
 struct Collapse {
   TimePoint at;
   std::string server;
@@ -74,14 +74,14 @@
   long started;
 };
 
-/// What a proxy was notified of: a list of endpoints.
+/// An endpoint list that a proxy was notified of.
 struct EndpointNotification {
   TimePoint at;
   bool complete;
   std::vector<NotifiedEndpoint> endpoints;
 };
 
-/// What a proxy was notified of: where the release stands.
+/// A release state that a proxy was notified of.
 struct ReleaseNotification {
   TimePoint at;
   int build;
@@ -90,7 +90,7 @@
   double cap;
 };
 
-/// The life of a proxy's process.
+/// The lifetime of a proxy's process.
 struct ProxyLife {
   TimePoint from;
   TimePoint to;
@@ -101,10 +101,10 @@
   TimePoint at;
   std::string step;  ///< "build/id"
   bool rollback;
-  bool done;  ///< false: a batch, and more are to follow
+  bool done;  ///< false: a batch with more to follow
 };
 
-/// A server's answer without the tables that its build needs.
+/// A response of a server while the tables that its build needs were missing.
 struct UnreadyAnswer {
   TimePoint at;
   std::string server;
@@ -119,7 +119,7 @@
   std::string reason;
 };
 
-/// All events of a record, each kind in the order of time.
+/// All events of an event log, each kind in order of time.
 struct Events {
   record::Meta meta{};
   std::vector<ClientRequest> requests{};
@@ -134,13 +134,14 @@
   std::map<std::string, std::vector<ProxyLife>> proxy_lives{};
   std::vector<ReleaseChange> release_changes{};
   long votes = 0;
-  double max_slow_start_use = 0;  ///< of what a server that warms up may be sent; 1: all of it
-  int cut_files = 0;              ///< files that end in mid-line
-  std::map<std::string, long> unsolicited{};  ///< answers that no client waited for, by proxy
+  double max_slow_start_use =
+      0;              ///< of the load limit of a server that is warming up; 1: all of it
+  int cut_files = 0;  ///< files whose last line is cut short
+  std::map<std::string, long> unsolicited{};  ///< responses that no client waited for, by proxy
 };
 
-/// Reads the record in a folder. Throws json::DecodeError, with file and line, when it makes no
-/// sense.
+/// Reads the event log in a folder. Throws json::DecodeError, with file and line, when it is
+/// invalid.
 Events read_events(const std::string& folder);
 
 }  // namespace robinhoist::audit
--- a/src/audit/report_text.cpp
+++ b/src/audit/report_text.cpp
@@ -17,7 +17,7 @@
   return text.data();
 }
 
-std::string breaches(const RuleReport& rule) {
+std::string describe_violations(const RuleReport& rule) {
   if (rule.passed())
     return "\n";
   return ": " + std::to_string(rule.violations) + " times, first: " + rule.first_violation + "\n";
@@ -34,13 +34,13 @@
     line += " excused";
   }
   line += ")";
-  line += breaches(rule);
+  line += describe_violations(rule);
   return line;
 }
 
 std::string steps_line(const RuleReport& steps) {
   return std::string(steps.name) + (steps.passed() ? " kept (" : " BROKEN (") +
-         std::to_string(steps.checked) + " runs at the database)" + breaches(steps);
+         std::to_string(steps.checked) + " runs at the database)" + describe_violations(steps);
 }
 
 std::string counts_line(const RequestCounts& counts) {
--- a/src/audit/rules_common.cpp
+++ b/src/audit/rules_common.cpp
@@ -6,20 +6,20 @@
 namespace robinhoist::audit {
 namespace {
 
-// A start and an arrival of the same instant may be recorded in either order.
+// A start and an arrival at the same instant may be recorded in either order.
 constexpr Duration start_slack = std::chrono::milliseconds(1);
 
 }  // namespace
 
-TimePoint life_began(const Events& events, const std::string& proxy, TimePoint at) {
-  TimePoint began{};
+TimePoint process_started_at(const Events& events, const std::string& proxy, TimePoint at) {
+  TimePoint started{};
   const auto lives = events.proxy_lives.find(proxy);
   if (lives == events.proxy_lives.end())
-    return began;
+    return started;
   for (const ProxyLife& life : lives->second)
     if (life.from <= at)
-      began = life.from;
-  return began;
+      started = life.from;
+  return started;
 }
 
 const ServerStart* server_start_at(const Events& events, const std::string& server, TimePoint at) {
--- a/src/audit/rules_quota.cpp
+++ b/src/audit/rules_quota.cpp
@@ -16,7 +16,8 @@
 
 using Times = std::vector<TimePoint>;
 
-// What one proxy has accepted, as its clients sent it: by request class, and in all.
+// Times of the requests that one proxy accepted, as its clients sent them: by request class and in
+// total.
 struct AcceptedRequests {
   std::vector<Times> by_class;
   Times all;
@@ -41,7 +42,7 @@
   return by_proxy;
 }
 
-// The cap that binds a proxy for a build.
+// The cap that applies to a build after this notification.
 double cap_of(const ReleaseNotification& release, int build, const record::Meta& meta) {
   if (build < release.build)
     return no_cap;
@@ -52,7 +53,7 @@
   return release.phase == "trial" ? release.cap : 0;
 }
 
-// The quota of one proxy, moved on from arrival to arrival.
+// Checks the quota of one proxy, arrival by arrival.
 class QuotaCheck {
  public:
   QuotaCheck(const Events& events, std::string proxy, const AcceptedRequests& accepted,
@@ -68,27 +69,27 @@
   }
 
   void check(const AttemptArrival& arrival) {
-    begin_life(arrival.at);
+    reset_after_restart(arrival.at);
     advance(arrival.at);
     if (!release_)
       return;
-    const Binding& binding = bindings_[arrival.build];
+    const BuildLimit& limit = limits_[arrival.build];
     const record::Meta& meta = events_.meta;
-    const bool in_grace = binding.lowered_at >= TimePoint{} &&
-                          arrival.at <= binding.lowered_at + meta.drain_grace + uncertainty;
-    const double cap = in_grace ? std::max(binding.cap, binding.earlier_cap) : binding.cap;
+    const bool in_grace = limit.lowered_at >= TimePoint{} &&
+                          arrival.at <= limit.lowered_at + meta.drain_grace + uncertainty;
+    const double cap = in_grace ? std::max(limit.cap, limit.earlier_cap) : limit.cap;
     if (cap == no_cap)
       return;
     ++report_.checked;
     if (!in_grace)
-      check_safe_only(arrival, binding);
-    check_count(arrival, binding, cap, in_grace);
+      check_safe_only(arrival, limit);
+    check_count(arrival, limit, cap, in_grace);
   }
 
   double max_use() const { return max_use_; }
 
  private:
-  struct Binding {
+  struct BuildLimit {
     double cap = no_cap;
     double earlier_cap = no_cap;
     TimePoint lowered_at{Duration(-1)};
@@ -96,13 +97,13 @@
   };
   using CountKey = std::pair<int, int>;  // build and request class, -1 for all classes
 
-  void begin_life(TimePoint at) {
-    const TimePoint began = life_began(events_, proxy_, at);
-    if (began == life_)
+  void reset_after_restart(TimePoint at) {
+    const TimePoint started = process_started_at(events_, proxy_, at);
+    if (started == process_start_)
       return;
-    life_ = began;
+    process_start_ = started;
     release_.reset();
-    bindings_.clear();
+    limits_.clear();
     sent_.clear();
   }
 
@@ -111,42 +112,43 @@
       return;
     for (; next_ < notifications_->size() && (*notifications_)[next_].at <= to; ++next_) {
       const ReleaseNotification& notification = (*notifications_)[next_];
-      if (notification.at < life_)
+      if (notification.at < process_start_)
         continue;
-      // The first word of a life lowers nothing: before it a build counts as in the first stage.
+      // The first notification of a process lowers no cap; before it, a build counts as in its
+      // first stage.
       const bool first = !release_;
       release_ = notification;
       for (const int build : builds_)
-        rebind(build, first);
+        update_limit(build, first);
     }
   }
 
-  void rebind(int build, bool first) {
-    Binding& binding = bindings_[build];
+  void update_limit(int build, bool first) {
+    BuildLimit& limit = limits_[build];
     const double cap = cap_of(*release_, build, events_.meta);
-    if (cap < binding.cap && !first) {
-      // Lowered again within the grace, the higher cap before stays what the grace allows.
-      const bool grace_is_over = binding.lowered_at < TimePoint{} ||
-                                 release_->at >= binding.lowered_at + events_.meta.drain_grace;
+    if (cap < limit.cap && !first) {
+      // If the cap is lowered again within the grace period, the higher earlier cap still applies.
+      const bool grace_is_over = limit.lowered_at < TimePoint{} ||
+                                 release_->at >= limit.lowered_at + events_.meta.drain_grace;
       if (grace_is_over)
-        binding.earlier_cap = binding.cap;
-      binding.lowered_at = release_->at;
+        limit.earlier_cap = limit.cap;
+      limit.lowered_at = release_->at;
     }
-    binding.cap = cap;
-    binding.stage = build == release_->build ? release_->stage : 0;
+    limit.cap = cap;
+    limit.stage = build == release_->build ? release_->stage : 0;
   }
 
-  void check_safe_only(const AttemptArrival& arrival, const Binding& binding) {
+  void check_safe_only(const AttemptArrival& arrival, const BuildLimit& limit) {
     const record::Meta& meta = events_.meta;
-    if (arrival.request_class < 0 || binding.stage >= meta.safe_only_stages ||
+    if (arrival.request_class < 0 || limit.stage >= meta.safe_only_stages ||
         meta.request_classes[arrival.request_class].idempotency == Idempotency::idempotent)
       return;
     report_.add_violation(proxy_ + " sent a txn with an effect to build " +
                           std::to_string(arrival.build) + " at " + to_text(arrival.at) +
-                          ", in wave " + std::to_string(binding.stage));
+                          ", in wave " + std::to_string(limit.stage));
   }
 
-  void check_count(const AttemptArrival& arrival, const Binding& binding, double cap,
+  void check_count(const AttemptArrival& arrival, const BuildLimit& limit, double cap,
                    bool in_grace) {
     const record::Meta& meta = events_.meta;
     const int request_class =
@@ -154,8 +156,8 @@
     Times& sent = sent_[{arrival.build, request_class}];
     sent.push_back(arrival.at);
     TimePoint from = arrival.at - meta.quota_window + uncertainty;
-    if (binding.lowered_at >= TimePoint{} && !in_grace)
-      from = std::max(from, binding.lowered_at + meta.drain_grace);
+    if (limit.lowered_at >= TimePoint{} && !in_grace)
+      from = std::max(from, limit.lowered_at + meta.drain_grace);
     const auto count =
         static_cast<double>(sent.end() - std::upper_bound(sent.begin(), sent.end(), from));
     const double accepted = accepted_in_window(request_class, arrival.at);
@@ -189,9 +191,9 @@
   RuleReport& report_;
   const std::vector<ReleaseNotification>* notifications_ = nullptr;
   std::size_t next_ = 0;
-  TimePoint life_{Duration(-1)};
+  TimePoint process_start_{Duration(-1)};
   std::optional<ReleaseNotification> release_{};
-  std::map<int, Binding> bindings_{};
+  std::map<int, BuildLimit> limits_{};
   std::map<CountKey, Times> sent_{};
   double max_use_ = 0;
 };
--- a/src/audit/rules_requests.cpp
+++ b/src/audit/rules_requests.cpp
@@ -30,7 +30,7 @@
          result == ClientResult::failed || result == ClientResult::rejected_before_routing;
 }
 
-// Whether no process of the proxy ran all the time from then to then.
+// Whether no process of the proxy ran for the whole interval.
 bool interrupted(const Events& events, const std::string& proxy, TimePoint from, TimePoint to) {
   const auto lives = events.proxy_lives.find(proxy);
   if (lives == events.proxy_lives.end())
@@ -81,7 +81,7 @@
   return scope == DedupScope::zone ? a->zone == b->zone : a->cell == b->cell;
 }
 
-// Why a retry could have a second effect after an attempt that may have run; empty: it could not.
+// Why a retry could have a second effect, given an attempt that may have run; empty: it could not.
 std::string second_effect(const Events& events, const record::Meta::RequestClass& request_class,
                           const AttemptArrival& ran, const AttemptArrival& retry) {
   if (request_class.idempotency == Idempotency::non_idempotent)
@@ -110,9 +110,9 @@
   const AttemptArrival* ran = nullptr;  // the first that may have run
   for (const AttemptArrival* arrival : arrivals) {
     if (ran) {
-      const std::string breach = second_effect(events, request_class, *ran, *arrival);
-      if (!breach.empty()) {
-        report.add_violation(describe(events, request) + breach);
+      const std::string violation = second_effect(events, request_class, *ran, *arrival);
+      if (!violation.empty()) {
+        report.add_violation(describe(events, request) + violation);
         return;
       }
     } else if (!arrival->refused) {
@@ -126,7 +126,7 @@
                          ran->server);
 }
 
-// Servers remember keys against a second effect: no request may have two.
+// Servers drop repeats of a key, so that no request may have two effects.
 void check_effects(const Events& events,
                    const std::unordered_map<long, const ClientRequest*>& requests,
                    RuleReport& report) {
@@ -141,15 +141,16 @@
     const auto request = requests.find(arrival->second->client_request_id);
     if (request == requests.end())
       continue;
-    const ClientRequest& of = *request->second;
+    const ClientRequest& client_request = *request->second;
     ++report.checked;
-    // The key is the client's, one for all attempts of a request.
-    const bool keyed = events.meta.request_classes[of.request_class].idempotency ==
+    // A client uses one key for all attempts of a request.
+    const bool keyed = events.meta.request_classes[client_request.request_class].idempotency ==
                        Idempotency::idempotent_with_key;
-    const auto [first, is_first] = first_effects.emplace(keyed ? of.first_id : of.id, effect.at);
+    const auto [first, is_first] =
+        first_effects.emplace(keyed ? client_request.first_id : client_request.id, effect.at);
     if (!is_first)
-      report.add_violation(describe(events, of) + " had an effect at " + to_text(first->second) +
-                           " and again at " + to_text(effect.at));
+      report.add_violation(describe(events, client_request) + " had an effect at " +
+                           to_text(first->second) + " and again at " + to_text(effect.at));
   }
 }
 
--- a/src/audit/rules_steps.cpp
+++ b/src/audit/rules_steps.cpp
@@ -10,7 +10,7 @@
   return step.substr(0, step.find('/'));
 }
 
-// The first step of the same build that should have been applied before this one; empty: all were.
+// The first earlier step of the same build that has not been applied; empty: all have been.
 std::string missing_before(const std::vector<std::string>& order, std::size_t position,
                            const std::set<std::size_t>& applied) {
   const std::string build = build_of(order[position]);
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -1,5 +1,5 @@
-// Proves the auditor on records: tests/audit/*.txt each hold a small record that breaks one rule,
-// or none. The notation is described in tests/audit/README.md.
+// Tests the auditor with small event logs: each file of tests/audit/*.txt describes one that breaks
+// one rule, or none. The notation is described in tests/audit/README.md.
 #include "audit/audit.h"
 
 #include <unistd.h>
@@ -15,22 +15,22 @@
 using tests::Words;
 namespace fs = std::filesystem;
 
-struct Folder {
+struct TemporaryFolder {
   fs::path at = fs::temp_directory_path() / ("robinhoist-audit-" + std::to_string(::getpid()));
-  Folder() { fs::create_directories(at); }
-  ~Folder() { fs::remove_all(at); }
+  TemporaryFolder() { fs::create_directories(at); }
+  ~TemporaryFolder() { fs::remove_all(at); }
 };
 
-struct Written {
-  Folder folder{};
+struct EventLogBuilder {
+  TemporaryFolder folder{};
   record::Meta meta{};
   std::map<std::string, std::string> files{
       {"clients", ""}, {"nodes", ""}, {"told", ""}, {"umpires", ""}, {"database", ""}};
-  std::map<std::string, std::string> wanted{};
-  long next_work = 1, most_pushed = 0;
+  std::map<std::string, std::string> expected{};
+  long next_work = 1;
   bool cut = false;
 
-  Written() {
+  EventLogBuilder() {
     using namespace std::chrono_literals;
     meta.request_classes = {
         {"look", 300ms, 500ms, 0ms, Idempotency::idempotent, DedupScope::all, 1},
@@ -55,7 +55,7 @@
   }
 
   // try ID UMPIRE PRODUCT AT END ENDED [FIRST]
-  void one_try(const Words& w) {
+  void add_client_attempt(const Words& w) {
     files["clients"] += json::Writer()
                             .begin_object()
                             .put("t", us(w[4]))
@@ -75,7 +75,7 @@
   }
 
   // sent TRY UMPIRE PRODUCT AT NODE BUILD WHAT [effect] [work MS]
-  void sent(const Words& w) {
+  void add_arrival(const Words& w) {
     const long id = next_work++;
     long work = 10000;
     bool effect = false;
@@ -173,15 +173,15 @@
                            .text() +
                        "\n";
     } else if (w[0] == "try") {
-      one_try(w);
+      add_client_attempt(w);
     } else if (w[0] == "tries") {  // tries FROM COUNT UMPIRE PRODUCT AT EVERY: settled 10 ms later
       for (int i = 0; i < std::stoi(w[2]); ++i) {
         const long at = std::stol(w[5]) + i * std::stol(w[6]);
-        one_try({"try", std::to_string(std::stol(w[1]) + i), w[3], w[4], std::to_string(at),
-                 "settled", std::to_string(at + 10)});
+        add_client_attempt({"try", std::to_string(std::stol(w[1]) + i), w[3], w[4],
+                            std::to_string(at), "settled", std::to_string(at + 10)});
       }
     } else if (w[0] == "sent") {
-      sent(w);
+      add_arrival(w);
     } else if (w[0] == "steps") {
       meta.steps.assign(w.begin() + 1, w.end());
     } else if (w[0] == "database") {  // database MARK apply|undo AT
@@ -213,43 +213,45 @@
     } else if (w[0] == "cut") {
       cut = true;
     } else if (w[0] == "expect") {  // expect RULE kept|broken [WORDS]
-      wanted[w[1]] = w[2] + (w.size() > 3 ? " " + w[3] : "");
+      expected[w[1]] = w[2] + (w.size() > 3 ? " " + w[3] : "");
     } else {
       throw std::runtime_error("no such step");
     }
   }
 };
 
-class AuditPlay : public testing::TestWithParam<std::string> {};
+class AuditScript : public testing::TestWithParam<std::string> {};
 
-TEST_P(AuditPlay, is_judged_as_written) {
-  Written written;
-  tests::run_script(GetParam(), [&](const Words& words) { written.step(words); });
-  record::write((written.folder.at / "meta.json").string(), written.meta);
-  for (auto& [name, text] : written.files) {
-    if (written.cut && !text.empty())
+TEST_P(AuditScript, gives_the_expected_result) {
+  EventLogBuilder builder;
+  tests::run_script(GetParam(), [&](const Words& words) { builder.step(words); });
+  record::write((builder.folder.at / "meta.json").string(), builder.meta);
+  for (auto& [name, text] : builder.files) {
+    if (builder.cut && !text.empty())
       text.resize(text.size() - 5);
-    std::ofstream(written.folder.at / (name + ".jsonl")) << text;
+    std::ofstream(builder.folder.at / (name + ".jsonl")) << text;
   }
-  const Report report = audit(written.folder.at.string());
-  EXPECT_FALSE(written.wanted.empty());
+  const Report report = audit(builder.folder.at.string());
+  EXPECT_FALSE(builder.expected.empty());
   for (int r = 1; r <= 6; ++r) {
     const RuleReport& rule = r == 6 ? report.steps : report.rules[r - 1];
-    auto wanted = written.wanted.find(r == 6 ? "steps" : std::to_string(r));
-    if (wanted == written.wanted.end()) {
+    auto expected = builder.expected.find(r == 6 ? "steps" : std::to_string(r));
+    if (expected == builder.expected.end()) {
       EXPECT_TRUE(rule.passed()) << r << ": " << rule.first_violation;
       continue;
     }
-    const std::string how = wanted->second.substr(0, wanted->second.find(' '));
-    EXPECT_EQ(rule.passed(), how == "kept") << r << ": " << rule.first_violation;
-    if (how != wanted->second) {
-      EXPECT_NE(rule.first_violation.find(wanted->second.substr(how.size() + 1)), std::string::npos)
+    const std::string result = expected->second.substr(0, expected->second.find(' '));
+    EXPECT_EQ(rule.passed(), result == "kept") << r << ": " << rule.first_violation;
+    if (result != expected->second) {
+      EXPECT_NE(rule.first_violation.find(expected->second.substr(result.size() + 1)),
+                std::string::npos)
           << rule.first_violation;
     }
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, AuditPlay, testing::ValuesIn(tests::files_in(TESTS "/audit", ".txt")),
+INSTANTIATE_TEST_SUITE_P(All, AuditScript,
+                         testing::ValuesIn(tests::files_in(TESTS "/audit", ".txt")),
                          tests::script_name);
 
 }  // namespace
