--- a/fuzz/framing_fuzz.cpp
+++ b/fuzz/framing_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzz target: both readers of HTTP, fed in two pieces; the second half arrives later, as on a
-// socket.
+// Fuzz target: the HTTP request and response readers, with input that arrives in two pieces, as on
+// a socket.
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -25,7 +25,7 @@
     out += piece;
     while (responses.read(out) == http::ParseResult::complete) {
       http::Headers kept;
-      http::copy_end_to_end(responses.take().headers, kept);
+      http::copy_end_to_end_headers(responses.take().headers, kept);
       responses.expect(false);
     }
   }
--- a/src/audit/rules_quota.cpp
+++ b/src/audit/rules_quota.cpp
@@ -140,7 +140,7 @@
 
   void check_safe_only(const AttemptArrival& arrival, const BuildLimit& limit) {
     const record::Meta& meta = events_.meta;
-    if (arrival.request_class < 0 || limit.stage >= meta.safe_only_stages ||
+    if (arrival.request_class < 0 || limit.stage >= meta.idempotent_only_stages ||
         meta.request_classes[arrival.request_class].idempotency == Idempotency::idempotent)
       return;
     report_.add_violation(proxy_ + " sent a txn with an effect to build " +
@@ -161,14 +161,14 @@
     const auto count =
         static_cast<double>(sent.end() - std::upper_bound(sent.begin(), sent.end(), from));
     const double accepted = accepted_in_window(request_class, arrival.at);
-    const double allowed = meta.free_requests + cap * accepted;
+    const double allowed = meta.uncapped_attempts + cap * accepted;
     if (cap > 0 && !in_grace)
       max_use_ = std::max(max_use_, count / std::max(1.0, allowed));
     if (count > allowed + rounding)
       report_.add_violation(proxy_ + " sent " + std::to_string(static_cast<long>(count)) +
                             " submissions to build " + std::to_string(arrival.build) +
                             " in the window up to " + to_text(arrival.at) + ", allowed are " +
-                            std::to_string(meta.free_requests) + " and " + std::to_string(cap) +
+                            std::to_string(meta.uncapped_attempts) + " and " + std::to_string(cap) +
                             " of " + std::to_string(static_cast<long>(accepted)) + " txns");
   }
 
--- a/src/day/clients.cpp
+++ b/src/day/clients.cpp
@@ -68,13 +68,13 @@
       break;
     }
     case FaultKind::bad_requests:
-      load_.set_poison_share(fault.tenant.empty() ? -1 : deployment.tenant(fault.tenant),
+      load_.set_poison_share(fault.tenant.empty() ? -1 : deployment.tenant_index(fault.tenant),
                              fault.magnitude);
       at_end([this] { load_.set_poison_share(-1, 0); });
       break;
     case FaultKind::retry_abuse:
-      load_.set_retry_abuse(deployment.tenant(fault.tenant), static_cast<int>(fault.magnitude),
-                            fault.extra);
+      load_.set_retry_abuse(deployment.tenant_index(fault.tenant),
+                            static_cast<int>(fault.magnitude), fault.extra);
       at_end([this] { load_.set_retry_abuse(-1, 0, 1); });
       break;
     default:
@@ -94,7 +94,7 @@
 
 void Clients::send(const load::ClientAttempt& client_try) {
   const auto& request_class = scenario_.deployment.request_classes[client_try.request_class];
-  const deployment::Match& match = request_class.matches.front();
+  const deployment::RequestMatcher& match = request_class.matchers.front();
   http::Request request;
   request.method = match.method;
   request.target = match.prefix ? match.path + "?n=" + std::to_string(client_try.id) : match.path;
--- a/src/day/environment.cpp
+++ b/src/day/environment.cpp
@@ -331,7 +331,7 @@
            at += from_seconds(std::max(0.02, magnitude)))
         loop_.in(at, [this] {
           if (controller_)
-            controller_->break_connections();
+            controller_->reset_connections();
         });
       break;
     case FaultKind::controller_down:
@@ -418,7 +418,7 @@
   record::endpoints_notified(proxy_updates_, loop_.now(), proxy, update.entries, update.complete);
 }
 
-// A proxy goes by the newest release that has begun; updates of older ones have no effect on it.
+// A proxy applies the newest release that has begun; updates of older ones have no effect on it.
 void Environment::record_release_update(const std::string& proxy,
                                         const objects::Snapshot& snapshot) {
   const releases::Release release = releases::decode(snapshot.full);
--- a/src/day/record_meta.cpp
+++ b/src/day/record_meta.cpp
@@ -20,11 +20,11 @@
   meta.collapse_window = deployment.collapse_window;
   meta.warm_up_time = deployment.warm_up_time;
   meta.answer_slack = scenario.answer_slack;
-  meta.free_requests = deployment.free_requests;
+  meta.uncapped_attempts = deployment.uncapped_attempts;
   meta.collapse_multiple = deployment.collapse_multiple;
   meta.initial_warm_up_factor = deployment.initial_warm_up_factor;
   meta.by_request_class = deployment.by_request_class;
-  meta.safe_only_stages = deployment.safe_only_stages;
+  meta.idempotent_only_stages = deployment.idempotent_only_stages;
   meta.proxies = deployment.proxies;
   meta.endpoints = scenario.server_slots;
   meta.seed = seed;
--- a/src/day/scenario.cpp
+++ b/src/day/scenario.cpp
@@ -95,7 +95,7 @@
   }
   if (is_any_of({FaultKind::slow_link, FaultKind::zone_cut})) {
     fault.zone = form.text("zone");
-    if (scenario.deployment.zone(fault.zone) < 0)
+    if (scenario.deployment.zone_index(fault.zone) < 0)
       form.add_problem("zone", "is not a zone of the deployment");
   }
   if (is_any_of({FaultKind::bad_requests}))
@@ -105,7 +105,7 @@
     fault.magnitude = form.integer("tries", 1, 100);
     fault.extra = form.number("patience", 0.01, 1);
   }
-  if (!fault.tenant.empty() && scenario.deployment.tenant(fault.tenant) < 0)
+  if (!fault.tenant.empty() && scenario.deployment.tenant_index(fault.tenant) < 0)
     form.add_problem("tenant", "is not a tenant of the deployment");
   if (is_any_of({FaultKind::watch_breaks}))
     fault.magnitude = form.duration("every", 20ms, 1h).count() / 1e6;
@@ -141,7 +141,7 @@
   std::vector<bool> given(load.request_classes.size(), false);
   double sum = 0;
   for (SexpReader& product : form.children("product", 1)) {
-    const int p = scenario.deployment.request_class(product.positional(0, "a product"));
+    const int p = scenario.deployment.request_class_index(product.positional(0, "a product"));
     if (p < 0 || given[p]) {
       product.add_problem(p < 0 ? "is not a product of the deployment" : "given twice");
       continue;
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -107,12 +107,12 @@
       concentrate_load(fault);
       return true;
     case FaultKind::bad_requests:
-      load.set_poison_share(fault.tenant.empty() ? -1 : deployment.tenant(fault.tenant),
+      load.set_poison_share(fault.tenant.empty() ? -1 : deployment.tenant_index(fault.tenant),
                             fault.magnitude);
       at_end(fault, [&load] { load.set_poison_share(-1, 0); });
       return true;
     case FaultKind::retry_abuse:
-      load.set_retry_abuse(deployment.tenant(fault.tenant), static_cast<int>(fault.magnitude),
+      load.set_retry_abuse(deployment.tenant_index(fault.tenant), static_cast<int>(fault.magnitude),
                            fault.extra);
       at_end(fault, [&load] { load.set_retry_abuse(-1, 0, 1); });
       return true;
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -20,9 +20,9 @@
   virtual void client_disconnected(int request_id) = 0;
   virtual void release_updated(const ReleaseUpdate& release, TimePoint now) = 0;
   virtual void vote_answered(Outcome outcome, TimePoint now) = 0;
-  virtual void answer_found_wrong(int endpoint) = 0;
+  virtual void wrong_answer_reported(int endpoint) = 0;
   virtual std::optional<Decision> next(TimePoint now) = 0;
-  virtual bool knows(int request_id) const = 0;
+  virtual bool has_request(int request_id) const = 0;
 };
 
 enum class RoutingPolicy { module, random, round_robin, least_requests };
--- a/src/emulator/simulated_clients.cpp
+++ b/src/emulator/simulated_clients.cpp
@@ -198,8 +198,9 @@
   if (simulation_.uniform_sample() >= share)
     return;
   SimulatedProxy& proxy = *simulation_.proxies[attempt.proxy];
-  simulation_.engine.in(simulation_.sample_between(day.min_report_delay, day.max_report_delay),
-                        [&proxy, server = response.server] { proxy.answer_found_wrong(server); });
+  simulation_.engine.in(
+      simulation_.sample_between(day.min_report_delay, day.max_report_delay),
+      [&proxy, server = response.server] { proxy.wrong_answer_reported(server); });
 }
 
 void SimulatedClients::proxy_started(int proxy) {
--- a/src/emulator/simulated_proxy.h
+++ b/src/emulator/simulated_proxy.h
@@ -71,7 +71,7 @@
   /// `update.since`: the age of the update.
   void release_updated(const ReleaseUpdate& update);
   void vote_answered(Outcome outcome);
-  void answer_found_wrong(int server);
+  void wrong_answer_reported(int server);
   /// The response or failure of an attempt reaches the proxy.
   void attempt_ended(std::uint64_t id, Outcome outcome, const ServerResponse& response);
   void server_killed(int server);
--- a/src/machine/forms.cpp
+++ b/src/machine/forms.cpp
@@ -49,7 +49,7 @@
     if (build.flaw == Flaw::late)
       build.flaw_delay = flaw_form->duration("after", 0ms, 1h);
     if (build.flaw == Flaw::request_class) {
-      build.request_class = deployment.request_class(flaw_form->text("product"));
+      build.request_class = deployment.request_class_index(flaw_form->text("product"));
       if (build.request_class < 0)
         flaw_form->add_problem("product", "is none of the deployment's");
     }
--- a/src/policy/canary_quota.cpp
+++ b/src/policy/canary_quota.cpp
@@ -7,7 +7,7 @@
 
 void CanaryQuota::release_updated(const ReleaseUpdate& release) {
   if (release.phase == ReleasePhase::rolling_back || release.phase == ReleasePhase::rolled_back)
-    sticky_keys_.clear();
+    build_by_key_.clear();
   release_ = release;
 }
 
@@ -15,8 +15,8 @@
   return counts_[settings_.by_request_class ? request_class : 0];
 }
 
-// Attempts are counted a tick longer than requests, so that either way of reading the window's ends
-// holds.
+// Attempts are kept two ticks longer than requests, so that the cap holds wherever an observer with
+// a clock resolution of one tick places the ends of the window.
 void CanaryQuota::drop_expired(Counts& counts, TimePoint now) const {
   const TimePoint window_start = now - settings_.window;
   while (!counts.requests.empty() && counts.requests.front() <= window_start + tick_)
@@ -36,8 +36,8 @@
 }
 
 void CanaryQuota::request_answered(const std::string& key, int build) {
-  if (settings_.one_way && !key.empty() && is_canary(build))
-    sticky_keys_[key] = build;
+  if (settings_.sticky_keys && !key.empty() && is_canary(build))
+    build_by_key_[key] = build;
 }
 
 bool CanaryQuota::is_canary(int build) const {
@@ -45,8 +45,8 @@
                       (build == release_->build && release_->phase != ReleasePhase::released));
 }
 
-// A build that no update has named counts as in the first stage; one that is rolled back gets
-// nothing.
+// A build newer than the announced one gets the cap of the first stage; a build that is being
+// rolled back gets no traffic.
 double CanaryQuota::cap(int build) const {
   if (build > release_->build)
     return settings_.caps.empty() ? 0 : settings_.caps.front();
@@ -54,10 +54,10 @@
 }
 
 bool CanaryQuota::answered_by_newer_build(const std::string& key, int build) const {
-  if (!settings_.one_way || key.empty())
+  if (!settings_.sticky_keys || key.empty())
     return false;
-  const auto sticky = sticky_keys_.find(key);
-  return sticky != sticky_keys_.end() && build < sticky->second;
+  const auto sticky = build_by_key_.find(key);
+  return sticky != build_by_key_.end() && build < sticky->second;
 }
 
 bool CanaryQuota::allows(const RequestInfo& request, int build, Idempotency idempotency,
@@ -70,13 +70,13 @@
   if (max_share <= 0)
     return false;
   const int stage = build > release_->build ? 0 : release_->stage;
-  if (idempotency != Idempotency::idempotent && stage < settings_.safe_only_stages)
+  if (idempotency != Idempotency::idempotent && stage < settings_.idempotent_only_stages)
     return false;
   Counts& counts = counts_for(request.request_class);
   drop_expired(counts, now);
   const auto attempts = static_cast<double>(counts.canary_attempts.size() + 1);
   const auto requests = static_cast<double>(counts.requests.size());
-  return attempts <= settings_.free_requests + max_share * requests;
+  return attempts <= settings_.uncapped_attempts + max_share * requests;
 }
 
 }  // namespace robinhoist
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -43,7 +43,7 @@
     if (is_ready(endpoint))
       ready.push_back(endpoint);
   std::sort(ready.begin(), ready.end(), [this](int a, int b) {
-    return std::tie(endpoints_[a].order, a) < std::tie(endpoints_[b].order, b);
+    return std::tie(endpoints_[a].sort_key, a) < std::tie(endpoints_[b].sort_key, b);
   });
   newest_build_ = -1;
   for (int endpoint : ready)
@@ -58,9 +58,9 @@
   return endpoints_[endpoint].listed && endpoints_[endpoint].phase == EndpointPhase::ready;
 }
 
-// An endpoint that answers again after it was lost has probably been restarted, whatever the list
-// still says: guards against overloading servers whose restart is listed late. After a mere network
-// cut it costs some seconds of slow start.
+// An endpoint that answers again after its ejection has probably been restarted, even if the list
+// does not show the restart yet. Treating it as just started avoids overloading a cold server. If
+// only the network was interrupted, the cost is a few seconds of slow start.
 double EndpointSet::warm_up_factor(int number, TimePoint now) const {
   const EndpointState& endpoint = endpoints_[number];
   const TimePoint listed_start = endpoint.started == TimePoint{} ? long_ago : endpoint.started;
--- a/src/proxy/http_protocol.cpp
+++ b/src/proxy/http_protocol.cpp
@@ -21,14 +21,14 @@
 constexpr const char* load_header = "endpoint-load-metrics";
 constexpr std::string_view load_text_prefix = "TEXT ";
 
-// Not a number when the text is none.
+// NaN if the text is not a number, `absent` if it is empty.
 double number_or(std::string_view text, double absent) {
   if (text.empty())
     return absent;
   return settings::parse_number(std::string(text)).value_or(std::nan(""));
 }
 
-// The field of a load report that a metric belongs to, or null.
+// The field of the load report for a metric, or null if the metric is not used.
 std::optional<double>* load_metric(LoadReport& load, std::string_view name) {
   if (name == "cpu_utilization")
     return &load.utilization;
@@ -43,7 +43,8 @@
   return nullptr;
 }
 
-// Takes the part up to the next comma off the front of the text, without leading blanks.
+// Removes the part up to the next comma from the front of the text and returns it without leading
+// blanks.
 std::string_view next_item(std::string_view& text) {
   const std::size_t end = std::min(text.find(','), text.size());
   std::string_view item = text.substr(0, end);
@@ -53,7 +54,7 @@
   return item;
 }
 
-// Metrics that are unknown or make no sense are skipped.
+// Unknown metrics and invalid values are skipped.
 LoadReport parse_load(std::string_view header) {
   LoadReport load;
   if (!header.starts_with(load_text_prefix))
@@ -94,13 +95,13 @@
     return parsed;
   parsed.forwarded.method = request.method;
   parsed.forwarded.target = request.target;
-  http::copy_end_to_end(request.headers, parsed.forwarded.headers);
+  http::copy_end_to_end_headers(request.headers, parsed.forwarded.headers);
   parsed.forwarded.headers.set(request_header, settings_.name + "." + std::to_string(request_id));
   parsed.forwarded.body = std::move(exchange.request.body);
   return parsed;
 }
 
-// Request class, tenant and keys.
+// Reads the request class, the tenant, and the idempotency and routing keys.
 std::optional<Rejection> HttpProtocol::read_identity(const http::Request& request,
                                                      ParsedRequest& parsed) const {
   const deployment::Deployment& deployment = settings_.deployment;
@@ -110,14 +111,14 @@
   if (info.request_class < 0)
     return Rejection{404, "no product takes " + request.method + " " + std::string(request.path())};
   if (!deployment.tenants.empty()) {
-    info.tenant = deployment.tenant(request.headers.get(names.tenant));
+    info.tenant = deployment.tenant_index(request.headers.get(names.tenant));
     if (info.tenant < 0)
       return Rejection{400, "header " + names.tenant + " names no known tenant"};
   }
   const auto& named_class =
       deployment.request_classes[static_cast<std::size_t>(info.request_class)];
   parsed.idempotency_key = request.headers.get(names.idempotency_key);
-  // Without the key, no endpoint could recognize a retry.
+  // Endpoints recognize a retry of such a request by its key.
   const bool needs_key = named_class.request_class.idempotency == Idempotency::idempotent_with_key;
   if (needs_key && parsed.idempotency_key.empty())
     return Rejection{400,
@@ -127,7 +128,7 @@
   return {};
 }
 
-// Time left, expected cost, and whether the client has tried before.
+// Reads the remaining time, the expected cost, and whether this is a retry by the client.
 std::optional<Rejection> HttpProtocol::read_hints(const http::Exchange& exchange,
                                                   ParsedRequest& parsed) const {
   const http::Headers& headers = exchange.request.headers;
@@ -143,8 +144,8 @@
   if (!(info.cost_hint_ms >= 0))
     return Rejection{400, "header " + names.cost_hint + " is not a number from 0"};
   info.is_retry = headers.has(names.retry);
-  info.deadline =
-      exchange.at + from_millis(std::min(remaining_ms, max_ms)) - settings_.response_reserve;
+  info.deadline = exchange.received_at + from_millis(std::min(remaining_ms, max_ms)) -
+                  settings_.response_reserve;
   return {};
 }
 
@@ -170,7 +171,7 @@
                                        int build) const {
   http::Response response;
   response.status = from.status;
-  http::copy_end_to_end(from.headers, response.headers);
+  http::copy_end_to_end_headers(from.headers, response.headers);
   response.headers.add(endpoint_header, endpoint);
   response.headers.add(build_header, std::to_string(build));
   response.body = std::move(from.body);
--- a/src/proxy/settings.cpp
+++ b/src/proxy/settings.cpp
@@ -50,14 +50,15 @@
     return token;
   std::ifstream in(file);
   if (!(in >> token))
-    form.add_problem("releases-token-file", file + " can't be read, or is empty");
+    form.add_problem("releases-token-file", file + " cannot be read, or is empty");
   return token;
 }
 
 void read_identity(settings::SexpReader& form, Settings& settings) {
   settings.name = form.text("name");
-  settings.number = form.integer("number", 0, 1000000, 0);
-  settings.salt = static_cast<unsigned>(form.integer("salt", 1, 2147483646, 1 + settings.number));
+  settings.proxy_index = form.integer("number", 0, 1000000, 0);
+  settings.seed =
+      static_cast<unsigned>(form.integer("salt", 1, 2147483646, 1 + settings.proxy_index));
 }
 
 void read_addresses(settings::SexpReader& form, Settings& settings) {
@@ -109,15 +110,14 @@
 
 void check_against_deployment(settings::SexpReader& form, const Settings& settings) {
   const deployment::Deployment& deployment = settings.deployment;
-  if (!settings.zone.empty() && deployment.zone(settings.zone) < 0)
-    form.add_problem("zone", settings.zone + " is none of the deployment's zones");
-  if (settings.number >= deployment.proxies)
+  if (!settings.zone.empty() && deployment.zone_index(settings.zone) < 0)
+    form.add_problem("zone", settings.zone + " is not a zone of the deployment");
+  if (settings.proxy_index >= deployment.proxies)
     form.add_problem("number", "must be below the deployment's number of umpires, " +
                                    std::to_string(deployment.proxies));
   for (const auto& named_class : deployment.request_classes)
     if (named_class.request_class.deadline <= 2 * settings.response_reserve)
-      form.add_problem("reserve",
-                       "takes half or more of the expiry of product " + named_class.name);
+      form.add_problem("reserve", "is half or more of the expiry of product " + named_class.name);
 }
 
 }  // namespace
@@ -150,7 +150,7 @@
 RouterSettings router_settings(const Settings& settings) {
   return {.name = settings.name,
           .endpoint_cache_file = settings.endpoint_cache_file,
-          .salt = settings.salt,
+          .seed = settings.seed,
           .server = settings.server,
           .upstream = settings.upstream,
           .trace = settings.trace};
@@ -158,19 +158,19 @@
 
 module_settings::ModuleSettings module_settings_of(const Settings& settings) {
   const deployment::Deployment& deployment = settings.deployment;
-  const int zone = std::max(0, deployment.zone(settings.zone));
+  const int zone = std::max(0, deployment.zone_index(settings.zone));
   module_settings::ModuleSettings result;
-  result.endpoints = deployment::endpoint_settings(deployment, zone, settings.number);
+  result.endpoints = deployment::endpoint_settings(deployment, zone, settings.proxy_index);
   result.canary_quota = deployment::canary_quota_settings(deployment);
   result.analysis = deployment::analysis_settings(deployment);
   result.requests = deployment::request_settings(deployment, clock_tick);
   for (const auto& named_class : deployment.request_classes)
-    result.request_classes.push_back(named_class.name);
+    result.request_class_names.push_back(named_class.name);
   for (const auto& tenant : deployment.tenants)
-    result.tenants.push_back(tenant.name);
-  result.zones = deployment.zones;
+    result.tenant_names.push_back(tenant.name);
+  result.zone_names = deployment.zones;
   result.connect_timeout = settings.upstream.connect_timeout;
-  result.keep_idle = settings.upstream.idle_timeout;
+  result.endpoint_idle_timeout = settings.upstream.idle_timeout;
   return result;
 }
 
--- a/src/record/meta.cpp
+++ b/src/record/meta.cpp
@@ -31,11 +31,11 @@
            {"cold_for_ms", meta.warm_up_time},
            {"answer_slack_ms", meta.answer_slack}})
     out.put_ms(name, duration);
-  out.put("free", meta.free_requests)
+  out.put("free", meta.uncapped_attempts)
       .put("fall_multiple", meta.collapse_multiple)
       .put("cold_from", meta.initial_warm_up_factor);
   out.put("by_product", meta.by_request_class)
-      .put("safe_only_stages", meta.safe_only_stages)
+      .put("safe_only_stages", meta.idempotent_only_stages)
       .begin_array("caps");
   for (double cap : meta.caps)
     out.put(nullptr, cap);
@@ -81,11 +81,11 @@
     meta.collapse_window = json::duration(document, "fall_window_ms");
     meta.warm_up_time = json::duration(document, "cold_for_ms");
     meta.answer_slack = json::duration(document, "answer_slack_ms");
-    meta.free_requests = json::number(document, "free");
+    meta.uncapped_attempts = json::number(document, "free");
     meta.collapse_multiple = json::number(document, "fall_multiple");
     meta.initial_warm_up_factor = json::number(document, "cold_from");
     meta.by_request_class = json::boolean(document, "by_product");
-    meta.safe_only_stages = json::integer(document, "safe_only_stages");
+    meta.idempotent_only_stages = json::integer(document, "safe_only_stages");
     for (auto& cap : json::array(document, "caps").GetArray())
       meta.caps.push_back(cap.GetDouble());
     for (auto& step : json::array(document, "steps").GetArray())
--- a/src/record/meta.h
+++ b/src/record/meta.h
@@ -26,9 +26,9 @@
   std::vector<std::string> steps{};
   Duration length{}, drain_grace{}, quota_window{}, collapse_window{}, warm_up_time{},
       answer_slack{};
-  double free_requests = 0, collapse_multiple = 0, initial_warm_up_factor = 0;
+  double uncapped_attempts = 0, collapse_multiple = 0, initial_warm_up_factor = 0;
   bool by_request_class = false;
-  int safe_only_stages = 0, proxies = 0, endpoints = 0;
+  int idempotent_only_stages = 0, proxies = 0, endpoints = 0;
   long seed = 0;
 };
 
--- a/src/simulator_adapter/instance.cpp
+++ b/src/simulator_adapter/instance.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The engine's salt has half as many bits as the wire's.
+// The engine's seed, which has half as many bits as the salt on the wire.
 unsigned fold(std::uint64_t salt) {
   return static_cast<unsigned>(salt ^ (salt >> 32));
 }
@@ -17,8 +17,8 @@
 Instance::Instance(const InstanceStarted& started)
     : engine_(fold(started.salt), started.settings.endpoints, started.settings.canary_quota,
               started.settings.analysis, started.settings.requests),
-      limits_{static_cast<int>(started.settings.request_classes.size()),
-              static_cast<int>(started.settings.tenants.size())} {}
+      limits_{static_cast<int>(started.settings.request_class_names.size()),
+              static_cast<int>(started.settings.tenant_names.size())} {}
 
 void Instance::endpoints_updated(EndpointUpdateKind kind, const EndpointBank& bank, TimePoint now) {
   std::vector<EndpointInfo> entries;
@@ -47,7 +47,7 @@
   if (!id)
     return;
   engine_.attempt_ended(*id, ended.attempt, ended.outcome, ended.succeeded, ended.load, now);
-  forget_if_done(*id);
+  remove_if_done(*id);
 }
 
 void Instance::client_disconnected(const std::string& request) {
@@ -55,7 +55,7 @@
   if (!id)
     return;
   engine_.client_disconnected(*id);
-  forget_if_done(*id);
+  remove_if_done(*id);
 }
 
 void Instance::release_updated(const ReleaseMessage& message, TimePoint now) {
@@ -69,15 +69,15 @@
   engine_.probe_ended(endpoint, load, now);
 }
 
-void Instance::answer_found_wrong(int endpoint) {
-  engine_.answer_found_wrong(endpoint);
+void Instance::wrong_answer_reported(int endpoint) {
+  engine_.wrong_answer_reported(endpoint);
 }
 
 int Instance::endpoint_index(const std::string& name) const {
   const auto found = endpoint_indices_.find(name);
   if (found == endpoint_indices_.end())
     throw json::DecodeError(std::string("field ") + wire::field::endpoint +
-                            " names a box that was never listed");
+                            " names an endpoint that was never listed");
   return found->second;
 }
 
@@ -91,7 +91,7 @@
       names.endpoint = endpoint_names_.at(decision->endpoint);
     reply += encode(*decision, names);
     if (decision->request_id >= 0)
-      forget_if_done(decision->request_id);
+      remove_if_done(decision->request_id);
   }
 }
 
@@ -110,8 +110,8 @@
   return entry->second;
 }
 
-void Instance::forget_if_done(int request_id) {
-  if (engine_.knows(request_id))
+void Instance::remove_if_done(int request_id) {
+  if (engine_.has_request(request_id))
     return;
   const auto found = request_names_.find(request_id);
   if (found == request_names_.end())
--- a/src/standin/server_pool.cpp
+++ b/src/standin/server_pool.cpp
@@ -177,7 +177,8 @@
                    deployment_.match_request_class(request.method, request.path()), next_id_++);
     return exchange->abort_connection();
   }
-  const Duration delay = link.delay + (exchange->first ? server.handshake_delay : Duration{});
+  const Duration delay =
+      link.delay + (exchange->first_on_connection ? server.handshake_delay : Duration{});
   const int request_class = deployment_.match_request_class(request.method, request.path());
   if (request_class < 0)
     return exchange->answer(http::text_response(404, "no such product\n"));
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -42,7 +42,7 @@
     meta.quota_window = 2s;
     meta.collapse_window = 1s;
     meta.answer_slack = 20ms;
-    meta.free_requests = 1;
+    meta.uncapped_attempts = 1;
     meta.length = 10s;
   }
 
--- a/tests/soak/options.cpp
+++ b/tests/soak/options.cpp
@@ -12,7 +12,8 @@
   const char* end = text.data() + text.size();
   const auto [stopped, error] = std::from_chars(text.data(), end, seed);
   if (error != std::errc{} || stopped != end || seed < 1 || seed > max_seed)
-    throw UsageError("--seeds: '" + text + "' is no number from 1 to " + std::to_string(max_seed));
+    throw UsageError("--seeds: '" + text + "' is not a number from 1 to " +
+                     std::to_string(max_seed));
   return seed;
 }
 
@@ -27,21 +28,21 @@
 
 }  // namespace
 
-Options parse_options(const std::vector<std::string>& words) {
+Options parse_options(const std::vector<std::string>& arguments) {
   Options options;
-  for (auto word = words.begin(); word != words.end(); ++word) {
-    if (*word == "--check") {
+  for (auto argument = arguments.begin(); argument != arguments.end(); ++argument) {
+    if (*argument == "--check") {
       options.check_only = true;
-    } else if (*word == "--rows") {
+    } else if (*argument == "--rows") {
       options.rows_only = true;
-    } else if (*word != "--seeds" && *word != "--out") {
-      throw UsageError("'" + *word + "' is no option: --seeds FIRST[-LAST], --out DIR");
-    } else if (word + 1 == words.end()) {
-      throw UsageError(*word + " needs a value");
-    } else if (*word == "--seeds") {
-      read_seeds(*++word, options);
+    } else if (*argument != "--seeds" && *argument != "--out") {
+      throw UsageError("unknown option '" + *argument + "': use --seeds FIRST[-LAST], --out DIR");
+    } else if (argument + 1 == arguments.end()) {
+      throw UsageError(*argument + " needs a value");
+    } else if (*argument == "--seeds") {
+      read_seeds(*++argument, options);
     } else {
-      options.folder = *++word;
+      options.folder = *++argument;
     }
   }
   return options;
