--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -28,8 +28,8 @@
     case ClientResult::unreached:
       ++counts.unreached;
       break;
-    case ClientResult::left:
-      ++counts.left;
+    case ClientResult::client_disconnected:
+      ++counts.client_disconnected;
       break;
     case ClientResult::lost:
       ++counts.lost;
@@ -43,14 +43,14 @@
     count_result(request.result, report.requests);
     if (request.result != ClientResult::succeeded)
       continue;
-    report.requests.wrong += request.right ? 0 : 1;
+    report.requests.wrong += request.correct ? 0 : 1;
     report.request_classes[request.request_class].latencies_ms.push_back(
         static_cast<double>((request.ended - request.sent).count()) / 1e3);
   }
 }
 
-// Of each request its first attempt, and of those that succeeded with a right answer the first to
-// end.
+// For each request, its first attempt, and the first to end of those that succeeded with a correct
+// answer.
 struct Outcomes {
   FirstAttempts first{};
   FirstAttempts first_success{};
@@ -64,7 +64,7 @@
     const auto [first, is_new] = outcomes.first.emplace(request.first_id, &request);
     if (!is_new && request.sent < first->second->sent)
       first->second = &request;
-    if (request.result != ClientResult::succeeded || !request.right)
+    if (request.result != ClientResult::succeeded || !request.correct)
       continue;
     const auto [success, is_first] = outcomes.first_success.emplace(request.first_id, &request);
     if (!is_first && request.ended < success->second->ended)
@@ -92,14 +92,14 @@
 
 }  // namespace
 
-void RuleReport::add_breach(const std::string& what) {
-  if (broken++ == 0)
-    first_breach = what;
+void RuleReport::add_violation(const std::string& what) {
+  if (violations++ == 0)
+    first_violation = what;
 }
 
-bool Report::kept() const {
-  return steps.kept() && std::all_of(rules.begin(), rules.end(),
-                                     [](const RuleReport& rule) { return rule.kept(); });
+bool Report::passed() const {
+  return steps.passed() && std::all_of(rules.begin(), rules.end(),
+                                       [](const RuleReport& rule) { return rule.passed(); });
 }
 
 Report audit(const std::string& folder) {
@@ -123,7 +123,8 @@
   report.max_slow_start_use = events.max_slow_start_use;
   report.proxy_attempts = static_cast<long>(events.arrivals.size());
   if (events.cut_files > 0)
-    report.notes.push_back(std::to_string(events.cut_files) + " of the files end in mid-line");
+    report.notes.push_back(std::to_string(events.cut_files) +
+                           " of the files end with an incomplete line");
   report.request_classes.resize(events.meta.request_classes.size());
   count_attempts(events, report);
   count_requests(events, report);
--- a/src/emulator/engine.h
+++ b/src/emulator/engine.h
@@ -1,5 +1,5 @@
-// Simulated time: tasks in the order of their times, ties in the order in which they were planned,
-// so that the same run is the same to the bit. One engine is one thread's.
+/// Event loop in simulated time. Tasks run in the order of their times, ties in the order in which
+/// they were scheduled, so that runs are reproducible bit for bit. An engine is used by one thread.
 #pragma once
 #include <algorithm>
 #include <chrono>
@@ -17,28 +17,28 @@
 
 class Engine {
  public:
-  struct Id {
+  struct TaskId {
     std::uint32_t slot = none;
-    std::uint32_t use = 0;
+    std::uint32_t generation = 0;
   };
   Engine() = default;
   ~Engine() {
     for (Slot& slot : slots_)
-      if (slot.run)
-        slot.drop(slot.store);
+      if (slot.invoke)
+        slot.destroy(slot.storage);
   }
   Engine(const Engine&) = delete;
   Engine& operator=(const Engine&) = delete;
 
   TimePoint now() const { return now_; }
   std::uint64_t events() const { return events_; }
-  std::size_t planned() const { return heap_.size(); }
+  std::size_t pending_tasks() const { return heap_.size(); }
 
-  // A time that has passed is now.
+  /// Schedules a task. A time in the past counts as now.
   template <class Task>
-  Id at(TimePoint when, Task task) {
-    // Guards against captures that would need memory of their own for each event.
-    static_assert(sizeof(Task) <= room && alignof(Task) <= alignof(std::max_align_t));
+  TaskId at(TimePoint when, Task task) {
+    // Keeps captures small enough to be stored without an allocation for each event.
+    static_assert(sizeof(Task) <= max_task_size && alignof(Task) <= alignof(std::max_align_t));
     std::uint32_t index;
     if (free_.empty()) {
       index = static_cast<std::uint32_t>(slots_.size());
@@ -48,25 +48,25 @@
       free_.pop_back();
     }
     Slot& slot = slots_[index];
-    new (slot.store) Task(std::move(task));
-    slot.run = [](void* at) { (*static_cast<Task*>(at))(); };
-    slot.drop = [](void* at) { static_cast<Task*>(at)->~Task(); };
-    heap_.push_back({std::max(when, now_), next_++, index, slot.use});
+    new (slot.storage) Task(std::move(task));
+    slot.invoke = [](void* storage) { (*static_cast<Task*>(storage))(); };
+    slot.destroy = [](void* storage) { static_cast<Task*>(storage)->~Task(); };
+    heap_.push_back({std::max(when, now_), next_order_++, index, slot.generation});
     std::push_heap(heap_.begin(), heap_.end(), later);
-    return {index, slot.use};
+    return {index, slot.generation};
   }
   template <class Task>
-  Id in(Duration wait, Task task) {
-    return at(now_ + wait, std::move(task));
+  TaskId in(Duration delay, Task task) {
+    return at(now_ + delay, std::move(task));
   }
 
-  void cancel(Id& id) {
-    if (id.slot != none && slots_[id.slot].use == id.use && slots_[id.slot].run)
+  void cancel(TaskId& id) {
+    if (id.slot != none && slots_[id.slot].generation == id.generation && slots_[id.slot].invoke)
       release(id.slot);
     id = {};
   }
 
-  // Runs the next task that is due by `until`; false when there is none.
+  /// Runs the next task that is due by `until`; returns false when there is none.
   bool step(TimePoint until) {
     while (!heap_.empty()) {
       const Entry next = heap_.front();
@@ -75,15 +75,15 @@
       std::pop_heap(heap_.begin(), heap_.end(), later);
       heap_.pop_back();
       Slot& slot = slots_[next.slot];
-      if (slot.use != next.use || !slot.run)
+      if (slot.generation != next.generation || !slot.invoke)
         continue;  // cancelled
       now_ = next.at;
       ++events_;
-      // What it plans may move slots_ on, but a deque's elements stay where they are.
+      // The task may append to slots_; references to a deque's elements stay valid.
       running_ = next.slot;
-      slot.run(slot.store);
+      slot.invoke(slot.storage);
       running_ = none;
-      if (slot.use == next.use)
+      if (slot.generation == next.generation)
         release(next.slot);
       return true;
     }
@@ -97,33 +97,33 @@
 
  private:
   static constexpr std::uint32_t none = UINT32_MAX;
-  static constexpr std::size_t room = 96;
+  static constexpr std::size_t max_task_size = 96;
   struct Slot {
-    alignas(std::max_align_t) std::byte store[room];
-    void (*run)(void*) = nullptr;
-    void (*drop)(void*) = nullptr;
-    std::uint32_t use = 0;
+    alignas(std::max_align_t) std::byte storage[max_task_size];
+    void (*invoke)(void*) = nullptr;
+    void (*destroy)(void*) = nullptr;
+    std::uint32_t generation = 0;
   };
   struct Entry {
     TimePoint at;
     std::uint64_t order;
-    std::uint32_t slot, use;
+    std::uint32_t slot, generation;
   };
   static bool later(const Entry& a, const Entry& b) {
     return a.at != b.at ? a.at > b.at : a.order > b.order;
   }
   void release(std::uint32_t index) {
     if (index == running_)
-      return;  // it ends by itself
+      return;  // step() releases it when it returns
     Slot& slot = slots_[index];
-    slot.drop(slot.store);
-    slot.run = nullptr;
-    ++slot.use;
+    slot.destroy(slot.storage);
+    slot.invoke = nullptr;
+    ++slot.generation;
     free_.push_back(index);
   }
 
   TimePoint now_{};
-  std::uint64_t next_ = 0, events_ = 0;
+  std::uint64_t next_order_ = 0, events_ = 0;
   std::uint32_t running_ = none;
   std::vector<Entry> heap_{};
   std::deque<Slot> slots_{};
--- a/src/emulator/run.cpp
+++ b/src/emulator/run.cpp
@@ -17,10 +17,10 @@
 namespace robinhoist::emulator {
 namespace {
 
-// Requests still open this long after the scenario's end are left alone.
+// Time after the scenario's end that open requests may take; later ones are abandoned.
 constexpr Duration max_overtime = std::chrono::seconds(30);
-// A proxy's number stands in these upper bits of its attempts' ids.
-constexpr int proxy_bits = 40;
+// An attempt's id holds its proxy's number above these bits.
+constexpr int attempt_bits = 40;
 
 Duration longest_dedup_window(const day::Scenario& day) {
   Duration longest{};
@@ -29,15 +29,15 @@
   return longest;
 }
 
-Outcome outcome_of(Answer::Is answer) {
-  switch (answer) {
-    case Answer::Is::well:
+Outcome outcome_of(ServerResponse::Status status) {
+  switch (status) {
+    case ServerResponse::Status::ok:
       return Outcome::ok;
-    case Answer::Is::failed:
+    case ServerResponse::Status::failed:
       return Outcome::error;
-    case Answer::Is::full:
+    case ServerResponse::Status::rejected:
       return Outcome::rejected;
-    case Answer::Is::broken:
+    case ServerResponse::Status::connection_lost:
       break;
   }
   return Outcome::reset;
@@ -62,21 +62,21 @@
       add_proxy(proxy, seed, policy);
   }
 
-  Summary play() {
+  Summary execute() {
     const day::Scenario& day = simulation_.day;
     Engine& engine = simulation_.engine;
     controller_.start();
     for (int proxy = 0; proxy < day.deployment.proxies; ++proxy)
       processes_.start(proxy);
-    controller_.begin_heartbeats();
-    servers_.begin_shared_harm();
+    controller_.start_heartbeats();
+    servers_.start_shared_slowdown();
     engine.run(simulation_.start);
-    plan_scenario();
+    schedule_scenario();
     clients_.send_due();
     const TimePoint end = simulation_.start + day.length;
     engine.run(end);
     const TimePoint last = end + max_overtime;
-    while (!clients_.over() && engine.now() < last && engine.step(last)) {
+    while (!clients_.is_finished() && engine.now() < last && engine.step(last)) {
     }
     return finish();
   }
@@ -85,35 +85,35 @@
   void connect_servers() {
     servers_.on_started = [this](int machine) { controller_.machine_started(machine); };
     servers_.on_stopped = [this](int machine) { controller_.machine_stopped(machine); };
-    fleet_.answered = [this](std::uint64_t attempt, const Answer& answer) {
-      SimulatedProxy& proxy = *simulation_.proxies[attempt >> proxy_bits];
-      simulation_.engine.in(simulation_.network.way(),
-                            [&proxy, attempt, answer, incarnation = proxy.incarnation()] {
+    fleet_.on_response = [this](std::uint64_t attempt, const ServerResponse& response) {
+      SimulatedProxy& proxy = *simulation_.proxies[attempt >> attempt_bits];
+      simulation_.engine.in(simulation_.network.sample_delay(),
+                            [&proxy, attempt, response, incarnation = proxy.incarnation()] {
                               if (proxy.up() && proxy.incarnation() == incarnation)
-                                proxy.attempt_ended(attempt, outcome_of(answer.is), answer);
+                                proxy.attempt_ended(attempt, outcome_of(response.status), response);
                             });
     };
-    fleet_.killed = [this](int server) {
+    fleet_.on_server_killed = [this](int server) {
       for (const auto& proxy : simulation_.proxies)
         proxy->server_killed(server);
     };
-    fleet_.way = [this](int proxy, int zone) { return link_between(proxy, zone); };
+    fleet_.link_between = [this](int proxy, int zone) { return link_between(proxy, zone); };
   }
 
-  Fleet::Way link_between(int proxy, int zone) const {
+  Fleet::Link link_between(int proxy, int zone) const {
     const std::vector<std::string>& zones = simulation_.day.deployment.zones;
     const LinkFaults& faults = simulation_.link_faults;
     const std::string& from = zones[proxy % zones.size()];
     const std::string& to = zones[zone];
-    Fleet::Way way;
+    Fleet::Link link;
     if (from == to)
-      return way;
-    way.cut = !faults.cut_zone.empty() && (from == faults.cut_zone || to == faults.cut_zone);
+      return link;
+    link.cut = !faults.cut_zone.empty() && (from == faults.cut_zone || to == faults.cut_zone);
     if (!faults.slow_zone.empty() && (from == faults.slow_zone || to == faults.slow_zone)) {
-      way.by = faults.delay;
-      way.lost = faults.loss;
+      link.delay = faults.delay;
+      link.loss = faults.loss;
     }
-    return way;
+    return link;
   }
 
   void add_proxy(int number, long seed, const PolicySpec& policy) {
@@ -123,40 +123,40 @@
     settings.zone = static_cast<int>(number % deployment.zones.size());
     settings.salt = static_cast<unsigned>(1 + (seed * 7919 + number) % 2000000000);
     settings.policy = policy;
-    SimulatedProxy::Ways ways;
-    ways.answer = [this](std::int64_t request, const FinalAnswer& answer) {
-      simulation_.engine.in(simulation_.network.way(),
-                            [this, request, answer] { clients_.answer(request, answer); });
+    SimulatedProxy::Outputs outputs;
+    outputs.respond = [this](std::int64_t request, const ClientResponse& response) {
+      simulation_.engine.in(simulation_.network.sample_delay(),
+                            [this, request, response] { clients_.answer(request, response); });
     };
-    ways.vote = [this](int proxy, int build, int stage, Verdict verdict) {
+    outputs.vote = [this](int proxy, int build, int stage, Verdict verdict) {
       controller_.vote(proxy, build, stage, verdict);
     };
-    ways.refresh = [this](int proxy) {
-      simulation_.engine.in(2 * simulation_.network.way(),
+    outputs.refresh = [this](int proxy) {
+      simulation_.engine.in(2 * simulation_.network.sample_delay(),
                             [this, proxy] { registry_.notify_complete(proxy); });
     };
-    ways.server_of = [this](const std::string& name) { return servers_.server_of(name); };
+    outputs.server_of = [this](const std::string& name) { return servers_.server_of(name); };
     simulation_.proxies.push_back(std::make_unique<SimulatedProxy>(
-        simulation_.engine, deployment, settings, fleet_, simulation_.network, std::move(ways)));
+        simulation_.engine, deployment, settings, fleet_, simulation_.network, std::move(outputs)));
   }
 
-  // What falls due in the scenario itself.
-  void plan_scenario() {
+  // Schedules the scenario's faults and releases.
+  void schedule_scenario() {
     faults_.draw_delays();
     for (const day::Fault& fault : simulation_.day.faults)
       simulation_.engine.at(simulation_.start + fault.at, [this, &fault] { faults_.begin(fault); });
-    for (const day::ScheduledRelease& offer : simulation_.day.releases)
-      simulation_.engine.at(simulation_.start + offer.at,
-                            [this, &offer] { controller_.submit(offer); });
+    for (const day::ScheduledRelease& release : simulation_.day.releases)
+      simulation_.engine.at(simulation_.start + release.at,
+                            [this, &release] { controller_.submit(release); });
   }
 
   Summary finish() {
     Summary& summary = simulation_.summary;
     for (const auto& proxy : simulation_.proxies) {
-      summary.attempts += proxy->attempts();
+      summary.proxy_attempts += proxy->attempts();
       summary.decisions += proxy->decisions();
     }
-    processes_.note_stopped();
+    processes_.record_stops();
     summary.events = simulation_.engine.events();
     return std::move(summary);
   }
@@ -173,22 +173,23 @@
 
 }  // namespace
 
-std::string why_not(const day::Scenario& day) {
+std::string unsupported_reason(const day::Scenario& day) {
   if (day.database)
-    return "it has a database, whose steps run on sockets only: play it with `robinhoist day`";
+    return "it has a database, whose migration steps run on sockets only; run it with `robinhoist "
+           "day`";
   return "";
 }
 
 Summary run(const day::Scenario& day, long seed, const std::string& folder,
             const NetworkSettings& network, const PolicySpec& policy) {
-  if (const std::string why = why_not(day); !why.empty())
-    throw std::runtime_error("the day can't be emulated: " + why);
+  if (const std::string reason = unsupported_reason(day); !reason.empty())
+    throw std::runtime_error("the scenario can't be emulated: " + reason);
   if (!folder.empty()) {
     std::filesystem::create_directories(folder);
     record::write(folder + "/meta.json", day::meta_of(day, seed));
     std::filesystem::remove(folder + "/database.jsonl");
   }
-  return Run(day, seed, folder, network, policy).play();
+  return Run(day, seed, folder, network, policy).execute();
 }
 
 }  // namespace robinhoist::emulator
--- a/src/emulator/simulated_clients.h
+++ b/src/emulator/simulated_clients.h
@@ -1,5 +1,5 @@
-/// The clients in simulated time: they send what the load generator hands out, wait, leave and
-/// report.
+/// The clients in simulated time: they send the load generator's requests, wait for responses,
+/// time out, disconnect and report wrong answers.
 #pragma once
 #include <cstdint>
 #include <unordered_map>
@@ -14,42 +14,45 @@
  public:
   SimulatedClients(Simulation& simulation, Fleet& fleet, long seed);
 
-  /// Sends what is due, now and from now on.
+  /// Sends the requests that are due, and schedules the next ones.
   void send_due();
   /// A proxy's response reaches its client.
-  void answer(std::int64_t request, const FinalAnswer& answer);
-  /// The front layer learns, late, that a proxy is up or down; a proxy that is down loses its
+  void answer(std::int64_t attempt, const ClientResponse& response);
+  /// Tells the load generator that a proxy is up or down. A proxy that goes down loses its
   /// requests.
   void proxy_started(int proxy);
   void proxy_stopped(int proxy);
-  /// Whether all requests have ended, and no more are to come.
-  bool over() const { return load_.over(); }
-  /// For faults of the clients.
-  load::Load& load() { return load_; }
+  /// Whether all requests have ended and no more will arrive.
+  bool is_finished() const { return load_.is_finished(); }
+  /// For injecting faults of clients.
+  load::LoadGenerator& load() { return load_; }
 
  private:
   struct OpenRequest {
-    load::Try sent{};
-    Engine::Id timeout{};
-    Engine::Id leave{};
-    int incarnation = 0;  // of the proxy that it was sent to
+    load::ClientAttempt attempt{};
+    Engine::TaskId timeout_timer{};
+    Engine::TaskId disconnect_timer{};
+    int incarnation = 0;  // of the proxy it was sent to
   };
 
-  void send(const load::Try& request);
+  void send(const load::ClientAttempt& attempt);
   void arrive(std::int64_t id);
-  void give_up(std::int64_t id);
-  void leave(std::int64_t id);
-  void break_off(std::int64_t id, load::End end);
-  void finish(const load::Try& request, load::End end, const FinalAnswer& answer);
-  void count(const load::Try& request, load::End end, const FinalAnswer& answer);
-  void record(const load::Try& request, load::End end, const FinalAnswer& answer);
-  void report_wrong_answer(const load::Try& request, const FinalAnswer& answer);
+  void time_out(std::int64_t id);
+  void disconnect(std::int64_t id);
+  void end_without_response(std::int64_t id, load::ClientResult result);
+  void finish(const load::ClientAttempt& attempt, load::ClientResult result,
+              const ClientResponse& response);
+  void count(const load::ClientAttempt& attempt, load::ClientResult result,
+             const ClientResponse& response);
+  void record(const load::ClientAttempt& attempt, load::ClientResult result,
+              const ClientResponse& response);
+  void report_wrong_answer(const load::ClientAttempt& attempt, const ClientResponse& response);
 
   Simulation& simulation_;
   Fleet& fleet_;
-  load::Load load_;
+  load::LoadGenerator load_;
   std::unordered_map<std::int64_t, OpenRequest> open_{};
-  Engine::Id load_timer_{};
+  Engine::TaskId load_timer_{};
 };
 
 }  // namespace robinhoist::emulator
--- a/tests/soak/observer.cpp
+++ b/tests/soak/observer.cpp
@@ -32,12 +32,12 @@
   meta.answer_slack =
       500ms;  // a response up to this late earns nothing, but does not count as lost
   meta.drain_grace = 1s + socket_slack;
-  meta.window = 2s;
-  meta.fall_window = 1s;
-  meta.cold_for = 1s;
-  meta.free = 1;
-  meta.fall_multiple = 4;
-  meta.cold_from = 0.3;
+  meta.quota_window = 2s;
+  meta.collapse_window = 1s;
+  meta.warm_up_time = 1s;
+  meta.uncapped_attempts = 1;
+  meta.collapse_multiple = 4;
+  meta.initial_warm_up_factor = 0.3;
   meta.caps = {1};
   meta.tenants = {"all"};
   meta.request_classes = {{.name = "look", .latency_objective = 300ms, .deadline = 400ms},
@@ -87,46 +87,46 @@
 }
 
 void Observer::proxy_started() {
-  record::proxy_life(proxies_, loop_.now(), proxy_name, "start");
+  record::proxy_process_event(proxies_, loop_.now(), proxy_name, "start");
 }
 
 void Observer::proxy_ended() {
-  record::proxy_life(proxies_, loop_.now(), proxy_name, "stop");
+  record::proxy_process_event(proxies_, loop_.now(), proxy_name, "stop");
 }
 
 void Observer::endpoint_started(const std::string& name) {
-  record::node_started(endpoints_, loop_.now(),
-                       {.endpoint = name,
-                        .zone = zone,
-                        .cell = 1,
-                        .build = 1,
-                        .started = {},
-                        .cold = false,
-                        .cores = 1,
-                        .speed = 1});
+  record::server_started(endpoints_, loop_.now(),
+                         {.endpoint = name,
+                          .zone = zone,
+                          .cell = 1,
+                          .build = 1,
+                          .started = {},
+                          .cold = false,
+                          .cores = 1,
+                          .speed = 1});
 }
 
 void Observer::list_sent(const std::vector<registry::Endpoint>& entries, bool complete) {
-  record::told_list(updates_, loop_.now(), proxy_name, entries, complete);
+  record::endpoints_notified(updates_, loop_.now(), proxy_name, entries, complete);
 }
 
 void Observer::release_sent() {
-  record::told_news(updates_, loop_.now(), proxy_name, 1, 0, "released", 1);
+  record::release_notified(updates_, loop_.now(), proxy_name, 1, 0, "released", 1);
 }
 
 long Observer::attempt_arrived(const Arrival& arrival, bool rejected) {
   const long attempt_id = next_attempt_id_++;
   const std::string name = std::string(proxy_name) + "." + arrival.request_id;
-  record::node_met(endpoints_, stalls_.earliest(), rejected ? "refused" : "taken",
-                   {.endpoint = arrival.endpoint,
-                    .build = 1,
-                    .id = attempt_id,
-                    .request_class = static_cast<int>(arrival.kind),
-                    .request_name = name,
-                    .attempt = "1",
-                    .try_id = arrival.request_id,
-                    .key = arrival.key,
-                    .work = "0"});
+  record::request_arrived(endpoints_, stalls_.earliest(), rejected ? "refused" : "taken",
+                          {.endpoint = arrival.endpoint,
+                           .build = 1,
+                           .work_id = attempt_id,
+                           .request_class = static_cast<int>(arrival.kind),
+                           .request_name = name,
+                           .attempt = "1",
+                           .client_attempt_id = arrival.request_id,
+                           .key = arrival.key,
+                           .work = "0"});
   check_arrival(arrival);
   return attempt_id;
 }
@@ -152,7 +152,7 @@
 
 void Observer::attempt_ran(const std::string& endpoint, long attempt_id, const char* how,
                            bool effect) {
-  record::node_ran(endpoints_, loop_.now(), endpoint, attempt_id, how, effect);
+  record::work_completed(endpoints_, loop_.now(), endpoint, attempt_id, how, effect);
 }
 
 void Observer::request_sent(const ClientRequest& request) {
@@ -172,23 +172,23 @@
 void Observer::request_ended(const ClientRequest& request, const char* outcome, int status,
                              bool right) {
   ++outcome_counts_[outcome];
-  record::tried(clients_, {.from = request.sent,
-                           .to = std::max(request.sent, stalls_.earliest()),
-                           .until = request.deadline,
-                           .id = request.id,
-                           .first = request.id,
-                           .number = 1,
-                           .request_class = static_cast<int>(request.kind),
-                           .tenant = 0,
-                           .proxy = proxy_name,
-                           .key = request.key,
-                           .poison = false,
-                           .end = outcome,
-                           .status = status,
-                           .why = "",
-                           .endpoint = "",
-                           .build = -1,
-                           .right = right});
+  record::client_attempt_ended(clients_, {.sent = request.sent,
+                                          .ended = std::max(request.sent, stalls_.earliest()),
+                                          .deadline = request.deadline,
+                                          .id = request.id,
+                                          .first_id = request.id,
+                                          .number = 1,
+                                          .request_class = static_cast<int>(request.kind),
+                                          .tenant = 0,
+                                          .proxy = proxy_name,
+                                          .key = request.key,
+                                          .poison = false,
+                                          .result = outcome,
+                                          .status = status,
+                                          .reason = "",
+                                          .endpoint = "",
+                                          .build = -1,
+                                          .correct = right});
 }
 
 void Observer::add_breach(const std::string& what) {
